--- a/src/hillstack/core/admission.py
+++ b/src/hillstack/core/admission.py
@@ -1,9 +1,10 @@
-"""Weighted fair admission by cost in tokens.
+"""Weighted fair admission control, with costs in tokens.
 
-While nobody waits, everything is admitted, so no capacity is left idle. As queues grow, tenants
-are refused in the order of how far their recent use exceeds their share of what all active tenants
-use: at a hundredth of the target wait those at ten times their share, at the target all above it.
-A request that cannot meet its deadline is refused at once. Every refusal says when to come back.
+While no request waits, every request is admitted, so that no capacity is left idle. As queues grow,
+tenants are refused by how far their recent use exceeds their fair share of the use of all active
+tenants. When the mean wait is a hundredth of the target wait, only tenants at ten times their share
+or more are refused; when the mean wait reaches the target, all tenants above their share are.
+A request that cannot meet its deadline is refused at once. Each refusal contains a retry delay.
 """
 
 from __future__ import annotations
@@ -43,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """What admission needs to know of a request.
+    """The properties of a request that decide on its admission.
 
     Attributes:
         cost_tokens: Expected work: uncached prompt tokens plus output tokens.
-        estimated_wait: Seconds until the best engine would start it.
-        mean_wait: Estimated wait, mean over the engines.
-        deadline_in: Seconds until its deadline.
-        urgent: Whether it is exempt from fairness below the hard limit.
+        estimated_wait: Seconds until the engine with the shortest wait would start the request.
+        mean_wait: Mean of the estimated waits of all engines, in seconds.
+        deadline_in: Seconds until the deadline of the request.
+        urgent: Whether the request is exempt from fair sharing; ``max_wait`` still applies.
     """
 
     tenant: str
@@ -63,6 +64,8 @@
 
 @dataclass(slots=True)
 class _Usage:
+    """Exponentially decaying token usage."""
+
     tokens: float
     updated_at: float
 
@@ -76,20 +79,20 @@
 
 
 class Admission:
-    """Fair admission over tenants.
+    """Weighted fair admission of the requests of all tenants.
 
     Args:
-        weights: Share of each tenant, relative to the others.
-        target_wait: Mean wait, in seconds, above which every tenant over its share is refused.
-        max_wait: Estimated wait above which nothing is admitted.
+        weights: Weight of each tenant, relative to the other tenants.
+        target_wait: Mean wait, in seconds, from which every tenant above its share is refused.
+        max_wait: Estimated wait, in seconds, from which no request is admitted.
     """
 
     def __init__(self, weights: Mapping[str, float], target_wait: float, max_wait: float) -> None:
         self._weights = dict(weights)
         self._target_wait = target_wait
         self._max_wait = max_wait
-        # Tenants with recent use, the sum of their use and the sum of their weights: kept up to
-        # date by change, so that a decision does not go over all tenants.
+        # The tenants with recent use. The sums of their use and of their weights are updated with
+        # each change, so that a decision does not iterate over all tenants.
         self._usage: dict[str, _Usage] = {}
         self._total = _Usage(0.0, 0.0)
         self._active_weight = 0.0
@@ -98,14 +101,14 @@
     def reconfigure(
         self, weights: Mapping[str, float], target_wait: float, max_wait: float
     ) -> None:
-        """Take over the limits of a new bundle; recorded use is kept."""
+        """Apply the limits of a new bundle; recorded use is retained."""
         self._weights = dict(weights)
         self._target_wait = target_wait
         self._max_wait = max_wait
         self._active_weight = sum(self._weights.get(tenant, 0.0) for tenant in self._usage)
 
     def try_admit(self, request: AdmissionRequest, now: float) -> Refusal | None:
-        """Admit and record a request, or return the refusal."""
+        """Admit a request and record its cost, or return the refusal."""
         refusal = self._refusal(request, now)
         if refusal is None:
             self._record(request.tenant, request.cost_tokens, now)
@@ -114,9 +117,9 @@
     def _refusal(self, request: AdmissionRequest, now: float) -> Refusal | None:
         wait = request.estimated_wait
         if wait >= request.deadline_in:
-            return Refusal(RefusalReason.DEADLINE, _bounded(wait - self._target_wait))
+            return Refusal(RefusalReason.DEADLINE, _clamp_retry_after(wait - self._target_wait))
         if wait >= self._max_wait:
-            return Refusal(RefusalReason.OVERLOADED, _bounded(wait - self._target_wait))
+            return Refusal(RefusalReason.OVERLOADED, _clamp_retry_after(wait - self._target_wait))
         if request.urgent:
             return None
         return self._over_share(request, now)
@@ -133,7 +136,7 @@
         if request.mean_wait * excess**EXCESS_EXPONENT < self._target_wait:
             return None
         until_fair = USAGE_HALF_LIFE_SECONDS * math.log2(excess) if fair > 0 else math.inf
-        return Refusal(RefusalReason.OVER_SHARE, _bounded(until_fair))
+        return Refusal(RefusalReason.OVER_SHARE, _clamp_retry_after(until_fair))
 
     def _share(self, tenant: str) -> float:
         own = self._weights.get(tenant, 0.0)
@@ -150,7 +153,7 @@
         self._active_weight += self._weights.get(tenant, 0.0)
 
     def _prune(self, now: float) -> None:
-        """Forget tenants whose use has decayed, and sum up anew against drift."""
+        """Drop tenants whose use has decayed and recompute the sums to remove rounding drift."""
         if now < self._prune_at:
             return
         self._prune_at = now + PRUNE_INTERVAL_SECONDS
@@ -162,5 +165,5 @@
         self._active_weight = sum(self._weights.get(tenant, 0.0) for tenant in self._usage)
 
 
-def _bounded(seconds: float) -> float:
+def _clamp_retry_after(seconds: float) -> float:
     return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
--- a/src/hillstack/core/answer_durations.py
+++ b/src/hillstack/core/answer_durations.py
@@ -1,20 +1,20 @@
-"""How long answers of a service take, from those seen, and from when on one is overdue."""
+"""Observed answer durations of a service, and the time after which an answer is overdue."""
 
 from __future__ import annotations
 
 from collections import deque
 
-# Answers that are remembered: half a minute of some seven a second at one node. Sorting them costs
-# some 20 us, each time that so many new ones have come:
+# Number of latest answers in the window: half a minute at about 7 answers/s per node. Sorting the
+# window costs about 20 us and is done once in ANSWERS_A_LOOK answers.
 KEPT_ANSWERS = 200
 ANSWERS_A_LOOK = 20
-# One answer in a hundred takes longer; two in 200 are enough to tell it from the longest one.
+# In a window of 200 answers two exceed this quantile, so it is not just the longest duration.
 QUANTILE = 0.99
-# Work of the same kind takes longer now and then, and waits behind other work: twice the quantile.
+# Allowance for requests that wait behind other work or take longer than most of their kind.
 OVERDUE_FACTOR = 2.0
-# Before that many were seen nothing is known of the work: as long as callers wait to be connected.
+# Used until the first ANSWERS_A_LOOK answers were observed: the connect timeout of callers.
 UNKNOWN_SECONDS = 1.0
-# Shorter ones would take a lost packet, which is sent again after 0.2 s, for a silent runner.
+# With a shorter limit, a lost packet, retransmitted after 0.2 s, would look like a silent runner.
 SHORTEST_SECONDS = 0.4
 
 
@@ -28,7 +28,7 @@
         self._median: float | None = None
 
     def add(self, seconds: float) -> None:
-        """Note an answer that came some seconds after its request was sent."""
+        """Record an answer that arrived ``seconds`` after its request was sent."""
         self._durations.append(seconds)
         self._seen += 1
         if self._seen % ANSWERS_A_LOOK == 0:
@@ -38,9 +38,9 @@
             self._overdue = max(SHORTEST_SECONDS, OVERDUE_FACTOR * usual)
 
     def overdue_seconds(self) -> float:
-        """Return after how long an answer should surely be there."""
+        """Return the seconds after which an answer is overdue."""
         return self._overdue
 
     def median_seconds(self) -> float | None:
-        """Return what half of the answers take at most; None before enough were seen."""
+        """Return the median duration; None until enough answers were observed."""
         return self._median
--- a/src/hillstack/core/attempt.py
+++ b/src/hillstack/core/attempt.py
@@ -1,4 +1,4 @@
-"""The states of a request's attempts, and what may be said about its outcome."""
+"""The states of a request's attempts, and what they prove about the request's outcome."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class AttemptState(enum.IntEnum):
-    """How far an attempt got; states only advance."""
+    """Progress of an attempt; the state only advances."""
 
     QUEUED = 0
     CONNECTING = 1
@@ -16,7 +16,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known about whether a request ran."""
+    """Whether a request ran, as far as this node can know."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -25,14 +25,14 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One try of a request at one back end."""
+    """One attempt to send a request to one back end."""
 
     attempt_id: str
     backend_id: str
     state: AttemptState = AttemptState.QUEUED
 
     def advance(self, state: AttemptState) -> None:
-        """Move to a later state; earlier states are ignored, since bytes can't be taken back."""
+        """Move to a later state; an earlier state is ignored, since sent bytes stay sent."""
         self.state = max(self.state, state)
 
 
@@ -44,7 +44,7 @@
         request_id: Identifier of the request.
         repeatable: Whether the request may run more than once.
         may_be_repeat: Whether the caller may have sent the same request before, through any
-            node; then this node alone can never know that it did not run.
+            node. This node can then never prove that the request did not run.
     """
 
     request_id: str
@@ -71,7 +71,7 @@
         return any(entry.state >= AttemptState.BYTES_MAY_HAVE_LEFT for entry in self.attempts)
 
     def outcome_of_refusal(self) -> Outcome:
-        """Return what may truthfully be said when the request is given up."""
+        """Return the outcome that can be reported when the request is given up."""
         if any(entry.state is AttemptState.ANSWERED for entry in self.attempts):
             return Outcome.RAN
         if self.bytes_may_have_left() or self.may_be_repeat:
--- a/src/hillstack/core/bundle_index.py
+++ b/src/hillstack/core/bundle_index.py
@@ -1,4 +1,4 @@
-"""Look-ups into a bundle, made once when it comes into force."""
+"""Lookup tables over a bundle, built once when the bundle is applied."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServedModel:
-    """What a model name in a request stands for: a model, or an adapter on top of it."""
+    """The target of a model name in a request: a model, or an adapter on top of a model."""
 
     name: str
     model: Model
     adapter: Adapter | None = None
 
     def scope(self, tenant: str) -> PrefixScope:
-        """Return the scope of a tenant's prompts."""
+        """Return the scope within which a tenant's prompts share cached blocks."""
         if self.adapter is None:
             return PrefixScope(tenant, self.model.name, self.model.weights_version)
         return PrefixScope(
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BundleIndex:
-    """A bundle and its parts by the keys that requests carry."""
+    """A bundle with its tenants, models and priorities indexed by the keys in requests."""
 
     bundle: Bundle
     tenants_by_key_hash: dict[str, Tenant]
@@ -40,7 +40,7 @@
     default_priority: Priority
 
     def route(self, method: str, path: str) -> Route | None:
-        """Return the application route with the longest path that contains a request's path."""
+        """Return the application route with the longest path that is a prefix of ``path``."""
         matching = [
             route
             for route in self.bundle.routes
@@ -50,7 +50,7 @@
 
 
 def index_bundle(bundle: Bundle) -> BundleIndex:
-    """Build the look-ups of a bundle."""
+    """Build the lookup tables of a bundle."""
     return BundleIndex(
         bundle=bundle,
         tenants_by_key_hash={tenant.key_hash: tenant for tenant in bundle.tenants},
--- a/src/hillstack/core/cache_index.py
+++ b/src/hillstack/core/cache_index.py
@@ -1,8 +1,8 @@
-"""What this node believes is cached on each engine.
+"""This node's estimate of the blocks that each engine has cached.
 
-Beliefs are kept in one partition per engine and incarnation. A new incarnation drops the whole
-partition. While an event gap stands the partition is untrusted, until a replay or a reset closes
-the gap.
+The index has one partition for each engine, which belongs to one incarnation of the engine. A new
+incarnation drops the whole partition. A partition with missing event batches is untrusted until a
+replay or a reset closes the gap.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 @dataclass(slots=True)
 class Partition:
-    """Beliefs about one incarnation of one engine.
+    """Estimated cache contents of one incarnation of an engine.
 
     Attributes:
         incarnation: Incarnation of the engine process.
         blocks: Hashes of blocks that events reported as stored.
         expected: Hashes of blocks that a request in flight will store, with the time at which
-            the expectation ends.
+            the expectation expires.
         next_sequence: Sequence number of the next event batch; None before the first.
-        trusted: Whether no gap stands.
+        trusted: Whether no event batch is missing.
     """
 
     incarnation: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SequenceGap:
-    """Event batches that are missing: ``first`` up to, not including, ``end``."""
+    """Missing event batches: ``first`` up to, not including, ``end``."""
 
     engine_id: str
     first: int
@@ -41,15 +41,15 @@
 
 
 class CacheIndex:
-    """Cache beliefs about all engines that this node watches."""
+    """Estimated cache contents of all engines that this node watches."""
 
     def __init__(self) -> None:
         self._partitions: dict[str, Partition] = {}
 
     def observe_incarnation(self, engine_id: str, incarnation: str) -> bool:
-        """Note the engine's incarnation and return whether it is a new one.
+        """Record the engine's incarnation and return whether it is new.
 
-        The partition of the earlier incarnation is dropped: an engine comes back empty.
+        The partition of the earlier incarnation is dropped: an engine restarts with an empty cache.
         """
         partition = self._partitions.get(engine_id)
         if partition is not None and partition.incarnation == incarnation:
@@ -58,20 +58,20 @@
         return True
 
     def forget(self, engine_id: str) -> None:
-        """Drop all beliefs about an engine."""
+        """Drop the partition of an engine."""
         self._partitions.pop(engine_id, None)
 
     def partition(self, engine_id: str) -> Partition | None:
-        """Return the partition of an engine, if any."""
+        """Return the partition of an engine, or None if there is none."""
         return self._partitions.get(engine_id)
 
     def observe_sequence(
         self, engine_id: str, incarnation: str, sequence: int
     ) -> SequenceGap | None:
-        """Note the number of an event batch that is about to be applied.
+        """Record the sequence number of an event batch that is about to be applied.
 
         Returns:
-            The gap before this batch, if there is one; the partition is untrusted until
+            The gap before this batch, or None. After a gap the partition is untrusted until
             ``close_gap`` or ``reset`` is called.
         """
         self.observe_incarnation(engine_id, incarnation)
@@ -86,13 +86,16 @@
         return SequenceGap(engine_id, expected, sequence)
 
     def close_gap(self, engine_id: str) -> None:
-        """Note that the missing batches have been applied."""
+        """Record that the missing batches have been applied."""
         partition = self._partitions.get(engine_id)
         if partition is not None:
             partition.trusted = True
 
     def reset(self, engine_id: str) -> None:
-        """Drop the blocks of an engine, when a gap cannot be replayed; later events count."""
+        """Drop the blocks of an engine whose missing batches cannot be replayed.
+
+        Later events fill the partition again.
+        """
         partition = self._partitions.get(engine_id)
         if partition is not None:
             partition.blocks.clear()
@@ -100,7 +103,7 @@
             partition.trusted = True
 
     def stored(self, engine_id: str, incarnation: str, hashes: Iterable[int]) -> None:
-        """Note blocks that the engine reports as stored."""
+        """Add blocks that the engine reports as stored."""
         partition = self._current(engine_id, incarnation)
         if partition is None:
             return
@@ -110,19 +113,19 @@
             partition.expected.pop(block, None)
 
     def removed(self, engine_id: str, incarnation: str, hashes: Iterable[int]) -> None:
-        """Note blocks that the engine reports as evicted."""
+        """Remove blocks that the engine reports as evicted."""
         partition = self._current(engine_id, incarnation)
         if partition is not None:
             partition.blocks.difference_update(hashes)
 
     def cleared(self, engine_id: str, incarnation: str) -> None:
-        """Note that the engine emptied its cache."""
+        """Remove all blocks: the engine has emptied its cache."""
         partition = self._current(engine_id, incarnation)
         if partition is not None:
             partition.blocks.clear()
 
     def expect(self, engine_id: str, hashes: Sequence[int], until: float) -> None:
-        """Note blocks that a request just sent will store, so that others follow it."""
+        """Add blocks that a request just sent will store, so that similar requests follow it."""
         partition = self._partitions.get(engine_id)
         if partition is None:
             return
@@ -131,7 +134,7 @@
                 partition.expected[block] = until
 
     def correct(self, engine_id: str, hashes: Sequence[int], cached_blocks: int) -> None:
-        """Correct beliefs by the number of cached blocks that an answer reported.
+        """Add the blocks of a finished request, given the cached blocks that its answer reported.
 
         Blocks past that number were not cached when the request started, but are now.
         """
@@ -143,7 +146,7 @@
             partition.expected.pop(block, None)
 
     def matched_blocks(self, engine_id: str, hashes: Sequence[int], now: float) -> int:
-        """Return how many leading blocks the engine is believed to hold or to be computing."""
+        """Return how many leading blocks the engine has cached or computes, by the estimate."""
         partition = self._partitions.get(engine_id)
         if partition is None:
             return 0
@@ -155,14 +158,14 @@
         return matched
 
     def expire(self, now: float) -> None:
-        """Drop expectations whose time has passed."""
+        """Drop expected blocks whose time has passed."""
         for partition in self._partitions.values():
             lapsed = [block for block, until in partition.expected.items() if until <= now]
             for block in lapsed:
                 del partition.expected[block]
 
     def total_blocks(self) -> int:
-        """Return the number of blocks believed cached, over all engines."""
+        """Return the estimated number of cached blocks, summed over all engines."""
         return sum(len(partition.blocks) for partition in self._partitions.values())
 
     def _current(self, engine_id: str, incarnation: str) -> Partition | None:
