--- a/src/hillstack/core/part_index.py
+++ b/src/hillstack/core/part_index.py
@@ -1,8 +1,8 @@
-"""Beliefs about which prompt parts are cached where.
+"""Estimates which prompt parts are cached by which holder.
 
-A holder is a runner or a store of kept KV cache. It keeps parts under a salt, which separates
-tenants that share nothing and versions of the weights, and drops the least recently used part when
-its memory is full. The index models that from what this node and its peers have sent.
+A holder is a runner or a KV cache store. It caches parts under a salt, which separates weights
+versions and isolated tenants, and evicts the least recently used part when its memory is full. The
+index models these caches from the requests that this node and its peers have sent.
 """
 
 from __future__ import annotations
@@ -24,20 +24,26 @@
 PartKey = tuple[str, str]
 
 
-class _Kept(msgspec.Struct):
-    """What is believed of a part at a holder; minus infinity as ``ready_at`` if it was seen."""
+class _CachedPart(msgspec.Struct):
+    """The estimated state of a part at a holder.
+
+    Attributes:
+        tokens: Number of cached tokens.
+        ready_at: When the prefill of the part is expected to be done; minus infinity if the part
+            was observed at the holder.
+    """
 
     tokens: int
     ready_at: float
 
 
 class _Holder:
-    """What one holder is believed to keep.
+    """Estimated cache contents of one holder, in order of their use.
 
     Args:
-        holder_id: The holder.
-        capacity_tokens: Its memory.
-        holders_by_part: Which holders keep a part; kept in step here, shared by all holders.
+        holder_id: Identifier of the holder.
+        capacity_tokens: Size of the holder's cache in tokens.
+        holders_by_part: Reverse index from parts to holders. All holders share and update it.
     """
 
     def __init__(
@@ -46,7 +52,7 @@
         self.holder_id = holder_id
         self.capacity = capacity_tokens
         self.total = 0
-        self.parts: OrderedDict[PartKey, _Kept] = OrderedDict()
+        self.parts: OrderedDict[PartKey, _CachedPart] = OrderedDict()
         self._holders_by_part = holders_by_part
 
     def tokens_of(self, key: PartKey) -> int:
@@ -58,7 +64,7 @@
         if known is None:
             self._holders_by_part.setdefault(key, set()).add(self.holder_id)
             self.total += tokens
-            self.parts[key] = _Kept(tokens, ready_at)
+            self.parts[key] = _CachedPart(tokens, ready_at)
             return
         if known.tokens < tokens or ready_at < known.ready_at:
             known.ready_at = ready_at
@@ -70,21 +76,21 @@
         known = self.parts.pop(key, None)
         if known is not None:
             self.total -= known.tokens
-            self._unlist(key)
+            self._remove_from_reverse_index(key)
 
     def evict(self, limit: int) -> None:
         while self.total > limit and self.parts:
-            key, kept = self.parts.popitem(last=False)
-            self.total -= kept.tokens
-            self._unlist(key)
+            key, cached = self.parts.popitem(last=False)
+            self.total -= cached.tokens
+            self._remove_from_reverse_index(key)
 
     def clear(self) -> None:
         for key in self.parts:
-            self._unlist(key)
+            self._remove_from_reverse_index(key)
         self.parts.clear()
         self.total = 0
 
-    def _unlist(self, key: PartKey) -> None:
+    def _remove_from_reverse_index(self, key: PartKey) -> None:
         holders = self._holders_by_part[key]
         holders.discard(self.holder_id)
         if not holders:
@@ -92,14 +98,14 @@
 
 
 class PartIndex:
-    """Which parts each holder is believed to keep."""
+    """Estimated cache contents of all holders."""
 
     def __init__(self) -> None:
         self._holders: dict[str, _Holder] = {}
         self._holders_by_part: dict[PartKey, set[str]] = {}
 
     def set_capacity(self, holder_id: str, capacity_tokens: int) -> None:
-        """Make a holder known, or change its memory."""
+        """Add a holder, or change the size of its cache."""
         holder = self._holders.get(holder_id)
         if holder is None:
             self._holders[holder_id] = _Holder(holder_id, capacity_tokens, self._holders_by_part)
@@ -107,13 +113,13 @@
             holder.capacity = capacity_tokens
 
     def forget(self, holder_id: str) -> None:
-        """Drop a holder that is gone."""
+        """Remove a holder."""
         holder = self._holders.pop(holder_id, None)
         if holder is not None:
             holder.clear()
 
     def clear(self, holder_id: str) -> None:
-        """Drop all parts of a holder that has lost its memory."""
+        """Remove all parts of a holder whose cache was lost."""
         holder = self._holders.get(holder_id)
         if holder is not None:
             holder.clear()
@@ -126,14 +132,15 @@
         reserved_tokens: int = 0,
         ready_at: float = -math.inf,
     ) -> None:
-        """Note that a holder keeps the parts, used most recently.
+        """Record that a holder caches some parts and has just used them.
 
         Args:
-            holder_id: A known holder; an unknown one is passed over.
-            salt: Salt under which they are kept.
+            holder_id: The holder; an unknown holder is ignored.
+            salt: Salt under which the parts are cached.
             parts: The parts, in the order of the prompt.
-            reserved_tokens: Memory that running requests hold and that parts can't use.
-            ready_at: When they are expected to be read, and can be fetched from there.
+            reserved_tokens: Memory, in tokens, that running requests hold and parts cannot use.
+            ready_at: When the prefill of the parts is expected to be done, so that other runners
+                can fetch them.
         """
         holder = self._holders.get(holder_id)
         if holder is None:
@@ -145,99 +152,102 @@
     def note_ready(
         self, holder_id: str, salt: str, parts: Iterable[PromptPart], ready_at: float
     ) -> bool:
-        """Note that parts that a holder keeps are read at a time, or earlier as known.
+        """Lower the ready time of cached parts to ``ready_at``, where it is later.
+
+        Parts that the holder does not cache, or caches only partly, are left unchanged.
 
         Returns:
-            Whether it is believed to keep all of them; else nothing is noted of the others.
+            Whether the holder caches all parts by the estimate; True for an unknown holder.
         """
         holder = self._holders.get(holder_id)
         if holder is None:
             return True
         known = holder.parts
-        keeps_all = True
+        caches_all = True
         for part in parts:
-            kept = known.get((salt, part.part_id))
-            if kept is None or kept.tokens < part.tokens:
-                keeps_all = False
-            elif ready_at < kept.ready_at:
-                kept.ready_at = ready_at
-        return keeps_all
+            cached = known.get((salt, part.part_id))
+            if cached is None or cached.tokens < part.tokens:
+                caches_all = False
+            elif ready_at < cached.ready_at:
+                cached.ready_at = ready_at
+        return caches_all
 
     def confirm(self, holder_id: str, salt: str, part: PromptPart) -> int:
-        """Note what a holder was seen to keep of a part, 0 tokens for nothing.
+        """Record how many tokens of a part were observed at a holder; 0 if it lacks the part.
 
         Returns:
-            The tokens that it was believed to keep.
+            The tokens of the part that the index had estimated there.
         """
         holder = self._holders.get(holder_id)
         if holder is None:
             return 0
         key = (salt, part.part_id)
-        believed = holder.tokens_of(key)
+        estimated = holder.tokens_of(key)
         if part.tokens > 0:
             holder.put(key, part.tokens, -math.inf)
             holder.evict(holder.capacity)
         else:
             holder.remove(key)
-        return believed
+        return estimated
 
     def retain(
         self, holder_id: str, listed: Collection[PartKey], read_by: float
     ) -> list[tuple[str, PromptPart]]:
-        """Drop the parts that a holder's whole list lacks; return their salts and them.
+        """Remove the parts that a full listing of a holder lacks; return them with their salts.
 
         Args:
             holder_id: The holder.
-            listed: Salt and identifier of the parts that it keeps.
-            read_by: Parts that were expected to be read only after that time stay.
+            listed: Salt and identifier of each part in the listing.
+            read_by: Time of the listing. Parts whose prefill was expected to be done later than
+                that are retained.
         """
         holder = self._holders.get(holder_id)
         if holder is None:
             return []
-        gone = [
-            (salt, PromptPart(part_id, kept.tokens))
-            for (salt, part_id), kept in holder.parts.items()
-            if kept.ready_at <= read_by and (salt, part_id) not in listed
+        removed = [
+            (salt, PromptPart(part_id, cached.tokens))
+            for (salt, part_id), cached in holder.parts.items()
+            if cached.ready_at <= read_by and (salt, part_id) not in listed
         ]
-        for salt, part in gone:
+        for salt, part in removed:
             holder.remove((salt, part.part_id))
-        return gone
+        return removed
 
     def take_unseen(self, holder_id: str, due: float) -> list[tuple[str, PromptPart]]:
-        """Drop the parts that should have been read by a time and were never seen at the holder.
+        """Remove the parts due by a time that were never observed at the holder.
 
         Returns:
-            Their salts and them.
+            Salt and part of each removed part.
         """
         holder = self._holders.get(holder_id)
         if holder is None:
             return []
-        unseen = [
-            (salt, PromptPart(part_id, kept.tokens))
-            for (salt, part_id), kept in holder.parts.items()
-            if -math.inf < kept.ready_at <= due
+        unobserved = [
+            (salt, PromptPart(part_id, cached.tokens))
+            for (salt, part_id), cached in holder.parts.items()
+            if -math.inf < cached.ready_at <= due
         ]
-        for salt, part in unseen:
+        for salt, part in unobserved:
             holder.remove((salt, part.part_id))
-        return unseen
+        return unobserved
 
     def is_known(self, salt: str, part_id: str) -> bool:
-        """Return whether any holder is believed to keep a part."""
+        """Return whether any holder caches a part, by the estimate."""
         return (salt, part_id) in self._holders_by_part
 
     def holders_of(self, salt: str, part_id: str) -> Collection[str]:
-        """Return the holders that are believed to keep a part; not to be changed."""
+        """Return the holders that cache a part, by the estimate; callers must not modify them."""
         return self._holders_by_part.get((salt, part_id), ())
 
     def parts_of(self, holder_id: str, min_tokens: int) -> list[tuple[str, PromptPart]]:
-        """Return salt and part of all that a holder is believed to keep from a size on."""
+        """Return salt and part of each cached part of a holder with at least ``min_tokens``."""
         holder = self._holders.get(holder_id)
         if holder is None:
             return []
         return [
-            (salt, PromptPart(part_id, kept.tokens))
-            for (salt, part_id), kept in holder.parts.items()
-            if kept.tokens >= min_tokens
+            (salt, PromptPart(part_id, cached.tokens))
+            for (salt, part_id), cached in holder.parts.items()
+            if cached.tokens >= min_tokens
         ]
 
     def matched_tokens(
@@ -247,27 +257,27 @@
         parts: Sequence[PromptPart],
         ready_by: float = math.inf,
     ) -> int:
-        """Return the tokens of the leading parts that the holder is believed to keep.
+        """Return the tokens of the leading parts that a holder caches, by the estimate.
 
         Args:
             holder_id: The holder.
-            salt: Salt under which they are kept.
+            salt: Salt under which the parts are cached.
             parts: The parts, in the order of the prompt.
-            ready_by: Parts that are not read by then do not count.
+            ready_by: Parts whose prefill is expected to be done later do not count.
         """
         holder = self._holders.get(holder_id)
         if holder is None:
             return 0
         matched = 0
         for part in parts:
-            kept = holder.parts.get((salt, part.part_id))
-            if kept is None or kept.ready_at > ready_by:
+            cached = holder.parts.get((salt, part.part_id))
+            if cached is None or cached.ready_at > ready_by:
                 break
-            matched += min(kept.tokens, part.tokens)
-            if kept.tokens < part.tokens:
+            matched += min(cached.tokens, part.tokens)
+            if cached.tokens < part.tokens:
                 break
         return matched
 
     def part_count(self) -> int:
-        """Return how many parts are believed kept, over all holders."""
+        """Return the estimated number of cached parts, summed over all holders."""
         return sum(len(holder.parts) for holder in self._holders.values())
--- a/src/hillstack/core/prefix.py
+++ b/src/hillstack/core/prefix.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixScope:
-    """What must be equal for two prompts to share cached blocks."""
+    """The properties that two prompts must have in common to share cached blocks."""
 
     tenant: str
     model: str
@@ -24,7 +24,7 @@
     adapter_version: int = 0
 
     def cache_salt(self) -> str:
-        """Return the salt sent to engines, which keeps tenants apart there as well."""
+        """Return the salt sent to engines, so that they separate the scopes in their caches too."""
         parts = (
             self.tenant,
             self.model,
@@ -59,7 +59,7 @@
 
 
 class PromptHashes(Protocol):
-    """The block hashes of one prompt, which differ by weights version."""
+    """The block hashes of one prompt, which depend on the weights version."""
 
     def for_version(self, weights_version: int) -> tuple[int, ...]:
         """Return the hashes under a weights version."""
@@ -68,11 +68,13 @@
 
 @dataclass(slots=True)
 class TextHashes:
-    """Hashes of a tokenized prompt, made when first asked for.
+    """Hashes of a tokenized prompt, computed on first use for each weights version.
 
     Args:
         tokens: The tokens, ``width`` bytes each.
-        scope: Scope of the prompt; its weights version is replaced by the one asked for.
+        block_tokens: Tokens in a block.
+        width: Bytes in a token.
+        scope: Scope of the prompt; its weights version is replaced by the requested version.
     """
 
     tokens: bytes
@@ -93,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FixedHashes:
-    """Hashes that do not depend on the version, where only one version is ever in use."""
+    """Hashes that do not depend on the weights version, for use with a single version."""
 
     hashes: tuple[int, ...]
 
--- a/src/hillstack/core/prompt.py
+++ b/src/hillstack/core/prompt.py
@@ -1,7 +1,8 @@
 """Rendering of prompts and their tokens.
 
-The byte-level tokenizer makes one token of each UTF-8 byte. It stands in where no vocabulary is
-configured; block boundaries then differ from the engine's, which costs hits but never correctness.
+The byte-level tokenizer makes one token of each UTF-8 byte. It is used where no vocabulary is
+configured. Block boundaries then differ from the engine's, which costs cache hits but never
+correctness.
 """
 
 from __future__ import annotations
@@ -40,5 +41,5 @@
 
 
 def render_chat(messages: Sequence[ChatMessage]) -> str:
-    """Return the prompt text of a chat, a prefix of which stays equal as messages are added."""
+    """Return the prompt text of a chat; with more messages it becomes a prefix of the new text."""
     return "".join(f"<|{message.role}|>\n{message.content}\n" for message in messages)
--- a/src/hillstack/core/prompt_shape.py
+++ b/src/hillstack/core/prompt_shape.py
@@ -1,4 +1,4 @@
-"""A prompt as placement sees it: its parts and how much may be generated."""
+"""The input of placement about a prompt: its parts and the expected output length."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 from hillstack.core.part_index import PromptPart
 
-# About 0.6 s of steps of 5 to 6 ms: a stream that a load of weights, as long, catches surely.
+# About 0.6 s at 5 to 6 ms per step, which is also the duration of a load of weights: a longer
+# stream is sure to overlap with a load of its runner and hold it up.
 LONG_OUTPUT_TOKENS = 100
 
 
 @dataclass(frozen=True, slots=True)
 class PromptShape:
-    """A prompt as placement sees it.
+    """The parts of a prompt and its expected output length.
 
     Attributes:
         parts: Parts in order; all but the last are shared with other prompts.
-        output_tokens: Tokens that are expected to be generated.
-        shared: The parts that other prompts may have too.
+        output_tokens: Expected number of generated tokens.
+        shared: The parts that other prompts may contain too.
         prompt_tokens: Tokens of all parts.
         shared_tokens: Tokens of the shared parts.
     """
@@ -36,10 +37,10 @@
 
     @property
     def total_tokens(self) -> int:
-        """Return the memory that the request may come to use, in tokens."""
+        """Return the memory that the request may use in total, in tokens."""
         return self.prompt_tokens + self.output_tokens
 
     @property
     def is_long(self) -> bool:
-        """Return whether it is expected to generate for long."""
+        """Return whether the expected output is long."""
         return self.output_tokens > LONG_OUTPUT_TOKENS
--- a/src/hillstack/core/rendezvous.py
+++ b/src/hillstack/core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: the owner of a key among nodes, stable as nodes come and go."""
+"""Rendezvous hashing: chooses the owner of a key among nodes, stable as nodes join and leave."""
 
 from __future__ import annotations
 
@@ -18,5 +18,5 @@
 
 
 def ranked(key: str, node_ids: Iterable[str]) -> list[str]:
-    """Return the nodes, highest score first."""
+    """Return the nodes in descending order of their score."""
     return sorted(node_ids, key=lambda node_id: (score(key, node_id), node_id), reverse=True)
--- a/src/hillstack/core/request_fingerprint.py
+++ b/src/hillstack/core/request_fingerprint.py
@@ -1,8 +1,8 @@
-"""What names a request over all tries of its caller.
+"""Names that identify a request across all attempts of its caller.
 
-Each try has an identifier of its own; the work that it asks for stays the same. There are two
-names. The fingerprint takes in all that a try shows, and tells apart requests that have the body
-alone in common. The content name takes in no more than what a caller is known to keep.
+Each attempt has an identifier of its own, but asks for the same work. There are two names. The
+fingerprint covers all stable properties of an attempt and separates requests that have only the
+body in common. The content name covers only what callers are known to send unchanged on each retry.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 from hillstack.core.prompt_shape import PromptShape
 
-# Width of a field's length in what is hashed.
+# Width of a field's length prefix in the hashed bytes.
 LENGTH_BYTES = 8
 
 
 def request_fingerprint(texts: tuple[str, ...], shape: PromptShape | None, body: bytes) -> int:
-    """Return a hash of 64 bits over what stays the same when a caller sends a request again.
+    """Return a 64-bit hash over the properties that stay the same when a caller retries a request.
 
     Args:
         texts: Tenant, method, host, target and model.
-        shape: Parts of its prompt; None where they are not known.
+        shape: Parts of the prompt; None where they are not known.
         body: The request's body.
     """
     fields = [text.encode() for text in texts]
@@ -33,19 +33,20 @@
 
 
 def content_name(tenant: str, path: str, body: bytes) -> int:
-    """Return a hash of 64 bits over path, tenant and body: the least that all tries share.
+    """Return a 64-bit hash over path, tenant and body: the minimum that all attempts share.
 
-    Others may have it in common, too: requests without a body that differ in their query.
+    Different requests can have the same content name, such as requests without a body that differ
+    in their query.
 
     Args:
-        tenant: Empty where there is none.
-        path: Without the query.
+        tenant: Name of the tenant; empty if there is none.
+        path: Path of the request, without the query.
         body: The request's body.
     """
     return _hash([tenant.encode(), path.encode(), body])
 
 
 def _hash(fields: list[bytes]) -> int:
-    # With the lengths no two lists of fields give the same bytes.
+    # The lengths make the encoding unique: no two lists of fields give the same bytes.
     lengths = b"".join(len(field).to_bytes(LENGTH_BYTES, "big") for field in fields)
     return xxh3_64_intdigest(lengths + b"".join(fields))
--- a/src/hillstack/core/request_router.py
+++ b/src/hillstack/core/request_router.py
@@ -31,11 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletionRequest:
-    """A completion as routing sees it.
+    """The properties of a completion request that routing uses.
 
     Attributes:
         hashes: Block hashes of the prompt, by weights version.
-        deadline: Time by which it must be done, on this node's clock.
+        deadline: Deadline of the request, on this node's clock.
+        urgent: Whether the request is exempt from fair sharing.
     """
 
     tenant: str
@@ -49,19 +50,21 @@
 
 @dataclass(frozen=True, slots=True)
 class _Admitted:
+    """The request admitted last, with the engine views of its admission, for reuse by placement."""
+
     request: CompletionRequest
     at: float
     views: list[EngineView]
 
 
 class RequestRouter:
-    """Decides which requests run, and where.
+    """Decides which requests are admitted, and which back end gets them.
 
     Args:
-        bundle: The bundle in force.
+        bundle: The current bundle.
         fleet: Back ends and their load.
-        index: Cache beliefs.
-        zone: Zone of this node, preferred for applications.
+        index: Estimated cache contents of the engines.
+        zone: Zone of this node, which is preferred for applications.
         rng: Source of randomness.
     """
 
@@ -78,7 +81,7 @@
         self.apply_bundle(bundle)
 
     def apply_bundle(self, bundle: Bundle) -> None:
-        """Put the limits and the policy of a bundle in force."""
+        """Apply the limits and the placement policy of a bundle."""
         self._bundle = bundle
         self._pools = {pool.name: pool for pool in bundle.pools}
         self._policy = make_policy(bundle.routing)
@@ -90,7 +93,7 @@
         self.retry_budget.minimum_per_second = bundle.retries.minimum_per_second
 
     def admit(self, request: CompletionRequest, now: float) -> Refusal | None:
-        """Admit a completion, or say why not and when to come back."""
+        """Admit a completion, or return the refusal with its reason and retry delay."""
         views = self._views(request, now, ())
         self._admitted = _Admitted(request, now, views)
         waits = [estimated_wait(view) for view in views]
@@ -109,7 +112,7 @@
     def place(
         self, request: CompletionRequest, now: float, excluded: Collection[str] = ()
     ) -> Placement | None:
-        """Choose an engine, or return None when none takes work."""
+        """Choose an engine, or return None when no engine accepts work."""
         views = self._admitted_views(request, now) if not excluded else None
         if views is None:
             views = self._views(request, now, excluded)
@@ -127,7 +130,7 @@
     def place_application(
         self, pool: str, now: float, excluded: Collection[str] = ()
     ) -> str | None:
-        """Choose an application: own zone first, then the fewest requests in flight."""
+        """Choose an application: the local zone first, then the fewest requests in flight."""
         candidates = [
             backend
             for backend in self._fleet.accepting(pool, now)
@@ -141,7 +144,7 @@
     def started(
         self, request: CompletionRequest, placement: Placement, attempt_id: str, now: float
     ) -> None:
-        """Note that an attempt is being sent to its engine."""
+        """Record that an attempt is being sent to its engine."""
         tokens = placement.uncached_tokens
         self._fleet.sent(placement.engine_id, attempt_id, tokens, now)
         if not self._bundle.routing.follow_fills:
@@ -153,7 +156,7 @@
         self._index.expect(placement.engine_id, hashes, until)
 
     def fill_of(self, request: CompletionRequest, placement: Placement) -> FillNotice | None:
-        """Return what other nodes should know of an attempt just sent; None if it is little."""
+        """Return the notice to other nodes of an attempt just sent; None if it fills few blocks."""
         blocks = placement.uncached_tokens // self._bundle.block_tokens
         if blocks < MIN_NOTICE_BLOCKS or not self._bundle.routing.share_fills:
             return None
@@ -162,13 +165,13 @@
         return FillNotice(placement.engine_id, placement.uncached_tokens, new)
 
     def observe_fill(self, notice: FillNotice, now: float) -> None:
-        """Note a fill that another node started: it queues there, and its blocks will be there."""
+        """Record a fill that another node started: its queued tokens and its expected blocks."""
         self._fleet.sent_by_peer(notice.engine_id, notice.tokens, now)
         until = now + EXPECTATION_MARGIN_SECONDS
         self._index.expect(notice.engine_id, notice.hashes, until)
 
     def first_token(self, engine_id: str, attempt_id: str) -> None:
-        """Note that an attempt's first token came."""
+        """Record the first token of an attempt."""
         self._fleet.first_token(engine_id, attempt_id)
 
     def finished(
@@ -178,7 +181,7 @@
         attempt_id: str,
         cached_tokens: int | None = None,
     ) -> None:
-        """Note that an attempt ended, with the cached tokens that the engine reported."""
+        """Record the end of an attempt, with the cached tokens that the engine reported."""
         self._fleet.finished(placement.engine_id, attempt_id)
         if cached_tokens is not None:
             blocks = cached_tokens // self._bundle.block_tokens
@@ -186,7 +189,7 @@
             self._index.correct(placement.engine_id, hashes, blocks)
 
     def _admitted_views(self, request: CompletionRequest, now: float) -> list[EngineView] | None:
-        """Return the views made for this request's admission, if that was only just now."""
+        """Return the views of this request's admission, if they are recent enough for reuse."""
         admitted, self._admitted = self._admitted, None
         if admitted is None or admitted.request is not request:
             return None
@@ -219,8 +222,8 @@
         engine_id = backend.machine.machine_id
         partition = self._index.partition(engine_id)
         load = backend.running()
-        # Hashes are made for the weights that the engine serves, so that a roll-out of weights
-        # keeps all engines in use while blocks of other weights never match.
+        # The hashes cover the weights version that the engine serves. During a rollout of weights
+        # all engines stay in use, and blocks of other weights versions never match.
         version = backend.weights_version or request.model.weights_version
         hashes = request.hashes.for_version(version)
         return EngineView(
--- a/src/hillstack/core/routing_table.py
+++ b/src/hillstack/core/routing_table.py
@@ -1,7 +1,7 @@
-"""Routes, services and tenants of one configuration version, looked up by request.
+"""Routes, services and tenants of one configuration version, indexed for requests.
 
-The table is immutable: a new configuration version makes a new table, so a request keeps the one
-that it started with.
+The table is immutable. Each configuration version has a table of its own, and a request uses the
+same table from its start to its end.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be done with a request of a route.
+    """How the requests of a route may be run.
 
     Attributes:
-        SAFE: It may run more than once.
-        UNSAFE: It may run at most once.
-        STREAM: It is answered by a series of events.
+        SAFE: A request may run more than once.
+        UNSAFE: A request may run at most once.
+        STREAM: The answer is a series of events.
     """
 
     SAFE = "safe"
@@ -41,18 +41,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A route.
+    """A route from a host and path prefix to services.
 
     Attributes:
-        path_prefix: Begins and ends with a slash.
-        timeout_seconds: Longest time that a request may be held.
-        target_seconds: Objective for the answer, for streams for the first event.
-        max_attempts: Most runners that one request may be sent to.
-        priority: Rank, 0 is the most urgent.
-        public: Whether it needs no key.
-        sticky: Whether its requests name the parts of their prompt.
-        resumable: Whether a broken stream may go on at another runner.
-        gap_seconds: Longest pause between two events that is still in time; None for no limit.
+        path_prefix: Prefix of the request path; begins and ends with a slash.
+        timeout_seconds: Longest time for which a request may be held.
+        target_seconds: Latency objective for the answer, or for the first event of a stream.
+        max_attempts: Maximum number of runners that one request may be sent to.
+        priority: Rank of the route's requests; 0 is the most urgent.
+        public: Whether requests need no key.
+        sticky: Whether requests name the parts of their prompt.
+        resumable: Whether a broken stream may be resumed on another runner.
+        shares: The services with their weights.
+        gap_seconds: Longest pause between two events that is in time; None for no limit.
     """
 
     name: str
@@ -77,14 +78,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """What the runners of a service are able to do.
+    """Capabilities of the runners of a service.
 
     Attributes:
-        slots: Requests that run at once.
-        kv_capacity_tokens: KV cache memory, shared by running requests and kept parts.
+        slots: Number of requests that run concurrently.
+        kv_capacity_tokens: KV cache memory, shared by running requests and cached parts.
         kv_token_bytes: Bytes of KV cache for one token.
-        link_megabits: Rate of moves of KV cache, megabits a second.
-        models: Names of the models that they serve.
+        link_megabits: Rate of KV cache transfers, in Mbit/s.
+        models: Names of the models that the runners serve.
     """
 
     slots: int
@@ -94,13 +95,13 @@
     models: tuple[str, ...] = ()
 
     def transfer_seconds(self, tokens: int, megabits: float) -> float:
-        """Return how long a link of some megabits a second carries the KV cache of tokens."""
+        """Return the seconds to transfer the KV cache of tokens at a rate in Mbit/s."""
         return tokens * self.kv_token_bytes * BITS_PER_BYTE / (megabits * BITS_PER_MEGABIT)
 
 
 @dataclass(frozen=True, slots=True)
 class KeptCacheStore:
-    """A store of KV cache outside the runners."""
+    """A KV cache store outside the runners."""
 
     address: str
     zone: str
@@ -110,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service: runners of one kind, or a store of KV cache."""
+    """A service: runners of one kind, or a KV cache store."""
 
     name: str
     max_connections: int = 0
@@ -120,12 +121,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantEntry:
-    """A tenant.
+    """A tenant with its priority, isolation and limit.
 
     Attributes:
-        priority: Replaces the priority of the route, if given.
-        isolated: Whether it shares no cached part with any other tenant.
-        limit: What it may send, over all nodes together; None for no limit.
+        priority: Overrides the priority of the route; None to use the route's.
+        isolated: Whether the tenant shares no cached parts with other tenants.
+        limit: Limit on the tenant's requests over all nodes together; None for no limit.
     """
 
     name: str
@@ -144,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """One configuration version, indexed."""
+    """Routes, services and tenants of one configuration version, with their indexes."""
 
     version: int
     services: dict[str, Service]
@@ -163,7 +164,7 @@
         tenants_by_key: dict[str, TenantEntry] | None,
         limits: RequestLimits,
     ) -> RoutingTable:
-        """Index routes by host, the longest prefix first."""
+        """Build the table, with the routes of each host sorted by descending prefix length."""
         by_host: dict[str, list[Route]] = {}
         for route in routes:
             by_host.setdefault(route.host, []).append(route)
@@ -178,7 +179,7 @@
         return cls(version, by_name, tenants_by_key, limits, ordered, gaps, tenant_limits)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of the host with the longest prefix that begins the path."""
+        """Return the route of a host with the longest prefix of a path, or None."""
         for route in self._routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -189,7 +190,7 @@
         return [route for routes in self._routes_by_host.values() for route in routes]
 
     def limit_of(self, tenant: str) -> TenantLimit | None:
-        """Return the limit of a tenant, by its name; None if it has none."""
+        """Return the limit of the tenant with a name; None without a limit."""
         return self._tenant_limits.get(tenant)
 
     def has_limits(self) -> bool:
@@ -197,11 +198,11 @@
         return bool(self._tenant_limits)
 
     def shortest_gap(self, service: str) -> float:
-        """Return the shortest allowed pause of any route of a service; infinite for none."""
+        """Return the shortest event gap allowed by any route of a service; infinite without one."""
         return self._gaps.get(service, math.inf)
 
     def kept_cache_stores(self) -> list[KeptCacheStore]:
-        """Return all stores of KV cache."""
+        """Return all KV cache stores."""
         return [s.kept_cache for s in self.services.values() if s.kept_cache is not None]
 
 
--- a/tests/fleet/test_crash_counts.py
+++ b/tests/fleet/test_crash_counts.py
@@ -7,10 +7,10 @@
 from hillstack.core.crash_counts import (
     MAX_CRASHES,
     MAX_NAMES,
-    REMEMBER_AGAIN_SECONDS,
-    REMEMBER_SECONDS,
+    REPEATED_RETENTION_SECONDS,
+    SINGLE_RETENTION_SECONDS,
+    TRIAL_INTERVAL_SECONDS,
     TRIAL_PAUSES_SECONDS,
-    TRIAL_STEP_SECONDS,
     CrashCounts,
     CrashedRun,
 )
@@ -78,7 +78,7 @@
     assert not counts.may_try(NAME, 0, first - 0.1)
     assert counts.may_try(NAME, 0, first)
     assert not counts.may_try(NAME, 1, first)
-    assert counts.may_try(NAME, 1, first + TRIAL_STEP_SECONDS)
+    assert counts.may_try(NAME, 1, first + TRIAL_INTERVAL_SECONDS)
 
 
 def test_a_request_gets_three_trials_whatever_comes_of_them() -> None:
@@ -139,10 +139,10 @@
 def test_it_forgets() -> None:
     counts = bounded()
     counts.note(8, CrashedRun("i-9", 1.0, 2.0))
-    counts.expire(REMEMBER_SECONDS + 10.0)
+    counts.expire(SINGLE_RETENTION_SECONDS + 10.0)
     assert counts.count(8) == 0
     assert counts.is_bounded(NAME)
-    counts.expire(REMEMBER_AGAIN_SECONDS + 10.0)
+    counts.expire(REPEATED_RETENTION_SECONDS + 10.0)
     assert not counts
 
 
--- a/tests/fleet/test_probations.py
+++ b/tests/fleet/test_probations.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hillstack.core.probations import SAME_LOAD, Probations
+from hillstack.core.probations import LOAD_STEP_REQUESTS, Probations
 from hillstack.core.runner_ends import SETTLED_SECONDS
 from hillstack.core.runner_load import OwnAttempt
 from hillstack.core.runner_pool import Runner
@@ -31,7 +31,7 @@
 
 
 def test_the_first_suspect_goes_to_the_quietest_runner_and_the_next_to_the_next() -> None:
-    runners = make_runners(20, 3 * SAME_LOAD, 9 * SAME_LOAD, 0)
+    runners = make_runners(20, 3 * LOAD_STEP_REQUESTS, 9 * LOAD_STEP_REQUESTS, 0)
     chosen = [names(Probations().suited(runners, rank, 1.0)) for rank in range(4)]
     assert chosen == [["i-3"], ["i-1"], ["i-0"], ["i-2"]]
 
