--- a/src/hillstack/core/placement/__init__.py
+++ b/src/hillstack/core/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement policies, one a file, behind one interface."""
+"""Placement policies, one per module, behind a common interface."""
--- a/src/hillstack/core/placement/base.py
+++ b/src/hillstack/core/placement/base.py
@@ -8,22 +8,23 @@
 from random import Random
 
 
-# Not frozen: one is made for each engine and request, and a frozen one takes twice as long to make.
+# Not frozen: a view is created for each engine and request, and creating a frozen one takes twice
+# as long.
 @dataclass(slots=True)
 class EngineView:
-    """What a policy sees of an engine; policies do not change it.
+    """The input of a policy about an engine; policies must not modify it.
 
     Attributes:
-        matched_blocks: Leading blocks of the prompt believed cached there.
-        weights_version: Version of the weights that it serves.
-        trusted: Whether the beliefs have no gap.
+        matched_blocks: Estimated number of leading blocks of the prompt that the engine has cached.
+        weights_version: Version of the weights that the engine serves.
+        trusted: Whether no cache event of the engine is missing.
         queued_tokens: Prompt tokens waiting for prefill, estimated.
         waiting: Requests waiting for a slot, estimated.
         running: Requests running, estimated.
         max_running: Slots of the engine.
-        cache_usage: Share of its cache in use, 0 to 1.
+        cache_usage: Share of the engine's cache in use, 0 to 1.
         prefill_rate: Prompt tokens prefilled per second.
-        network_delay: Extra one-way delay to it, in seconds.
+        network_delay: Extra one-way delay to the engine, in seconds.
     """
 
     engine_id: str
@@ -42,7 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """What a policy sees of a request."""
+    """The input of a policy about a request.
+
+    Attributes:
+        hashes: Block hashes of the prompt, first block first.
+        prompt_tokens: Tokens of the prompt.
+        block_tokens: Tokens in a block.
+    """
 
     hashes: Sequence[int]
     prompt_tokens: int
@@ -51,7 +58,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The engine chosen, the seconds until it starts the prefill, and the weights it serves."""
+    """The chosen engine with its estimated wait.
+
+    Attributes:
+        estimated_wait: Estimated seconds until the engine starts the prefill.
+        uncached_tokens: Prompt tokens that the engine has to prefill.
+        weights_version: Version of the weights that the engine serves.
+    """
 
     engine_id: str
     estimated_wait: float
--- a/src/hillstack/core/placement/cache_aware.py
+++ b/src/hillstack/core/placement/cache_aware.py
@@ -1,4 +1,4 @@
-"""Cost over cache beliefs: waiting plus prefill of what is not cached."""
+"""Cache-aware policy: minimizes the wait plus the prefill of uncached tokens."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CacheAware(PlacementPolicy):
-    """The engine with the lowest estimated time to the first token, by local beliefs."""
+    """Chooses the engine with the lowest time to the first token, by local cache estimates."""
 
     def choose(
         self, request: PlacementRequest, engines: Sequence[EngineView], rng: Random
--- a/src/hillstack/core/placement/full.py
+++ b/src/hillstack/core/placement/full.py
@@ -1,4 +1,7 @@
-"""The full policy: waiting, prefill, what a prefill costs others, and distrust of gappy beliefs."""
+"""The full policy: minimizes a weighted cost of wait, prefill, congestion and evictions.
+
+Cached blocks of an engine count less while cache events of it are missing.
+"""
 
 from __future__ import annotations
 
@@ -25,13 +28,13 @@
     Attributes:
         wait: Weight of a second of waiting.
         recompute: Weight of a second of prefill of uncached tokens.
-        congestion: How much that weight grows with each second of mean wait over all engines. A
-            prefill delays all who wait behind it, so the longer the queues, the more it costs.
-        eviction: Weight of a second of prefill that others must repeat after an eviction.
-        home_discount: Share of the prefill that the home engine of a prefix is spared in the
-            comparison while no engine is warmer, so that nodes that know nothing of each other's
-            fills agree on an engine.
-        untrusted_discount: Share of matched blocks that count while a gap stands.
+        congestion: Relative increase of the recompute weight for each second of mean wait over all
+            engines. A prefill delays all requests behind it, so its cost grows with the queues.
+        eviction: Weight of a second of prefill that other requests must repeat after an eviction.
+        home_discount: Share of the prefill cost that is not counted for the home engine of a
+            prefix, while no other engine has more blocks cached. Nodes that do not know of each
+            other's fills thereby agree on an engine.
+        untrusted_discount: Share of the matched blocks that counts while events are missing.
     """
 
     wait: float = 1.0
@@ -43,11 +46,11 @@
 
 
 class Full(PlacementPolicy):
-    """The engine with the lowest weighted cost.
+    """Chooses the engine with the lowest weighted cost.
 
-    A hot prefix spreads by itself: once its engine's queue costs more than a second prefill,
-    another engine wins and from then on holds it as well. Blocks of a prefill in flight count as
-    cached at their engine, so that concurrent requests wait there in place of a second fill.
+    A hot prefix spreads by itself: once the queue of its engine costs more than another prefill,
+    another engine is chosen and then has the prefix cached too. Blocks of a prefill in flight count
+    as cached on their engine, so that concurrent requests wait there instead of repeating the fill.
     """
 
     def __init__(self, weights: CostWeights) -> None:
@@ -81,7 +84,7 @@
             prefill *= 1 - weights.home_discount
         pressure = max(0.0, engine.cache_usage - CACHE_PRESSURE_FROM) / (1 - CACHE_PRESSURE_FROM)
         wait = estimated_wait(engine) + 2 * engine.network_delay
-        # The bound lets a single hot prefix spread: its own queue raises the mean as well.
+        # The bound lets a single hot prefix spread: its own queue also raises the mean wait.
         congestion = min(MAX_CONGESTION, weights.congestion * mean_wait)
         recompute = weights.recompute * (1 + congestion)
         return weights.wait * wait + (recompute + weights.eviction * pressure) * prefill
--- a/src/hillstack/core/placement/kept_parts.py
+++ b/src/hillstack/core/placement/kept_parts.py
@@ -1,4 +1,4 @@
-"""Who keeps the shared parts of a prompt, and which move of them saves the most time."""
+"""Finds the holders of a prompt's cached parts and the transfer that saves the most time."""
 
 from __future__ import annotations
 
@@ -12,37 +12,46 @@
 from hillstack.core.runner_pool import Runner
 from hillstack.core.topology import ONE_REGION, Topology
 
-# A call to the other runner and back, with what it waits there; a miss alone costs a millisecond.
+# Fixed time of a transfer: the round trip to the other runner and the wait there. A miss alone
+# costs a millisecond.
 MOVE_SETUP_SECONDS = 0.004
-# Moves between zones take twice as long, and between regions ten times, by the platform's word.
-REMOTE_MOVE_FACTOR = 2.0
-FAR_MOVE_FACTOR = 10.0
-# What a token that is moved between regions costs by its price, as a delay: three times that of a
-# move nearby, a thirty-fifth of that of reading it again (``REPEATED_PREFILL_SECONDS_PER_TOKEN``).
-FAR_MOVE_SECONDS_PER_TOKEN = 0.000008
-# A move across keeps the links of both runners from other moves, which go one after another, ten
-# times as long as a near one: its time counts once more. Chosen by a calculation with known caches,
-# in which half a region beside a burst has many prompts late without that, and none with it.
-FAR_MOVE_HOLD_UP = 1.0
-# Below two blocks of 16 tokens reading is as fast as a move.
+# Transfers between zones take twice as long and between regions ten times as long as within a zone,
+# by the platform's specification.
+CROSS_ZONE_MOVE_FACTOR = 2.0
+CROSS_REGION_MOVE_FACTOR = 10.0
+# Price of a token that is transferred between regions, as a delay: three times the price within a
+# region, and a thirty-fifth of the price of a repeated prefill
+# (``REPEATED_PREFILL_SECONDS_PER_TOKEN``).
+CROSS_REGION_MOVE_SECONDS_PER_TOKEN = 0.000008
+# Weight of a cross-region transfer's duration as a cost. It blocks the links of both runners for
+# other transfers, which run one after another, ten times as long as a transfer within a region. In
+# a calculation with known caches, half a region during a burst has many late prompts without this
+# cost, and none with it.
+CROSS_REGION_LINK_COST_FACTOR = 1.0
+# Below two blocks of 16 tokens, a prefill is as fast as a transfer.
 MIN_MOVE_TOKENS = 32
-# What a token that is read again costs, as a delay: the weight at which tokens read again fell
-# from 107,000 to 38,000 on a calm day (docs/PLATFORM.md).
+# Price of a token that is prefilled again, as a delay. With this weight the tokens of repeated
+# prefills fell from 107,000 to 38,000 on a day of low load (docs/PLATFORM.md).
 REPEATED_PREFILL_SECONDS_PER_TOKEN = 0.0003
 
 
 @dataclass(frozen=True, slots=True)
 class Surroundings:
-    """What is the same for all candidates of one decision.
+    """Inputs of a placement decision that are equal for all candidates.
 
     Attributes:
+        zone: Zone of this node.
+        engine: Capabilities of the service's runners.
+        prefill_rate: Prompt tokens prefilled per second.
+        stores: KV cache stores from which parts may be fetched.
+        now: Time on the node's clock.
         target_seconds: Objective for the first event.
         gap_seconds: Shortest allowed pause of the service's streams.
-        resting: Until when a resting connection of this node to an address may be used.
-        topology: Zones and regions; by default all zones are of one region.
-        detour_seconds: What the way to the candidates and back adds to the delay of each.
-        detour_cost: What it costs beside that, as a delay.
-        failed_zones: Zones of runners that were tried for this request.
+        resting: Until when an idle connection of this node may be used, by address.
+        topology: Zones and regions; by default all zones are in one region.
+        detour_seconds: Delay that the round trip to the candidates adds to each of them.
+        detour_cost: Further cost of this round trip, as a delay.
+        failed_zones: Zones of runners that were already tried for this request.
     """
 
     zone: str
@@ -61,10 +70,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """A fetch of cached parts; without an address there is none.
+    """A transfer of cached parts to a runner.
 
     Attributes:
-        cost: What it costs beside its time, as a delay; nothing within a region.
+        address: Address of the holder; None if nothing is transferred.
+        tokens: Transferred tokens.
+        seconds: Expected duration.
+        cost: Cost in addition to the duration, as a delay; 0 within a region.
+        is_across: Whether the holder is in another region.
     """
 
     address: str | None = None
@@ -79,11 +92,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Moves:
-    """The moves that save the most time.
+    """The transfers that save the most time.
 
     Attributes:
-        near: From within the region.
-        across: From another region; None unless it brings more than the one from within.
+        near: The best transfer within the region.
+        across: The best transfer from another region; None unless it has more tokens than ``near``.
     """
 
     near: Move
@@ -92,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Source:
-    """A holder from which shared parts can be fetched now, and how much of them."""
+    """A holder from which shared parts can be fetched, with the number of tokens available now."""
 
     address: str
     zone: str
@@ -100,25 +113,26 @@
 
 
 @dataclass(slots=True)
-class KeptParts:
-    """Who keeps the parts of a prompt under one salt.
+class CachedParts:
+    """The holders of a prompt's parts under one salt.
 
     Attributes:
-        known_tokens: The most of the shared parts that any runner has read or is reading.
-        matched: Leading tokens of the whole prompt by runner, where there are any.
+        known_tokens: Maximum number of shared tokens that a single holder has or is prefilling.
+        matched: Cached leading tokens of the whole prompt, by runner with any.
     """
 
     known_tokens: int
     matched: dict[str, int]
     _sources: list[_Source]
-    _around: Surroundings
+    _inputs: Surroundings
     _moves: dict[tuple[str, int], Moves] = field(default_factory=dict)
 
     def moves(self, runner: Runner, matched: int) -> Moves:
-        """Return the moves that save the most time to a runner that has some tokens itself.
+        """Return the best transfers to a runner that already has ``matched`` tokens.
 
-        Runners of a zone that have the same are alike, so a choice costs runners plus sources, not
-        their product. A runner is no source for itself, since it has what could be fetched there.
+        The result is cached by zone and matched tokens, so that a placement decision costs runners
+        plus sources, not their product. A runner never fetches from itself, since it has no fewer
+        tokens than it offers.
         """
         key = (runner.entry.zone, matched)
         moves = self._moves.get(key)
@@ -127,20 +141,23 @@
         return moves
 
     def _find_moves(self, zone: str, matched: int) -> Moves:
-        around = self._around
+        inputs = self._inputs
         near, near_gain = NO_MOVE, -math.inf
         across, across_gain = NO_MOVE, -math.inf
         for source in self._sources:
             tokens = source.tokens - matched
             if tokens < MIN_MOVE_TOKENS:
                 continue
-            seconds = move_seconds(tokens, source.zone, zone, around)
-            gain = tokens / around.prefill_rate - seconds
-            if around.topology.are_same_region(source.zone, zone):
+            seconds = move_seconds(tokens, source.zone, zone, inputs)
+            gain = tokens / inputs.prefill_rate - seconds
+            if inputs.topology.are_same_region(source.zone, zone):
                 if gain > near_gain:
                     near, near_gain = Move(source.address, tokens, seconds), gain
                 continue
-            cost = FAR_MOVE_SECONDS_PER_TOKEN * tokens + FAR_MOVE_HOLD_UP * seconds
+            cost = (
+                CROSS_REGION_MOVE_SECONDS_PER_TOKEN * tokens
+                + CROSS_REGION_LINK_COST_FACTOR * seconds
+            )
             gain += REPEATED_PREFILL_SECONDS_PER_TOKEN * tokens - cost
             if gain > across_gain:
                 across = Move(source.address, tokens, seconds, cost, is_across=True)
@@ -148,52 +165,53 @@
         return Moves(near, across if across.tokens > near.tokens else None)
 
 
-def find_kept_parts(
+def find_cached_parts(
     index: PartIndex,
     shape: PromptShape,
     salt: str,
-    around: Surroundings,
+    inputs: Surroundings,
     holders: Collection[Runner],
-) -> KeptParts:
-    """Return who keeps, or is reading, how much of a prompt under a salt.
+) -> CachedParts:
+    """Return the holders that have cached or are prefilling parts of a prompt.
 
     Args:
-        index: Beliefs about what is kept where.
+        index: Estimated cache contents of the holders.
         shape: The prompt.
-        salt: The salt.
-        around: Engine, stores, time.
-        holders: Runners from which parts may be fetched.
+        salt: Salt under which the parts are cached.
+        inputs: Inputs that are equal for all candidates.
+        holders: Runners from which cached parts may be fetched.
     """
-    keepers = index.holders_of(salt, shape.parts[0].part_id)
+    holder_ids = index.holders_of(salt, shape.parts[0].part_id)
     known = 0
     matched: dict[str, int] = {}
     sources: list[_Source] = []
     for holder in holders:
         holder_id = holder.runner_id
-        if holder_id not in keepers:
+        if holder_id not in holder_ids:
             continue
         matched[holder_id] = index.matched_tokens(holder_id, salt, shape.parts)
         known = max(known, min(shape.shared_tokens, matched[holder_id]))
-        read = index.matched_tokens(holder_id, salt, shape.shared, around.now)
-        sources.append(_Source(holder.address, holder.entry.zone, read))
-    for store in around.stores:
-        read = index.matched_tokens(store.address, salt, shape.shared, around.now)
-        sources.append(_Source(store.address, store.zone, read))
-        if not around.topology.is_own_region(store.zone):
-            # What a near store keeps is fetched; what only a far one keeps would be read again.
-            known = max(known, read)
-    return KeptParts(known, matched, sources, around)
-
-
-def move_seconds(tokens: int, source_zone: str, zone: str, around: Surroundings) -> float:
-    """Return the seconds that a move of cached tokens is expected to take."""
-    rate = around.engine.link_megabits
-    for store in around.stores:
+        ready_tokens = index.matched_tokens(holder_id, salt, shape.shared, inputs.now)
+        sources.append(_Source(holder.address, holder.entry.zone, ready_tokens))
+    for store in inputs.stores:
+        ready_tokens = index.matched_tokens(store.address, salt, shape.shared, inputs.now)
+        sources.append(_Source(store.address, store.zone, ready_tokens))
+        if not inputs.topology.is_own_region(store.zone):
+            # Parts in a store of this region are fetched, so they are not repeated. Parts that only
+            # a remote store has would be prefilled again.
+            known = max(known, ready_tokens)
+    return CachedParts(known, matched, sources, inputs)
+
+
+def move_seconds(tokens: int, source_zone: str, zone: str, inputs: Surroundings) -> float:
+    """Return the expected seconds of a transfer of cached tokens."""
+    rate = inputs.engine.link_megabits
+    for store in inputs.stores:
         if store.link_megabits > 0:
             rate = min(rate, store.link_megabits)
-    seconds = MOVE_SETUP_SECONDS + around.engine.transfer_seconds(tokens, rate)
+    seconds = MOVE_SETUP_SECONDS + inputs.engine.transfer_seconds(tokens, rate)
     if source_zone == zone:
         return seconds
-    if around.topology.are_same_region(source_zone, zone):
-        return seconds * REMOTE_MOVE_FACTOR
-    return seconds * FAR_MOVE_FACTOR
+    if inputs.topology.are_same_region(source_zone, zone):
+        return seconds * CROSS_ZONE_MOVE_FACTOR
+    return seconds * CROSS_REGION_MOVE_FACTOR
--- a/src/hillstack/core/placement/least_loaded.py
+++ b/src/hillstack/core/placement/least_loaded.py
@@ -14,7 +14,10 @@
 
 
 class LeastLoaded(PlacementPolicy):
-    """Ignores caches; ties are broken by running requests, then at random."""
+    """Chooses the engine with the shortest wait, regardless of caches.
+
+    Ties are broken by the number of running requests, then at random.
+    """
 
     def choose(
         self, request: PlacementRequest, engines: Sequence[EngineView], rng: Random
--- a/src/hillstack/core/placement/prefix_hash.py
+++ b/src/hillstack/core/placement/prefix_hash.py
@@ -1,4 +1,4 @@
-"""Baseline: consistent hash of the prefix with bounded load."""
+"""Baseline: consistent hashing of the prefix with bounded loads."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PrefixHash(PlacementPolicy):
-    """The first engine in the prefix's rendezvous order that is not over the mean load."""
+    """Chooses the first engine in the prefix's rendezvous order that is below the load bound."""
 
     def choose(
         self, request: PlacementRequest, engines: Sequence[EngineView], rng: Random
--- a/src/hillstack/core/placement/round_robin.py
+++ b/src/hillstack/core/placement/round_robin.py
@@ -1,4 +1,4 @@
-"""Baseline: engines in turn."""
+"""Baseline: round robin over the engines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RoundRobin(PlacementPolicy):
-    """Takes the engines in turn, whatever their load and caches."""
+    """Chooses the engines in turn, regardless of load and caches."""
 
     def __init__(self) -> None:
         self._next = 0
--- a/src/hillstack/core/runner_ends.py
+++ b/src/hillstack/core/runner_ends.py
@@ -1,11 +1,14 @@
-"""Which requests end the runners that work on them.
-
-A record of runners that ended while they had requests, from all nodes, and what follows for the
-requests that were there. One that is at work when a runner ends may be the cause; one that begins
-at another runner afterwards and is there when that one ends too most likely is. Others may have
-been at both by chance, moved there together, so each is weighed by how young its run was (a run
-that ends its runner does so at about the same age each time, long running streams did not), and by
-how many others were there. Names of requests are those of ``request_fingerprint``.
+"""Detects requests that crash the runners on which they run.
+
+``RunnerEndRecord`` holds the crashes of runners that had requests, as reported by all nodes, and
+classifies the requests. A request that was running when a runner crashed may be the cause and is a
+suspect. A request that was then sent to another runner and was running when that runner crashed too
+is probably the cause; if its probability is high enough, it is classified as fatal.
+
+Other requests may have been present at both crashes because they were moved together. Each request
+is therefore weighted by the age of its run and by the number of other requests on the runner: a
+fatal request crashes its runners at about the same age each time, and long running streams are
+unlikely causes. Requests are identified by the names of ``request_fingerprint``.
 """
 
 from __future__ import annotations
@@ -16,58 +19,63 @@
 from dataclasses import dataclass, field
 from itertools import combinations
 
-# An end is forgotten after this time if no fatal request was found at it: a caller's next try,
-# which would end a second runner, comes within some seconds.
+# Retention of crashes without a fatal request. A caller's next attempt, which would crash a second
+# runner, arrives within some seconds.
 END_SECONDS = 30.0
-# How long after the last end under it a fatal request is refused without a run: a caller that is
-# blamed falsely, or whose request has been repaired, waits a minute.
+# A fatal request is refused without a run for this time after the last crash under it. A caller
+# whose request was classified wrongly, or has been fixed, waits no longer than that.
 FATAL_SECONDS = 60.0
-# After ``FATAL_SECONDS`` it may run again as a suspect; one further end makes it fatal again, so it
-# takes at most one runner a minute. After this time since an end, the end itself is forgotten.
+# Retention of crashes with a fatal request. After ``FATAL_SECONDS`` the request may run again as a
+# suspect, and one further crash makes it fatal again, so that it crashes at most one runner per
+# minute.
 EVIDENCE_SECONDS = 300.0
-# A rack of runners and as many again; the oldest are forgotten first.
+# Maximum number of recorded crashes: a rack of runners twice. The oldest are dropped first.
 MAX_ENDS = 64
-# Places of the largest runners seen (64), twice.
-MAX_REQUESTS_AT_END = 128
-# Cleared fingerprints that are remembered: each was at some recorded end, so that runs which peers
-# tell of later are not added to that end again.
-MAX_CLEARED = 1_024
-# A run whose answer has been under way for that long is not likely to be the cause: if its runner
-# ends, it goes on elsewhere without restriction. Four times the age at which fatal runs were seen
-# to end their runners.
+# Maximum number of runs recorded for a crash: twice the slots of the largest observed runners (64).
+MAX_RUNS_PER_CRASH = 128
+# Maximum number of cleared fingerprints. They are stored so that runs of these requests which peers
+# report late are not added to a recorded crash again.
+MAX_CLEARED_REQUESTS = 1_024
+# A run whose answer has been under way for longer is settled: it is an unlikely cause of a crash
+# and continues on another runner without restriction. Four times the age at which fatal runs were
+# observed to crash their runners.
 SETTLED_SECONDS = 0.5
-# Weight of a run that has just settled; one that has not settled weighs 1. It falls with the age of
-# the answer, down to the least weight: a request that ends runners late must be found in the end.
+# Weight of a run that has just settled; a run that has not settled has weight 1. The weight falls
+# with the age of the answer to MIN_WEIGHT, so that a request which crashes runners late is still
+# detected eventually.
 SETTLED_WEIGHT = 0.2
-LEAST_WEIGHT = 0.02
-# Weight of each request of which only the number is known: its node has not named it yet.
-UNKNOWN_WEIGHT = 0.3
-# Weight of the runner itself as the cause of its end: half of a run that has just begun.
+MIN_WEIGHT = 0.02
+# Weight of each request that is counted but not identified, since its node has not reported it yet.
+UNIDENTIFIED_WEIGHT = 0.3
+# Weight of the runner itself as the cause of its crash: half of that of a run that has just begun.
 RUNNER_WEIGHT = 0.5
-# Added to both ages before they are compared: runs wait in their runner's queue for some time, so
-# a difference of this size says nothing.
+# Added to both ages before they are compared. Runs wait in their runner's queue for some time, so a
+# difference of this size is not significant.
 AGE_SLACK_SECONDS = 0.1
-# A peer's times are known to within the way of its notice, some milliseconds.
+# Tolerance for the order of events that peers report: the latency of a notice, some milliseconds.
 ORDER_SLACK_SECONDS = 0.02
-# Score of chance: that two runners ended by themselves while a request that was moved happened to
-# be at both. Compared with the score of the request, the product of its shares at both ends: that
-# of one out of 24 settled streams at each end is less.
-CHANCE = 0.002
-# The same where another request explains one of the ends: two fatal ones at work at a time.
-CHANCE_BESIDE_FATAL = 0.05
-# Added for each other runner that ended at the same moment and is not explained: power, a switch.
-CHANCE_BESIDE_END = 0.04
-# From this probability on a request is fatal: as likely a cause as all else together.
-FATAL_SHARE = 0.5
-# Runs that began one after the other's end under which a request is fatal in any case.
-SURE_ENDS = 3
-# So many other runners that end within ``RACK_SECONDS`` have a common cause: power, a switch.
-RACK_ENDS = 3
+# Score of the hypothesis that two runners crashed independently and a moved request was on both by
+# coincidence. It is compared with the score of the request, the product of its shares of both
+# crashes. The score of one of 24 settled streams at each crash is lower than this.
+COINCIDENCE_SCORE = 0.002
+# The same score where another fatal request explains one of the crashes.
+COINCIDENCE_SCORE_BESIDE_FATAL = 0.05
+# Added to the score for each other unexplained crash at the same time, which points to a common
+# cause such as power or a switch.
+COINCIDENCE_SCORE_PER_CRASH = 0.04
+# Probability from which a request is fatal: as likely a cause as all others together.
+FATAL_PROBABILITY = 0.5
+# Number of consecutive crashes, each under a run sent after the crash before, from which a request
+# is always fatal.
+CERTAIN_CRASHES = 3
+# This many other runners that crash within ``RACK_SECONDS`` have a common cause, such as power or a
+# switch.
+RACK_CRASHES = 3
 RACK_SECONDS = 0.25
 
 
 class Suspicion(enum.StrEnum):
-    """What is held of a request."""
+    """The classification of a request."""
 
     NONE = "none"
     SUSPECT = "suspect"
@@ -76,12 +84,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RunAtEnd:
-    """A run that was at a runner when it ended.
+    """A run of a request that was on a runner when the runner crashed.
 
     Attributes:
-        age: Seconds since it was sent there.
-        answering: Seconds since the first bytes of its answer; None before them.
-        content: The request's content name; 0 if it is not known.
+        age: Seconds from the sending of the request to the crash.
+        answering: Seconds from the first bytes of the answer to the crash; None before them.
+        content: Content name of the request; 0 if it is not known.
     """
 
     age: float
@@ -90,19 +98,19 @@
 
     @property
     def weight(self) -> float:
-        """How much it is suspected beside others that were there."""
+        """Weight of the run as a possible cause, relative to the other runs at the crash."""
         if not self.is_settled:
             return 1.0
         assert self.answering is not None
-        return max(LEAST_WEIGHT, SETTLED_WEIGHT * SETTLED_SECONDS / self.answering)
+        return max(MIN_WEIGHT, SETTLED_WEIGHT * SETTLED_SECONDS / self.answering)
 
     @property
     def is_settled(self) -> bool:
-        """Whether it had run for so long that it is hardly the cause."""
+        """Whether the answer had been under way for too long to be a likely cause."""
         return self.answering is not None and self.answering > SETTLED_SECONDS
 
-    def likeness(self, other: RunAtEnd) -> float:
-        """Return how much alike two runs were in age when their runners ended, up to 1."""
+    def similarity(self, other: RunAtEnd) -> float:
+        """Return the similarity of two runs' ages when their runners crashed, at most 1."""
         if self.answering is not None and other.answering is not None:
             own, others = self.answering, other.answering
         else:
@@ -113,12 +121,13 @@
 
 @dataclass(slots=True)
 class RunnerEnd:
-    """The end of a runner.
+    """The crash of a runner.
 
     Attributes:
-        ended_at: On this node's clock.
-        running: Number of requests that all nodes together are believed to have had there.
-        runs: The runs that were there, as far as told, by fingerprint.
+        runner_id: The incarnation that crashed.
+        ended_at: Time of the crash, on this node's clock.
+        running: Estimated number of requests of all nodes on the runner.
+        runs: The runs on the runner that have been reported so far, by fingerprint.
     """
 
     runner_id: str
@@ -127,25 +136,25 @@
     runs: dict[int, RunAtEnd] = field(default_factory=dict)
 
     def began_at(self, fingerprint: int) -> float:
-        """Return when a run there was sent."""
+        """Return when the run of a request was sent."""
         return self.ended_at - self.runs[fingerprint].age
 
     def share(self, fingerprint: int) -> float:
-        """Return a run's part, up to 1, of the weights of all there and of the runner itself."""
+        """Return a run's share, at most 1, of the weights of all runs and of the runner itself."""
         unknown = max(0, self.running - len(self.runs))
-        total = sum(run.weight for run in self.runs.values()) + UNKNOWN_WEIGHT * unknown
+        total = sum(run.weight for run in self.runs.values()) + UNIDENTIFIED_WEIGHT * unknown
         total += RUNNER_WEIGHT
         return self.runs[fingerprint].weight / total
 
 
 @dataclass(frozen=True, slots=True)
 class FatalRequest:
-    """A request that is held to have ended runners.
+    """A request that is classified as the cause of runner crashes.
 
     Attributes:
-        runner_ids: Runners at whose end it was, in order.
-        ages: Seconds for which it had been there.
-        share: How likely it is the cause, beside what else was there; 1 if it is sure.
+        runner_ids: The runners that crashed under the request, in order.
+        ages: Age of the request's run at each crash, in seconds.
+        share: Probability that the request is the cause; 1 if it is certain.
     """
 
     fingerprint: int
@@ -155,58 +164,58 @@
 
 
 class RunnerEndRecord:
-    """Ends of runners and the requests that were there. Bounded in number and in time."""
+    """Runner crashes and the requests that were running, bounded in number and in age."""
 
     def __init__(self) -> None:
         self._ends: OrderedDict[str, RunnerEnd] = OrderedDict()
         self._cleared: OrderedDict[int, float] = OrderedDict()
-        self._taken_back: OrderedDict[str, float] = OrderedDict()
+        self._last_contact: OrderedDict[str, float] = OrderedDict()
         self._fatal: dict[int, FatalRequest] = {}
         self._suspects: set[int] = set()
-        self._is_up_to_date = True
+        self._is_classified = True
 
     def __bool__(self) -> bool:
         return bool(self._ends)
 
     def ends(self) -> list[RunnerEnd]:
-        """Return all ends, the oldest first."""
+        """Return all crashes in the order in which they were recorded."""
         return list(self._ends.values())
 
     def get(self, runner_id: str) -> RunnerEnd | None:
-        """Return the end of a runner, or None if it is not known to have ended."""
+        """Return the crash of a runner, or None if none is recorded."""
         return self._ends.get(runner_id)
 
     def fatal(self) -> Mapping[int, FatalRequest]:
         """Return the fatal requests by fingerprint."""
-        self._bring_up_to_date()
+        self._reclassify()
         return self._fatal
 
     def suspects(self) -> set[int]:
         """Return the suspects that are not fatal."""
-        self._bring_up_to_date()
+        self._reclassify()
         return self._suspects
 
     def suspicion(self, fingerprint: int, now: float) -> Suspicion:
-        """Return what is held of a request."""
-        self._bring_up_to_date()
+        """Return the classification of a request."""
+        self._reclassify()
         if fingerprint in self._fatal:
-            is_held = now - self.ended_last_under(fingerprint) < FATAL_SECONDS
-            return Suspicion.FATAL if is_held else Suspicion.SUSPECT
+            is_refused = now - self.ended_last_under(fingerprint) < FATAL_SECONDS
+            return Suspicion.FATAL if is_refused else Suspicion.SUSPECT
         return Suspicion.SUSPECT if fingerprint in self._suspects else Suspicion.NONE
 
     def rank(self, fingerprint: int) -> int | None:
-        """Return the place of a request among the suspects, on which all nodes agree; else None."""
-        self._bring_up_to_date()
+        """Return the rank of a suspect or fatal request, on which all nodes agree, else None."""
+        self._reclassify()
         if fingerprint not in self._suspects and fingerprint not in self._fatal:
             return None
         return self.place(fingerprint)
 
     def place(self, fingerprint: int) -> int:
-        """Return the place that a request has, or would have, among the suspects."""
+        """Return the rank that a request has, or would have, among the suspects."""
         return sum(1 for other in self.suspects() if other < fingerprint)
 
     def ended_last_under(self, fingerprint: int) -> float:
-        """Return when the last runner ended under a request."""
+        """Return when the last runner crashed under a request."""
         ends = [end.ended_at for end in self._ends.values() if fingerprint in end.runs]
         return max(ends, default=float("-inf"))
 
@@ -218,14 +227,14 @@
         now: float,
         running: int = 0,
     ) -> None:
-        """Note that a runner ended, or that further requests were there.
+        """Record a runner's crash, or add further requests to a recorded crash.
 
         Args:
-            runner_id: The incarnation.
-            ended_at: When, on this node's clock.
-            runs: Requests that were there.
+            runner_id: The incarnation that crashed.
+            ended_at: Time of the crash, on this node's clock.
+            runs: Requests that were running on it.
             now: Time on this node's clock.
-            running: Requests believed to be there, of all nodes.
+            running: Estimated number of requests of all nodes on it.
         """
         if self.was_heard_after(runner_id, ended_at):
             return
@@ -239,46 +248,46 @@
             self._add_run(end, fingerprint, run)
         while len(self._ends) > MAX_ENDS:
             self._ends.popitem(last=False)
-        self._is_up_to_date = False
+        self._is_classified = False
 
     def was_heard_after(self, runner_id: str, ended_at: float) -> bool:
-        """Return whether a runner was heard after it seemed to have ended."""
-        return ended_at <= self._taken_back.get(runner_id, float("-inf"))
+        """Return whether the runner was in contact after its supposed crash."""
+        return ended_at <= self._last_contact.get(runner_id, float("-inf"))
 
     def take_back(self, runner_id: str, heard_at: float) -> bool:
-        """Note that a runner was heard; return whether a recorded end of it was dropped."""
-        known = self._taken_back.get(runner_id, float("-inf"))
-        self._taken_back[runner_id] = max(known, heard_at)
-        self._taken_back.move_to_end(runner_id)
-        while len(self._taken_back) > MAX_ENDS:
-            self._taken_back.popitem(last=False)
+        """Record contact with a runner; return whether its recorded crash was dropped for that."""
+        known = self._last_contact.get(runner_id, float("-inf"))
+        self._last_contact[runner_id] = max(known, heard_at)
+        self._last_contact.move_to_end(runner_id)
+        while len(self._last_contact) > MAX_ENDS:
+            self._last_contact.popitem(last=False)
         end = self._ends.get(runner_id)
         if end is None or end.ended_at > heard_at:
             return False
         del self._ends[runner_id]
-        self._is_up_to_date = False
+        self._is_classified = False
         return True
 
     def clear(self, fingerprint: int, now: float) -> list[str]:
-        """Note that a run of a request ended well; return the runners at whose ends it had been."""
+        """Clear a request after a successful run; return the runners that had crashed under it."""
         runner_ids = [end.runner_id for end in self._ends.values() if fingerprint in end.runs]
         if not runner_ids:
             return []
         self._cleared[fingerprint] = now
         self._cleared.move_to_end(fingerprint)
-        while len(self._cleared) > MAX_CLEARED:
+        while len(self._cleared) > MAX_CLEARED_REQUESTS:
             self._cleared.popitem(last=False)
         for runner_id in runner_ids:
             del self._ends[runner_id].runs[fingerprint]
-        self._is_up_to_date = False
+        self._is_classified = False
         return runner_ids
 
     def expire(self, now: float) -> None:
-        """Forget what is old: the ends under fatal requests later than the others."""
+        """Drop old crashes; crashes under fatal requests are retained longer than the others."""
         if not self._ends:
             return
-        self._bring_up_to_date()
-        evidence = {runner_id for found in self._fatal.values() for runner_id in found.runner_ids}
+        self._reclassify()
+        evidence = {runner_id for fatal in self._fatal.values() for runner_id in fatal.runner_ids}
         old = [
             end.runner_id
             for end in self._ends.values()
@@ -288,7 +297,7 @@
         for runner_id in old:
             del self._ends[runner_id]
         if old:
-            self._is_up_to_date = False
+            self._is_classified = False
         if not self._ends:
             self._cleared.clear()
 
@@ -296,25 +305,25 @@
         if self._cleared.get(fingerprint, float("-inf")) >= end.ended_at:
             return
         known = end.runs.get(fingerprint)
-        if known is None and len(end.runs) >= MAX_REQUESTS_AT_END:
+        if known is None and len(end.runs) >= MAX_RUNS_PER_CRASH:
             return
-        # Of several callers' runs of one request the oldest counts: if it were fatal, that one
-        # would have ended the runner, at the age at which it always does.
+        # Where several callers sent the same request, the oldest run counts: a fatal request
+        # crashes runners at the same age each time, so the oldest run would be the cause.
         if known is None or run.age > known.age:
             end.runs[fingerprint] = run
 
-    def _bring_up_to_date(self) -> None:
-        """Work out who is fatal and who is suspect, if anything was told since the last time."""
-        if self._is_up_to_date:
+    def _reclassify(self) -> None:
+        """Classify the requests again if the record has changed since the last classification."""
+        if self._is_classified:
             return
-        self._is_up_to_date = True
+        self._is_classified = True
         self._fatal = {}
         explained: set[str] = set()
         repeated = self._repeated()
         while repeated:
-            found = [self._weighed(fingerprint, explained) for fingerprint in repeated]
-            best = max(found, key=lambda fatal: (fatal.share, fatal.fingerprint))
-            if best.share < FATAL_SHARE:
+            findings = [self._find_cause(fingerprint, explained) for fingerprint in repeated]
+            best = max(findings, key=lambda fatal: (fatal.share, fatal.fingerprint))
+            if best.share < FATAL_PROBABILITY:
                 break
             self._fatal[best.fingerprint] = best
             explained.update(best.runner_ids)
@@ -325,17 +334,17 @@
                 self._suspects |= self._suspects_of(end)
 
     def _suspects_of(self, end: RunnerEnd) -> set[int]:
-        near = self._near(end)
+        simultaneous = self._simultaneous(end)
         return {
             fingerprint
             for fingerprint, run in end.runs.items()
             if not run.is_settled
             and fingerprint not in self._fatal
-            and not _has_common_cause(near, fingerprint)
+            and not _has_common_cause(simultaneous, fingerprint)
         }
 
     def _repeated(self) -> set[int]:
-        """Return the requests that were at two ends or more."""
+        """Return the requests that were running at two or more crashes."""
         seen: set[int] = set()
         repeated: set[int] = set()
         for end in self._ends.values():
@@ -343,16 +352,17 @@
             seen.update(end.runs)
         return repeated
 
-    def _weighed(self, fingerprint: int, explained: set[str]) -> FatalRequest:
-        """Return what speaks for a request as the cause of the ends at which it was."""
+    def _find_cause(self, fingerprint: int, explained: set[str]) -> FatalRequest:
+        """Return the crashes for which a request is the most likely cause, with the probability."""
         ends = [
             end
             for end in self._ends.values()
-            if fingerprint in end.runs and not _has_common_cause(self._near(end), fingerprint)
+            if fingerprint in end.runs
+            and not _has_common_cause(self._simultaneous(end), fingerprint)
         ]
         ends.sort(key=lambda end: end.ended_at)
         unexplained = [end for end in ends if end.runner_id not in explained]
-        if _count_in_turn(unexplained, fingerprint) >= SURE_ENDS:
+        if _count_sequential(unexplained, fingerprint) >= CERTAIN_CRASHES:
             return _fatal_request(fingerprint, unexplained, 1.0)
         best = _fatal_request(fingerprint, [], 0.0)
         for first, second in combinations(ends, 2):
@@ -361,48 +371,55 @@
                 best = _fatal_request(fingerprint, [first, second], share)
         return best
 
-    def _near(self, end: RunnerEnd) -> list[RunnerEnd]:
-        """Return the other runners that ended at the same moment."""
+    def _simultaneous(self, end: RunnerEnd) -> list[RunnerEnd]:
+        """Return the crashes of other runners at the same time."""
         return [
             other
             for other in self._ends.values()
             if other is not end and abs(other.ended_at - end.ended_at) <= RACK_SECONDS
         ]
 
-    def _ends_beside(self, end: RunnerEnd, fingerprint: int, explained: set[str]) -> int:
-        """Return how many unexplained runners ended at the same moment without a request."""
+    def _unexplained_simultaneous(
+        self, end: RunnerEnd, fingerprint: int, explained: set[str]
+    ) -> int:
+        """Return the number of unexplained crashes at the same time without the request."""
         return sum(
             fingerprint not in other.runs and other.runner_id not in explained
-            for other in self._near(end)
+            for other in self._simultaneous(end)
         )
 
     def _pair_share(
         self, fingerprint: int, first: RunnerEnd, second: RunnerEnd, explained: set[str]
     ) -> float:
-        """Return how likely a request is what ended two runners, beside all others and chance."""
-        explained_count = (first.runner_id in explained) + (second.runner_id in explained)
-        if explained_count == 2 or not _is_in_turn(fingerprint, first, second):
+        """Return the probability that a request crashed two runners.
+
+        The alternatives are the other requests on both runners, and coincidence.
+        """
+        explained_crashes = (first.runner_id in explained) + (second.runner_id in explained)
+        if explained_crashes == 2 or not _is_sequential(fingerprint, first, second):
             return 0.0
         scores = {
             other: _pair_score(other, first, second)
             for other in first.runs.keys() & second.runs.keys()
-            if _is_in_turn(other, first, second)
+            if _is_sequential(other, first, second)
         }
-        chance = CHANCE_BESIDE_FATAL if explained_count else CHANCE
-        beside = max(self._ends_beside(end, fingerprint, explained) for end in (first, second))
-        chance += CHANCE_BESIDE_END * beside
+        chance = COINCIDENCE_SCORE_BESIDE_FATAL if explained_crashes else COINCIDENCE_SCORE
+        beside = max(
+            self._unexplained_simultaneous(end, fingerprint, explained) for end in (first, second)
+        )
+        chance += COINCIDENCE_SCORE_PER_CRASH * beside
         return scores[fingerprint] / (sum(scores.values()) + chance)
 
 
-def _has_common_cause(near: list[RunnerEnd], fingerprint: int) -> bool:
-    """Return whether so many runners ended at one moment that a common cause is likely.
+def _has_common_cause(simultaneous: list[RunnerEnd], fingerprint: int) -> bool:
+    """Return whether so many runners crashed at the same time that a common cause is likely.
 
-    Runners at which the request itself was do not count: it may have ended them.
+    Runners with the request itself do not count, since the request may have crashed them.
     """
     others = 0
-    for end in near:
+    for end in simultaneous:
         others += fingerprint not in end.runs
-        if others >= RACK_ENDS:
+        if others >= RACK_CRASHES:
             return True
     return False
 
@@ -415,25 +432,25 @@
 
 
 def _pair_score(fingerprint: int, first: RunnerEnd, second: RunnerEnd) -> float:
-    likeness = first.runs[fingerprint].likeness(second.runs[fingerprint])
-    return first.share(fingerprint) * second.share(fingerprint) * likeness
+    similarity = first.runs[fingerprint].similarity(second.runs[fingerprint])
+    return first.share(fingerprint) * second.share(fingerprint) * similarity
 
 
-def _is_in_turn(fingerprint: int, first: RunnerEnd, second: RunnerEnd) -> bool:
-    """Return whether a request was sent to the second runner after the first one had ended.
+def _is_sequential(fingerprint: int, first: RunnerEnd, second: RunnerEnd) -> bool:
+    """Return whether a request was sent to the second runner after the first had crashed.
 
-    Many callers may share a request that runs at many runners at a time: that they end shows
-    nothing of it.
+    Many callers may send the same request to many runners at the same time. If these runners crash,
+    that is no evidence against the request.
     """
     return second.began_at(fingerprint) >= first.ended_at - ORDER_SLACK_SECONDS
 
 
-def _count_in_turn(ends: list[RunnerEnd], fingerprint: int) -> int:
-    """Return how many of the ends, in their order, a request can have caused one by one."""
+def _count_sequential(ends: list[RunnerEnd], fingerprint: int) -> int:
+    """Return how many of the crashes, in order, a request can have caused one after another."""
     count = 0
     last: RunnerEnd | None = None
     for end in ends:
-        if last is None or _is_in_turn(fingerprint, last, end):
+        if last is None or _is_sequential(fingerprint, last, end):
             count += 1
             last = end
     return count
--- a/src/hillstack/core/runner_limit.py
+++ b/src/hillstack/core/runner_limit.py
@@ -1,11 +1,11 @@
-"""What a runner says of how many requests a second it takes from all nodes together.
+"""The rate limit that a runner reports for the requests of all nodes together.
 
-It holds for as long as its answers say so: an answer without a limit ends it. Answers overtake one
-another, so each counts for the time at which it was asked for.
+The limit is in effect while the runner's answers contain it: an answer without a limit ends it.
+Answers may arrive out of order, so each is ordered by the time at which its request was sent.
 
-What peers tell is a hint. That there is a limit makes a node careful for a while; a higher one than
-this node was told counts only if it is surely the runner's later word. That it has ended lets one
-request through, whose answer tells.
+Reports of peers are hints. A hint of a limit is applied for a limited time; a hinted rate above the
+rate that the runner reported to this node is applied only if it is certainly newer. A hint that a
+limit has ended lets one request through, whose answer shows whether the limit has ended.
 """
 
 from __future__ import annotations
@@ -13,25 +13,26 @@
 import enum
 from dataclasses import dataclass
 
-# A peer's word that a runner names a limit is repeated by some of those who know after the shortest
-# time, by all of them after twice that, and lapses after the longest one.
+# A hint that a runner reports a limit is repeated by some of the nodes that know it after
+# HINT_AGAIN_SECONDS, by all of them after twice that time, and expires after HINT_SECONDS.
 HINT_AGAIN_SECONDS = 2.0
 HINT_SECONDS = 6.0
-# The way of a word between nodes, with the wait until it is sent with others: what it tells is so
-# much older than its age says.
+# Delay of a hint between nodes, including the wait in the sender's batch. The age in a hint does
+# not include this delay.
 HINT_TRANSIT_SECONDS = 0.15
-# A runner that takes none is asked that often over all nodes, or nobody would hear of the end.
+# Requests per second that all nodes together still send to a runner with a limit of 0; without
+# them no node would learn that the limit has ended.
 LEAST_RATE = 0.25
 
 
 class AnswerKind(enum.StrEnum):
-    """What a runner answers.
+    """The kind of request that a runner answers.
 
     Attributes:
         REQUEST: A caller's request.
-        REPORT: A question on its state.
-        ORDER: An order for weights.
-        CACHE: A question on what it keeps of prompts.
+        REPORT: A query of the runner's state.
+        ORDER: An order to load weights.
+        CACHE: A query of the prompt parts that the runner has cached.
     """
 
     REQUEST = "request"
@@ -42,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerSource:
-    """The answer by which a runner says something of itself.
+    """The answer in which a runner reported its own state.
 
     Attributes:
-        kind: What it answers.
-        status: Status of the answer.
-        asked_seconds_ago: How long before the answer it was asked for.
-        request_id: The request; empty for other kinds.
-        is_whole: Whether it is one that the runner gives when it has done what it was asked.
+        kind: Kind of the answered request.
+        status: Status code of the answer.
+        asked_seconds_ago: Seconds from the sending of the request to the answer.
+        request_id: Identifier of a caller's request; empty for other kinds.
+        is_whole: Whether the answer shows that the runner has carried out the request.
     """
 
     kind: AnswerKind
@@ -65,21 +66,22 @@
 
 @dataclass(slots=True)
 class RunnerLimit:
-    """The limit of one process of a runner, as one node knows it.
+    """The limit of one runner process, as known to this node.
 
     Attributes:
-        rate: Requests a second that it takes from all nodes; None if it names no limit.
-        named_at: When the latest answer came that names it.
-        first_named_at: When the first one came since it last named none.
-        source: Which answer named it first, for the log.
-        asked_at: When the latest answer that counted was asked for.
-        kinds: By which kinds of answers it is named.
-        hinted_rate: What peers say that it names.
-        hinted_until: When that lapses.
-        hinted_asked_at: When the answer of which they tell was asked for, or later.
-        told_at: When a peer last told of it, or this node did.
-        may_probe: Whether one request may be sent to ask whether it has ended, as a peer says.
-        no_room_until: This node gets no further part of it before.
+        rate: Requests per second that the runner accepts from all nodes; None without a limit.
+        named_at: When the latest answer with the limit arrived.
+        first_named_at: When the first answer with a limit arrived since the runner had none.
+        source: The first answer with the limit, for the log.
+        asked_at: When the request of the latest applied answer was sent.
+        kinds: The kinds of answers that contain the limit.
+        hinted_rate: The rate that peers report.
+        hinted_until: When the hint of peers expires.
+        hinted_asked_at: When the request was sent whose answer the hint reports, or later.
+        told_at: When a peer or this node last sent a hint of the limit.
+        may_probe: Whether one request may be sent to find out whether the limit has ended, since a
+            peer reported its end.
+        no_room_until: This node gets no further share of the limit before this time.
     """
 
     rate: float | None = None
@@ -96,7 +98,7 @@
     no_room_until: float = float("-inf")
 
     def in_force(self, now: float) -> float | None:
-        """Return the requests a second that it takes from all nodes; None without a limit."""
+        """Return the requests per second that the runner accepts from all nodes, or None."""
         if now >= self.hinted_until:
             return self.rate
         if self.rate is None or self.hinted_asked_at - HINT_TRANSIT_SECONDS >= self.named_at:
@@ -104,21 +106,21 @@
         return min(self.rate, self.hinted_rate)
 
     def rate_to_use(self, now: float) -> float | None:
-        """Return the requests a second that all nodes send to it; None without a limit."""
+        """Return the requests per second that all nodes may send to the runner, or None."""
         rate = self.in_force(now)
         return None if rate is None else max(rate, LEAST_RATE)
 
     def take(self, rate: float | None, source: AnswerSource, now: float) -> bool:
-        """Take over what an answer says, when its head has come; return whether it is news.
+        """Apply the limit in the head of an answer; return whether the limit has changed.
 
         Args:
-            rate: The limit that it names; None if it names none.
-            source: Which answer.
-            now: When it came, on the node's clock.
+            rate: The limit in the answer; None if the answer has none.
+            source: The answer.
+            now: When the answer arrived, on the node's clock.
         """
         asked_at = now - source.asked_seconds_ago
         if rate is None:
-            return self._take_silence(source, asked_at, now)
+            return self._apply_missing_limit(source, asked_at, now)
         if asked_at < self.asked_at:
             return False
         is_news = rate != self.rate
@@ -130,26 +132,27 @@
         return is_news
 
     def hint(self, rate: float, age_seconds: float, now: float) -> bool:
-        """Take over a peer's word that it names a limit; return whether this node knows better.
+        """Apply a peer's hint of a limit; return whether this node knows that it has ended.
 
         Args:
             rate: The limit.
-            age_seconds: How long before the peer's word the answer was asked for that names it.
-            now: When the word came, on the node's clock.
+            age_seconds: Seconds from the sending of the request whose answer contained the limit to
+                the sending of the hint.
+            now: When the hint arrived, on the node's clock.
         """
         asked_at = now - age_seconds
         if self.rate is None and asked_at <= self.asked_at:
             return True
         self.told_at = now
         if asked_at >= self.hinted_asked_at - HINT_TRANSIT_SECONDS or now >= self.hinted_until:
-            self._take_hint(rate, asked_at, now)
+            self._apply_hint(rate, asked_at, now)
         return False
 
-    def _take_hint(self, rate: float, asked_at: float, now: float) -> None:
-        """Take over a peer's word that is not older than the one before, as far as can be told.
+    def _apply_hint(self, rate: float, asked_at: float, now: float) -> None:
+        """Apply a hint that is not older than the current hint, within the transit delay.
 
-        The same word comes again and again, some ten milliseconds sooner or later. Of two that may
-        be of the same time the lower rate counts.
+        The same hint arrives repeatedly, with times that differ by some ten milliseconds. Of two
+        hints that may be from the same time, the lower rate is applied.
         """
         is_same_time = asked_at < self.hinted_asked_at + HINT_TRANSIT_SECONDS
         if is_same_time and now < self.hinted_until:
@@ -159,11 +162,12 @@
         self.hinted_until = now + HINT_SECONDS
 
     def hint_end(self, age_seconds: float, now: float) -> None:
-        """Take over a peer's word that it names no limit any more.
+        """Apply a peer's hint that the limit has ended.
 
         Args:
-            age_seconds: How long before the peer's word the answer was asked for that says so.
-            now: When the word came, on the node's clock.
+            age_seconds: Seconds from the sending of the request whose answer had no limit to the
+                sending of the hint.
+            now: When the hint arrived, on the node's clock.
         """
         asked_at = now - age_seconds - HINT_TRANSIT_SECONDS
         if asked_at >= self.hinted_asked_at:
@@ -173,15 +177,16 @@
             self.no_room_until = float("-inf")
 
     def take_probe(self) -> bool:
-        """Return whether a request may be sent to ask whether it has ended; one at a time."""
+        """Return whether a request may be sent to probe for the end of the limit, once per hint."""
         may_probe, self.may_probe = self.may_probe, False
         return may_probe
 
-    def _take_silence(self, source: AnswerSource, asked_at: float, now: float) -> bool:
-        """Take over that an answer names no limit.
+    def _apply_missing_limit(self, source: AnswerSource, asked_at: float, now: float) -> bool:
+        """Apply an answer without a limit; return whether this ended the limit.
 
-        Only one that was asked for after the latest that names it had come is surely newer. A kind
-        of answers that never named it says nothing by its silence, unless it answers a request.
+        The answer is certainly newer only if its request was sent after the latest answer with the
+        limit had arrived. An answer of a kind that never contained the limit does not end it,
+        unless it answers a caller's request.
         """
         if self.in_force(now) is None or not source.is_whole:
             return False
--- a/src/hillstack/core/runner_load.py
+++ b/src/hillstack/core/runner_load.py
@@ -1,7 +1,7 @@
-"""Load on one runner as running totals: a reading costs the same with one peer and with thousands.
+"""Load on one runner as running totals, so that a read costs the same with any number of peers.
 
-Totals change when a notice comes, an attempt begins or ends, or a peer's word expires. Peers
-without load take no room.
+Totals change when a notice arrives, when an attempt begins or ends, and when a peer's report
+expires. Peers without load use no memory.
 """
 
 from __future__ import annotations
@@ -13,18 +13,19 @@
 
 import msgspec
 
-# A peer repeats its loads each 0.8 s (``peer_exchange.REFRESH_SECONDS``): two lost repetitions do
-# not make its load disappear, and what a dead peer had there is forgotten soon.
+# Lifetime of a peer's report. A peer repeats its loads every 0.8 s
+# (``peer_exchange.REFRESH_SECONDS``): two repetitions may be lost, and the load of a failed peer
+# expires soon.
 PEER_LOAD_SECONDS = 2.0
 
 
 class RunnerLoad(msgspec.Struct, frozen=True):
-    """Load on a runner, of one node or of several.
+    """Load that one or several nodes put on a runner.
 
     Attributes:
-        running: Requests.
-        long_running: Long streams among them.
-        committed_tokens: Memory that they may come to use, in tokens.
+        running: Number of requests.
+        long_running: Number of long streams among the requests.
+        committed_tokens: Memory that the requests may use in total, in tokens.
     """
 
     running: int = 0
@@ -36,7 +37,7 @@
         return self.running <= 0 and self.committed_tokens <= 0
 
     def plus(self, other: RunnerLoad) -> RunnerLoad:
-        """Return both loads together."""
+        """Return the sum of both loads."""
         return RunnerLoad(
             self.running + other.running,
             self.long_running + other.long_running,
@@ -44,7 +45,7 @@
         )
 
     def without(self, other: RunnerLoad) -> RunnerLoad:
-        """Return what is left of it without another load, never less than nothing."""
+        """Return this load minus another load, with no value below 0."""
         return RunnerLoad(
             max(0, self.running - other.running),
             max(0, self.long_running - other.long_running),
@@ -57,15 +58,15 @@
 
 @dataclass(slots=True)
 class OwnAttempt:
-    """An attempt of this node at a runner.
+    """An attempt that this node sent to a runner.
 
     Attributes:
-        prefill_tokens: Tokens that the runner has to read for it.
-        total_tokens: Memory that it may come to use, in tokens.
-        sent_at: When it was sent.
-        due_at: When the first bytes of its answer should surely be there.
-        long: Whether it is expected to run so long that it holds up a load of weights.
-        started: Whether its first event has come.
+        prefill_tokens: Tokens that the runner has to prefill.
+        total_tokens: Memory that the attempt may use in total, in tokens.
+        sent_at: When the attempt was sent.
+        due_at: When the first bytes of the answer are overdue.
+        long: Whether the attempt is expected to run so long that it holds up a load of weights.
+        started: Whether the first event of the answer has arrived.
     """
 
     prefill_tokens: int
@@ -76,12 +77,12 @@
     started: bool = False
 
     def load(self) -> RunnerLoad:
-        """Return what it adds to its runner's load."""
+        """Return the load that the attempt puts on its runner."""
         return RunnerLoad(1, int(self.long), self.total_tokens)
 
 
 class OwnAttempts:
-    """The attempts of this node at one runner, and their load."""
+    """The attempts that this node has at one runner, and their total load."""
 
     def __init__(self) -> None:
         self._attempts: dict[str, OwnAttempt] = {}
@@ -91,13 +92,13 @@
         return len(self._attempts)
 
     def add(self, attempt_id: str, attempt: OwnAttempt) -> None:
-        """Note an attempt that is being sent."""
+        """Add an attempt that is being sent."""
         self.remove(attempt_id)
         self._attempts[attempt_id] = attempt
         self._load = self._load.plus(attempt.load())
 
     def remove(self, attempt_id: str) -> None:
-        """Note the end of an attempt."""
+        """Remove an attempt that has ended."""
         attempt = self._attempts.pop(attempt_id, None)
         if attempt is not None:
             self._load = self._load.without(attempt.load())
@@ -111,21 +112,21 @@
         return self._attempts.values()
 
     def load(self) -> RunnerLoad:
-        """Return the load of all of them."""
+        """Return the total load of the attempts."""
         return self._load
 
 
 class ReportedLoads:
-    """Loads on one runner as others have reported them, each until it is replaced or expires.
+    """Loads on one runner as reported by other nodes; a report expires unless it is replaced.
 
-    A report is older than all that come after it, so the oldest are looked at first, and expiry
-    costs one look a report over its whole life. Reports come some ten times as often as the total
-    is asked for, so the sums are kept as numbers and put together only then.
+    Reports are stored in the order of their arrival, so expiry checks the oldest first and visits
+    each report once. Reports arrive about ten times as often as the total is read, so the sums are
+    kept as plain numbers and combined into a load only on a read.
     """
 
     def __init__(self) -> None:
         self._reports: OrderedDict[str, tuple[RunnerLoad, float]] = OrderedDict()
-        # No report is older than that.
+        # Lower bound of the arrival times of all reports.
         self._oldest_at = math.inf
         self._running = 0
         self._long_running = 0
@@ -136,10 +137,10 @@
         return len(self._reports)
 
     def report(self, reporter: str, load: RunnerLoad, now: float) -> None:
-        """Take over what a reporter says of its load; it replaces what it said before."""
+        """Apply a reporter's load, which replaces its previous report."""
         known = self._reports.pop(reporter, None)
         if known is not None:
-            self._take_off(known[0])
+            self._subtract(known[0])
         if load.running <= 0 and load.committed_tokens <= 0:
             return
         self._reports[reporter] = load, now
@@ -151,7 +152,7 @@
             self._oldest_at = now
 
     def total(self, now: float) -> RunnerLoad:
-        """Return the load of all reporters that are not out of date."""
+        """Return the total load of all reports that have not expired."""
         if self._oldest_at < now - PEER_LOAD_SECONDS:
             self._expire(now - PEER_LOAD_SECONDS)
         if self._total is None:
@@ -167,9 +168,9 @@
                 self._oldest_at = reported_at
                 return
             del self._reports[reporter]
-            self._take_off(load)
+            self._subtract(load)
 
-    def _take_off(self, load: RunnerLoad) -> None:
+    def _subtract(self, load: RunnerLoad) -> None:
         self._running -= load.running
         self._long_running -= load.long_running
         self._committed_tokens -= load.committed_tokens
--- a/src/hillstack/core/runner_pool.py
+++ b/src/hillstack/core/runner_pool.py
@@ -1,10 +1,10 @@
-"""What a node believes of each runner: liveness, weights, load.
+"""This node's view of the runners: liveness, weights and load.
 
-Beliefs come from five sources: the directory of runners, what runners say of themselves in their
-answers, what this node's own requests show, what peers tell, and what the node that orders weights
-tells. The directory lags, and says nothing new while its store is away: a runner that fails
-requests is avoided before the directory says so, and what a runner says of itself holds against the
-directory's word (``runner_signals``).
+The view has five sources: the directory of runners, the signals that runners send in their answers,
+the outcome of this node's own requests, reports of peers, and notices of the node that orders
+weights. The directory lags and has no updates while its store is unavailable. A runner that fails
+requests is therefore avoided before the directory drops it, and the signals of a runner override
+its directory entry (``runner_signals``).
 """
 
 from __future__ import annotations
@@ -16,28 +16,31 @@
 from hillstack.core.runner_signals import ReceivedSignals, RunnerSignals, SignalRecord
 from hillstack.core.store_revision import StoreRevision
 
-# A runner that broke a request is tried again after a restart's usual time, longer each time.
+# Suspicion after the first failure: the usual duration of a restart. It doubles with each failure.
 SUSPECT_SECONDS = 0.6
-# No longer than the store takes to drop a silent runner: three heartbeats of 1.2 s.
-SUSPECT_MAX_SECONDS = 4.0
-# A machine that takes no connections is mostly gone: until the store can have dropped it.
+# Upper bound of the suspicion: about the time in which the store drops a silent runner, three
+# heartbeats of 1.2 s.
+MAX_SUSPECT_SECONDS = 4.0
+# Suspicion of a machine that accepts no connections, which has usually stopped: the time until the
+# store can have dropped it.
 UNREACHABLE_SECONDS = 3.0
-# A queue of a few requests shrinks by one in about that time.
+# Time in which a queue of a few requests shrinks by about one.
 SHED_SECONDS = 0.12
-# A runner at work sends an event each step of 5 to 10 ms; 0.5 s is the shortest allowed pause.
+# A busy runner sends an event every step of 5 to 10 ms; the shortest allowed pause is 0.5 s.
 SILENCE_SECONDS = 0.4
-# Beside a long prefill: pieces of 4,096 tokens, several in a row, hold all streams up.
+# Limit during a long prefill: several chunks of 4,096 tokens in a row delay all streams.
 BUSY_SILENCE_SECONDS = 0.9
-# Entries that lapsed in an outage come back within some seconds of its end.
+# Directory entries that expired in an outage return within some seconds of its end.
 UNLISTED_MEMORY_SECONDS = 15.0
-# A load takes 0.57 to 0.76 s on the deployments seen; its end is told, this is for a lost word.
+# A load of weights takes 0.57 to 0.76 s on the observed deployments. Its end is reported; this
+# timeout covers a lost report.
 LOADING_SECONDS = 0.7
-# A peer's word that a runner leaves is repeated after the shorter time while the directory does not
-# say so, and lapses after the longer one: two repetitions may be lost.
+# A hint of a peer that a runner is leaving is repeated every HINT_AGAIN_SECONDS while the directory
+# does not list the runner as draining, and expires after HINT_SECONDS: two hints may be lost.
 HINT_AGAIN_SECONDS = 2.0
 HINT_SECONDS = 6.0
-# Tokens a second until prefills were seen (``RunnerPlacement._learn_rate``): the slowest of the
-# engines seen, so that a delay is rather thought too long.
+# Prefill rate in tokens per second until prefills were observed (``RunnerPlacement._learn_rate``):
+# the rate of the slowest observed engine, so that delays are rather overestimated.
 DEFAULT_PREFILL_RATE = 38_000.0
 
 
@@ -46,15 +49,16 @@
     """A runner as the directory lists it.
 
     Attributes:
-        runner_id: Names one process: one that starts again has another one.
-        revision: Revision of the entry; a later one replaces an earlier one.
-        draining: Whether it has said that it will leave.
+        runner_id: Identifier of one process; a restarted runner has another identifier.
+        slots: Number of requests that run concurrently.
+        draining: Whether the runner has announced that it is leaving.
         weights: Version of the weights by model.
-        software: Version of the runner's software; empty if it does not say.
-        listed_as: Its name in the directory, under which a later process may be listed; empty if
-            that is ``runner_id``.
-        started_ms: When its process started, by its own clock: it is compared with others of the
-            same name only. 0 if it does not say.
+        revision: Revision of the entry; an entry with a later revision replaces it.
+        software: Version of the runner's software; empty if not reported.
+        listed_as: Name in the directory, under which a later process may be listed; empty if the
+            name is ``runner_id``.
+        started_ms: Start time of the process by its own clock, in milliseconds; compared only with
+            entries of the same name. 0 if not reported.
     """
 
     runner_id: str
@@ -71,25 +75,36 @@
 
     @property
     def directory_name(self) -> str:
-        """Its name in the directory."""
+        """Name of the runner in the directory."""
         return self.listed_as or self.runner_id
 
 
 @dataclass(slots=True)
 class Runner:
-    """A runner and what is believed of it.
+    """A runner and this node's view of its state.
 
     Attributes:
+        entry: The latest directory entry.
+        weights: Known version of the weights by model.
+        attempts: Attempts of this node at the runner.
+        peer_loads: Load that peers report.
         prefill_done_at: When the prefills sent so far are expected to be done.
-        suspected_until: It gets no new request before.
-        ordered_weights: Versions that it was ordered to load, by model.
-        peer_ordered_at: When a peer is last known to have ordered it.
-        has_ended: Whether its process has ended, since a later one of its name was heard of.
-        signals: What it has told this node of itself; the directory does not change them.
-        unlisted_until: The directory dropped it, but it may be used until then; None if listed.
-        unlisted_at: Revision at which the directory had dropped it; None if it is not known.
-        hinted_until: Peers say that it leaves: until then it is used only where no other one is.
-        hinted_at: When a peer last said so, or this node did.
+        suspected_until: The runner gets no new request before this time.
+        shed_until: Placement penalizes the runner until this time, since it refused a request.
+        loading_until: When a load of weights is expected to be done.
+        ordered_weights: Versions that the runner was ordered to load, by model.
+        peer_ordered_at: When a peer is last known to have sent the runner an order.
+        leaving: Whether the runner has stopped or its address belongs to another runner.
+        has_ended: Whether the process has ended, since a later process of the same name is known.
+        unlisted_until: The directory has dropped the runner, but it may be used until this time;
+            None if it is listed.
+        unlisted_at: Revision at which the directory had dropped the runner; None if not known.
+        failures: Failures in a row.
+        last_heard_at: When bytes last arrived from the runner.
+        signals: Signals that the runner sent to this node; directory updates do not change them.
+        hinted_until: Peers report the runner as leaving: until this time it is used only if no
+            other runner is available.
+        hinted_at: When a peer or this node last sent that hint.
     """
 
     entry: RunnerEntry
@@ -114,41 +129,41 @@
 
     @property
     def runner_id(self) -> str:
-        """Return the identifier of this incarnation."""
+        """Return the identifier of the process."""
         return self.entry.runner_id
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the address on which the runner listens."""
         return self.entry.address
 
     def accepts(self, now: float) -> bool:
-        """Return whether it may get new work."""
+        """Return whether the runner may get new work."""
         return self.stays(now) and now >= self.ready_at
 
     @property
     def ready_at(self) -> float:
-        """When it is expected to take new work, if it stays."""
+        """When the runner is expected to accept new work, if it does not leave."""
         return max(self.suspected_until, self.loading_until, self.signals.asked_until)
 
     @property
     def leaves(self) -> bool:
-        """Whether it leaves or has left, by whichever word came first.
+        """Whether the runner is leaving or has left, by any source.
 
-        Its own is not undone by an entry that says that it is ready: while the store is away the
-        directory tells of the time before.
+        The runner's own signal is not undone by a directory entry that lists it as ready: while the
+        store is unavailable the entry may be older than the signal.
         """
         return self.leaving or self.entry.draining or self.signals.leaves
 
     def stays(self, now: float) -> bool:
-        """Return whether it gets work again, if not now: it neither leaves nor is gone."""
+        """Return whether the runner will accept work now or later: it has not left or expired."""
         if self.leaves:
             return False
         return self.unlisted_until is None or now < self.unlisted_until
 
     def is_silent(self, now: float) -> bool:
-        """Return whether it owes bytes to some attempt and has sent none for a while."""
-        # A long prefill holds all streams up for several steps.
+        """Return whether an attempt expects bytes and the runner has sent none for too long."""
+        # A long prefill delays all streams by several steps.
         busy = self.prefill_done_at > now - SILENCE_SECONDS
         limit = BUSY_SILENCE_SECONDS if busy else SILENCE_SECONDS
         if not self.attempts or now - self.last_heard_at < limit:
@@ -156,38 +171,39 @@
         return any(attempt.started or now > attempt.due_at for attempt in self.attempts.all())
 
     def weights_version(self, model: str) -> int:
-        """Return the version of a model's weights that it is known to serve."""
+        """Return the version of a model's weights that the runner is known to serve."""
         return self.weights.get(model, 0)
 
     def likely_weights(self, model: str, now: float) -> int:
-        """Return the version that it most likely serves.
+        """Return the version of a model's weights that the runner most likely serves.
 
-        A runner that was ordered to load, and of which no end of the load was told, has probably
-        loaded. A request names the version that it wants, so a wrong guess is refused, not run.
+        A runner that was ordered to load weights has probably loaded them by ``loading_until``,
+        even if the end of the load was not reported. Each request contains the version that it
+        needs, so after a wrong guess it is refused and does not run on other weights.
         """
         if now < self.loading_until:
             return self.weights.get(model, 0)
         return self.weights_after_load(model)
 
     def weights_after_load(self, model: str) -> int:
-        """Return the version that it serves when the load that it was ordered to do is over."""
+        """Return the version that the runner serves once all ordered loads are done."""
         return max(self.weights.get(model, 0), self.ordered_weights.get(model, 0))
 
     def load(self, now: float) -> RunnerLoad:
-        """Return the load that all nodes are believed to have put on it."""
+        """Return the estimated load that all nodes put on the runner."""
         peers = self.peer_loads.total(now)
         return peers.plus(self.attempts.load()) if len(self.attempts) else peers
 
     def running(self, now: float) -> int:
-        """Return the requests believed to be at it."""
+        """Return the estimated number of requests at the runner."""
         return self.peer_loads.total(now).running + self.attempts.load().running
 
     def long_running(self, now: float) -> int:
-        """Return the long streams believed to be at it."""
+        """Return the estimated number of long streams at the runner."""
         return self.load(now).long_running
 
     def committed_tokens(self, now: float) -> int:
-        """Return the memory that the requests at it may come to use, in tokens."""
+        """Return the memory that the requests at the runner may use in total, in tokens."""
         peers = self.peer_loads.total(now).committed_tokens
         return peers + self.attempts.load().committed_tokens
 
@@ -198,10 +214,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _UnlistedRunner:
-    """A runner that the directory has dropped, and what is kept of it for a while.
+    """A runner that the directory has dropped, retained for a while in case it is listed again.
 
     Attributes:
-        revision: At which the directory had dropped it; None if it is not known.
+        revision: Revision at which the directory had dropped the runner; None if not known.
+        forget_at: When the runner is removed for good.
     """
 
     runner: Runner
@@ -213,7 +230,7 @@
     """All runners, by identifier.
 
     Attributes:
-        generation: Rises with each runner that comes or goes.
+        generation: Increases with each runner that is added or removed.
     """
 
     def __init__(self) -> None:
@@ -221,13 +238,13 @@
         self._runners: dict[str, Runner] = {}
         self._unlisted: dict[str, _UnlistedRunner] = {}
         self._signals = SignalRecord()
-        # Those of the runners above whose signals may keep requests away from them: mostly none.
+        # Listed runners whose signals may keep requests away from them; usually empty.
         self._held_back: dict[str, Runner] = {}
-        # The limits of processes that name one, or of which a peer says so: mostly none.
+        # Limits that processes or peers have reported; usually empty.
         self._limits: dict[str, RunnerLimit] = {}
-        # Those of which a peer has said that they leave: mostly none.
+        # Runners that a peer has reported as leaving; usually empty.
         self._hinted: dict[str, Runner] = {}
-        # The latest process of each name in the directory, also while it is not listed.
+        # The latest directory entry of each name, also after the directory has dropped it.
         self._latest: dict[str, RunnerEntry] = {}
 
     def get(self, runner_id: str) -> Runner | None:
@@ -235,29 +252,29 @@
         return self._runners.get(runner_id)
 
     def listed_as(self, name: str) -> Runner | None:
-        """Return the latest process of a name in the directory, or None if it is not known."""
+        """Return the latest process listed under a directory name, or None if not known."""
         latest = self._latest.get(name)
         return self._runners.get(latest.runner_id) if latest is not None else None
 
     def other_process(self, entry: RunnerEntry) -> Runner | None:
-        """Return the process that is known under the name of a later entry of another one."""
+        """Return the earlier process that a new entry of the same name replaces, or None."""
         known = self.listed_as(entry.directory_name)
         if known is None or known.runner_id == entry.runner_id or self.is_outdated(entry):
             return None
         return known
 
     def lacks_start(self, entry: RunnerEntry) -> bool:
-        """Return whether an entry does not say when its process started, as others before did."""
+        """Return whether an entry lacks the start time that the latest entry of its name has."""
         latest = self._latest.get(entry.directory_name)
         return latest is not None and latest.started_ms > 0 and entry.started_ms == 0
 
     def is_outdated(self, entry: RunnerEntry) -> bool:
-        """Return whether an entry is older than the latest one of its name.
+        """Return whether an entry is older than the latest known entry of its name.
 
-        The directory's order counts, not that of the starts: a clock may have been set back between
-        two of them. A write of a process that has ended, carried out late, lasts until the next
-        heartbeat of the one that lives. Only what a restored store has from its copy goes by the
-        starts: the process that lives writes its entry again.
+        Entries are ordered by revision, not by start time, since a clock may be set back between
+        two starts. A delayed write of an ended process lasts until the next heartbeat of the
+        running process. Only entries of a later store era, which may come from a restored backup,
+        are ordered by start time: the running process writes its entry again.
         """
         latest = self._latest.get(entry.directory_name)
         if latest is None:
@@ -267,11 +284,11 @@
         return entry.revision < latest.revision
 
     def is_gone_before(self, entry: RunnerEntry) -> bool:
-        """Return whether a runner was known to be gone in an earlier era than that of its entry."""
-        gone = self._unlisted.get(entry.runner_id)
-        if gone is None or gone.revision is None:
+        """Return whether a runner was dropped in an earlier store era than that of its entry."""
+        dropped = self._unlisted.get(entry.runner_id)
+        if dropped is None or dropped.revision is None:
             return False
-        return gone.revision.era < entry.revision.era
+        return dropped.revision.era < entry.revision.era
 
     def all(self) -> list[Runner]:
         """Return all runners."""
@@ -282,17 +299,17 @@
         return [runner for runner in self._runners.values() if runner.entry.service == service]
 
     def accepting(self, service: str, now: float) -> list[Runner]:
-        """Return the runners of a service that may get new work."""
+        """Return the runners of a service that accept new work."""
         return [runner for runner in self.of_service(service) if runner.accepts(now)]
 
     def update(self, entry: RunnerEntry) -> Runner | None:
-        """Take over a directory entry; return the runner if something of it changed.
+        """Apply a directory entry; return the runner if its state changed.
 
-        Another process that is known under its name is unlisted first (``other_process``).
+        The caller must first unlist another process with the same name (``other_process``).
         """
         if self.is_outdated(entry):
             return None
-        entry = self._with_known_leave(entry)
+        entry = self._with_known_draining(entry)
         self._latest[entry.directory_name] = entry
         runner = self._runners.get(entry.runner_id) or self._relist(entry.runner_id)
         if runner is None:
@@ -300,7 +317,7 @@
             self.generation += 1
             return runner
         was_unlisted = runner.unlisted_until is not None
-        # The same entry once more says that the runner is listed, after a removal that was older.
+        # A repeated entry lists the runner again after an older removal.
         if entry.revision == runner.entry.revision and not was_unlisted:
             return None
         changed = entry.draining != runner.entry.draining or entry.weights != runner.entry.weights
@@ -311,10 +328,10 @@
             self.observe_weights(runner, model, version)
         return runner if changed else None
 
-    def _with_known_leave(self, entry: RunnerEntry) -> RunnerEntry:
-        """Return the first entry of a process in an era, as leaving if it said so before.
+    def _with_known_draining(self, entry: RunnerEntry) -> RunnerEntry:
+        """Return an entry of a new store era, marked as draining if the process was draining.
 
-        A restored store may have it from a copy that is older than the leave.
+        The entry in a restored store may come from a backup made before the process was draining.
         """
         known = self._latest.get(entry.directory_name)
         if known is None or known.runner_id != entry.runner_id or not known.draining:
@@ -330,26 +347,26 @@
         return runner
 
     def hear(self, runner_id: str, signals: RunnerSignals, source: str, now: float) -> bool:
-        """Take over what a process says of itself in an answer; return whether it is news.
+        """Apply the signals in an answer of a process; return whether they changed anything.
 
         Args:
             runner_id: The process, whether it is listed or not.
-            signals: What it says.
-            source: Which answer, for the log.
-            now: When it came, on the node's clock.
+            signals: The signals.
+            source: The answer, for the log.
+            now: When the answer arrived, on the node's clock.
         """
         return self._received(runner_id).take(signals, source, now)
 
     def hear_limit(
         self, runner_id: str, rate: float | None, source: AnswerSource, now: float
     ) -> bool:
-        """Take over what an answer says of a process's limit; return whether it is news.
+        """Apply the limit in an answer of a process; return whether the limit changed.
 
         Args:
             runner_id: The process, whether it is listed or not.
-            rate: Requests a second that it takes from all nodes; None if it names no limit.
-            source: Which answer.
-            now: When it came, on the node's clock.
+            rate: Requests per second that the process accepts from all nodes; None without a limit.
+            source: The answer.
+            now: When the answer arrived, on the node's clock.
         """
         received = self._signals.get(runner_id)
         if rate is None:
@@ -357,45 +374,45 @@
         return self._limit(runner_id).take(rate, source, now)
 
     def hint_limit(self, runner_id: str, rate: float, age_seconds: float, now: float) -> bool:
-        """Take over a peer's word that a process names a limit.
+        """Apply a peer's hint that a process reports a limit.
 
         Returns:
-            Whether this node knows better: a later answer named none.
+            Whether this node knows that the limit has ended, from a later answer without a limit.
         """
         if self._known(runner_id) is None:
             return False
         return self._limit(runner_id).hint(rate, age_seconds, now)
 
     def hint_limit_end(self, runner_id: str, age_seconds: float, now: float) -> None:
-        """Take over a peer's word that a process names no limit any more."""
+        """Apply a peer's hint that the limit of a process has ended."""
         limit = self._limits.get(runner_id)
         if limit is not None:
             limit.hint_end(age_seconds, now)
 
     def limit_state(self, runner_id: str) -> RunnerLimit | None:
-        """Return all that is known of a process's limit; None if it never named one."""
+        """Return the state of a process's limit; None if no signals of the process are stored."""
         received = self._signals.get(runner_id)
         return received.limit if received is not None else None
 
     def limit_of(self, runner_id: str, now: float) -> float | None:
-        """Return the requests a second that all nodes send to a process; None without a limit."""
+        """Return the requests per second that all nodes may send to a process, or None."""
         limit = self._limits.get(runner_id)
         return limit.rate_to_use(now) if limit is not None else None
 
     def limited(self, now: float) -> dict[str, RunnerLimit]:
-        """Return the limits that are in force, by the process that names them."""
+        """Return the limits in effect by process, and drop the limits that have ended."""
         for runner_id, limit in list(self._limits.items()):
             if limit.in_force(now) is None or self._known(runner_id) is None:
                 del self._limits[runner_id]
         return self._limits
 
     def own_limits(self, now: float) -> dict[str, RunnerLimit]:
-        """Return the limits that processes have named to this node itself."""
+        """Return the limits that processes have reported to this node directly."""
         limited = self.limited(now).items()
         return {runner_id: limit for runner_id, limit in limited if limit.rate is not None}
 
     def limits_to_tell(self, now: float) -> dict[str, RunnerLimit]:
-        """Return the limits that this node heard itself and of which peers were not told lately."""
+        """Return the directly reported limits of which no hint was sent lately."""
         return {
             runner_id: limit
             for runner_id, limit in self.own_limits(now).items()
@@ -409,7 +426,7 @@
         return limit
 
     def _received(self, runner_id: str) -> ReceivedSignals:
-        """Return the signals of a process, which are kept from now on."""
+        """Return the signals of a process; from now on they are stored for it."""
         received = self._signals.get(runner_id)
         if received is None:
             runner = self._known(runner_id)
@@ -420,7 +437,7 @@
         return received
 
     def held_back(self, service: str, now: float) -> list[Runner]:
-        """Return the runners of a service from which their own signals keep requests away."""
+        """Return the runners of a service whose own signals may keep requests away from them."""
         found: list[Runner] = []
         for runner_id, runner in list(self._held_back.items()):
             if self._runners.get(runner_id) is not runner or not runner.signals.hold_back(now):
@@ -430,17 +447,17 @@
         return found
 
     def hint_leaving(self, runner: Runner, now: float) -> None:
-        """Take over a peer's word that a runner leaves.
+        """Apply a peer's hint that a runner is leaving.
 
-        It names one process, and it lapses: lost, late or wrong it costs a request a worse place,
-        never a refusal.
+        The hint applies to one process and expires. If it is lost, late or wrong, a request may get
+        a worse placement, but is never refused.
         """
         runner.hinted_until = now + HINT_SECONDS
         runner.hinted_at = now
         self._hinted[runner.runner_id] = runner
 
     def hinted(self, service: str, now: float) -> set[str]:
-        """Return the runners of a service that leave by the word of peers."""
+        """Return the runners of a service that peers report as leaving."""
         found: set[str] = set()
         for runner_id, runner in list(self._hinted.items()):
             if self._runners.get(runner_id) is not runner or now >= runner.hinted_until:
@@ -450,9 +467,10 @@
         return found
 
     def to_hint(self, now: float) -> list[Runner]:
-        """Return the runners that peers should be told of: they leave by their own word alone.
+        """Return the leaving runners of which a hint to peers is due.
 
-        Once the directory says so it tells all. One of which a peer has told lately is left out.
+        These have signalled that they are leaving, but the directory does not list them as draining
+        yet. Runners of which a hint was sent or received lately are left out.
         """
         return [
             runner
@@ -464,7 +482,7 @@
         ]
 
     def _known(self, runner_id: str) -> Runner | None:
-        """Return a runner that is listed, or was not long ago."""
+        """Return a runner that is listed, or was listed until recently."""
         unlisted = self._unlisted.get(runner_id)
         return self._runners.get(runner_id) or (unlisted.runner if unlisted is not None else None)
 
@@ -475,15 +493,16 @@
         grace_seconds: float,
         revision: StoreRevision | None = None,
     ) -> Runner | None:
-        """Note that the directory has dropped a runner.
+        """Record that the directory has dropped a runner.
 
-        What is known of it is kept for a while: the directory may list the same process again.
+        The state of the runner is retained for a while, since the directory may list the same
+        process again.
 
         Args:
             runner_id: The runner.
             now: Time on the node's clock.
-            grace_seconds: How long it may still be used.
-            revision: At which the directory had dropped it; None if it is not known.
+            grace_seconds: How long the runner may still be used.
+            revision: Revision at which the directory had dropped the runner; None if not known.
         """
         runner = self._runners.get(runner_id)
         if runner is None:
@@ -499,17 +518,21 @@
         return runner
 
     def note_leaving(self, runner: Runner) -> None:
-        """Note that a runner has ended, or that its address is another one's now."""
+        """Record that a runner has stopped, or that its address belongs to another runner now."""
         runner.leaving = True
         self.generation += 1
 
     def expire_unlisted(self, now: float) -> list[Runner]:
-        """Drop the runners whose grace is over, and forget those dropped long ago; return these."""
+        """Remove runners after their grace period, then drop the state of those removed long ago.
+
+        Returns:
+            The runners whose state was dropped.
+        """
         for runner in self.all():
             if runner.unlisted_until is not None and now >= runner.unlisted_until:
                 self.unlist(runner.runner_id, now, 0.0, runner.unlisted_at)
-        gone = self._unlisted.values()
-        forgotten = [unlisted.runner for unlisted in gone if now >= unlisted.forget_at]
+        dropped = self._unlisted.values()
+        forgotten = [unlisted.runner for unlisted in dropped if now >= unlisted.forget_at]
         for runner in forgotten:
             del self._unlisted[runner.runner_id]
             latest = self._latest.get(runner.entry.directory_name)
@@ -529,7 +552,7 @@
         return runner
 
     def observe_weights(self, runner: Runner, model: str, version: int) -> bool:
-        """Note the version that a runner serves; versions only rise. Return whether it is new."""
+        """Record the version that a runner serves, if it is newer; return whether it is newer."""
         if version <= runner.weights.get(model, 0):
             return False
         runner.weights[model] = version
@@ -537,21 +560,21 @@
         return True
 
     def correct_weights(self, runner: Runner, model: str, version: int) -> None:
-        """Take over the version that a runner named when it refused another."""
+        """Set the version that a runner reported when it refused a request for another version."""
         runner.weights[model] = version
         runner.ordered_weights.pop(model, None)
 
     def sent(self, runner: Runner, attempt_id: str, attempt: OwnAttempt, rate: float) -> None:
-        """Note an attempt that is being sent."""
+        """Record an attempt that is being sent."""
         runner.attempts.add(attempt_id, attempt)
         self.add_prefill(runner, attempt.prefill_tokens, rate, attempt.sent_at)
 
     def add_prefill(self, runner: Runner, tokens: int, rate: float, now: float) -> None:
-        """Note prefill work, of this node or of a peer."""
+        """Add prefill work of this node or of a peer."""
         runner.prefill_done_at = max(runner.prefill_done_at, now) + tokens / rate
 
     def started(self, runner: Runner, attempt_id: str, now: float) -> None:
-        """Note the first event of an attempt: its prefill, and those before it, are done."""
+        """Record the first event of an attempt: its prefill and the prefills before it are done."""
         attempt = runner.attempts.get(attempt_id)
         if attempt is None or attempt.started:
             return
@@ -562,46 +585,46 @@
         runner.failures = 0
 
     def finished(self, runner: Runner, attempt_id: str) -> None:
-        """Note the end of an attempt."""
+        """Record the end of an attempt."""
         runner.attempts.remove(attempt_id)
 
     def failed(self, runner: Runner, now: float) -> None:
-        """Note that a runner broke a request or was not reached: avoid it for a while."""
+        """Suspect a runner that failed a request, for a time that doubles with each failure."""
         runner.failures += 1
-        pause = min(SUSPECT_MAX_SECONDS, SUSPECT_SECONDS * 2 ** (runner.failures - 1))
+        pause = min(MAX_SUSPECT_SECONDS, SUSPECT_SECONDS * 2 ** (runner.failures - 1))
         runner.suspected_until = max(runner.suspected_until, now + pause)
 
     def unreachable(self, runner: Runner, now: float) -> None:
-        """Note that a runner takes no connections: its process is gone or cut off."""
+        """Suspect a runner that accepts no connections: it has stopped or is disconnected."""
         runner.failures += 1
         runner.suspected_until = max(runner.suspected_until, now + UNREACHABLE_SECONDS)
 
     def heard(self, runner: Runner, now: float) -> None:
-        """Note bytes from a runner: it is alive."""
+        """Record bytes from a runner, which ends a suspicion: it is alive."""
         runner.last_heard_at = now
         if runner.suspected_until > now:
             runner.suspected_until = now
             runner.failures = 0
 
     def suspected_by_peer(self, runner: Runner, now: float) -> None:
-        """Take over a peer's suspicion, unless this node has heard from the runner just now."""
+        """Apply a peer's suspicion, unless this node received bytes from the runner recently."""
         if now - runner.last_heard_at >= SILENCE_SECONDS:
             runner.suspected_until = max(runner.suspected_until, now + SUSPECT_SECONDS)
 
     def succeeded(self, runner: Runner) -> None:
-        """Note an answer: the runner is alive."""
+        """Record an answer, which ends a suspicion: the runner is alive."""
         runner.failures = 0
         runner.suspected_until = 0.0
 
     def shed(self, runner: Runner, now: float) -> None:
-        """Note that a runner refused a request because it is full or loading."""
+        """Record that a runner refused a request because it is full or loading weights."""
         runner.shed_until = now + SHED_SECONDS
 
     def note_loading(self, runner: Runner, model: str, version: int, now: float) -> None:
-        """Note that a runner is about to load weights, or is loading them."""
+        """Record that a runner is loading weights or is about to load them."""
         runner.loading_until = now + LOADING_SECONDS
         runner.ordered_weights[model] = version
 
     def note_peer_load(self, runner: Runner, peer: str, load: RunnerLoad, now: float) -> None:
-        """Take over what a peer says of its load on a runner."""
+        """Apply a peer's report of its load on a runner."""
         runner.peer_loads.report(peer, load, now)
--- a/src/hillstack/core/runner_signals.py
+++ b/src/hillstack/core/runner_signals.py
@@ -1,9 +1,9 @@
-"""What runners say of themselves in the heads of their answers.
+"""Signals that runners send about themselves in the heads of their answers.
 
-It is known at first hand and at once, while the directory tells it when its store has taken it: not
-before the end of an outage. It holds for one process of a runner, whatever the directory says of it
-meanwhile: a process that leaves ends, a backoff ends by its time, and a limit by the runner's own
-word (``runner_limit``).
+A node receives these signals directly and at once, while the directory has them only after a write
+to its store, which fails during an outage. Signals apply to one process of a runner, whatever the
+directory lists meanwhile. A leaving process never returns, a backoff ends after its time, and a
+limit ends with an answer of the runner (``runner_limit``).
 """
 
 from __future__ import annotations
@@ -13,19 +13,20 @@
 
 from hillstack.core.runner_limit import RunnerLimit
 
-# Processes whose signals are kept. Several times as many as leave or are replaced in a day at a
-# fleet's full size (2,100); some 200 bytes each.
+# Maximum number of processes with stored signals: several times the number of processes that leave
+# or are replaced in a day in a fleet of full size (2,100). Each entry takes about 200 bytes.
 MAX_PROCESSES = 8_192
 
 
 @dataclass(frozen=True, slots=True)
 class RunnerSignals:
-    """What one answer says of its runner.
+    """The signals in one answer of a runner.
 
     Attributes:
-        leaving: Whether its process leaves.
-        backoff_seconds: How long it wants no requests of this node; 0 if it does not say.
-        limit: Requests a second that it takes from all nodes together; None if it names no limit.
+        leaving: Whether the process is leaving.
+        backoff_seconds: Time for which this node should send no requests; 0 without a backoff.
+        limit: Requests per second that the runner accepts from all nodes together; None without a
+            limit.
     """
 
     leaving: bool = False
@@ -33,21 +34,22 @@
     limit: float | None = None
 
     def __bool__(self) -> bool:
-        """Return whether it says anything."""
+        """Return whether the answer contains any signal."""
         return self.leaving or self.backoff_seconds > 0 or self.limit is not None
 
 
 @dataclass(slots=True)
 class ReceivedSignals:
-    """What a process of a runner has told this node of itself so far.
+    """The signals that this node has received so far from one runner process.
 
     Attributes:
-        left_at: When the first answer came that says that it leaves; None if none did.
-        left_source: Which answer that was, for the log.
-        backoff_until: It wants no requests of this node before; the latest end that it asked for.
-        backoff_asked_at: When that was asked.
-        backoff_source: By which answer, for the log.
-        limit: What it says of the requests that it takes from all nodes together.
+        left_at: When the first answer arrived that reported the process as leaving; None without
+            one.
+        left_source: That answer, for the log.
+        backoff_until: This node sends no requests before this time: the latest end of all backoffs.
+        backoff_asked_at: When that backoff arrived.
+        backoff_source: The answer with that backoff, for the log.
+        limit: The limit on the requests of all nodes together.
     """
 
     left_at: float | None = None
@@ -59,27 +61,27 @@
 
     @property
     def leaves(self) -> bool:
-        """Whether its process leaves."""
+        """Whether the process is leaving."""
         return self.left_at is not None
 
     def backoff_left(self, now: float) -> float:
-        """Return the seconds of backoff that are left; 0 without one."""
+        """Return the remaining seconds of the backoff; 0 without a backoff."""
         return max(0.0, self.backoff_until - now)
 
     @property
     def asked_until(self) -> float:
-        """Until when it wants no requests of this node: a backoff, or no part of its limit."""
+        """Until when this node may send no requests, for a backoff or an exhausted limit."""
         return max(self.backoff_until, self.limit.no_room_until)
 
     def hold_back(self, now: float) -> bool:
-        """Return whether they keep requests away from it."""
+        """Return whether the signals may keep requests away from the process."""
         return self.leaves or now < self.backoff_until or self.limit.in_force(now) is not None
 
     def take(self, signals: RunnerSignals, source: str, now: float) -> bool:
-        """Take over what an answer says, from when it came; return whether it is news.
+        """Apply the signals of an answer that has just arrived; return whether anything changed.
 
-        Of several backoffs the latest end counts: an answer to an earlier request, or a refusal
-        that asks for none, does not cut one short.
+        Of several backoffs the latest end counts: neither an answer to an earlier request nor a
+        refusal without a backoff shortens it.
         """
         is_news = False
         if signals.leaving and self.left_at is None:
@@ -93,9 +95,9 @@
 
 
 class SignalRecord:
-    """The signals of processes by their identifiers, also of those that the directory has dropped.
+    """Signals by process identifier, also for processes that the directory has dropped.
 
-    The directory may list a process again long after it has dropped it; what it said still holds.
+    The directory may list a process again long after it was dropped, and its signals still apply.
     """
 
     def __init__(self) -> None:
@@ -105,11 +107,11 @@
         return runner_id in self._signals
 
     def get(self, runner_id: str) -> ReceivedSignals | None:
-        """Return the signals of a process; None if it has given none."""
+        """Return the signals of a process; None if it has sent none."""
         return self._signals.get(runner_id)
 
     def keep(self, runner_id: str, received: ReceivedSignals) -> None:
-        """Keep the signals of a process; those that were kept for longest give way."""
+        """Store the signals of a process, evicting the signals stored longest ago if necessary."""
         self._signals[runner_id] = received
         self._signals.move_to_end(runner_id)
         while len(self._signals) > MAX_PROCESSES:
--- a/src/hillstack/core/topology.py
+++ b/src/hillstack/core/topology.py
@@ -1,4 +1,4 @@
-"""Zones and regions of a deployment, and how far apart two of them are."""
+"""Zones and regions of a deployment, and the distance between zones."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Distance(enum.IntEnum):
-    """How far apart two zones are."""
+    """The distance between two zones."""
 
     SAME_ZONE = 0
     SAME_REGION = 1
@@ -17,15 +17,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """The place of this node, and the region of each zone.
+    """The zone and region of this node, and the region of each zone.
 
-    A zone of which no region is known counts as part of this node's own region, so that a
-    deployment that names no regions is one region.
+    A zone whose region is not known counts as part of this node's region, so that a deployment
+    without configured regions is one region.
 
     Attributes:
         zone: Zone of this node.
-        region: Region of this node; empty if the deployment names none.
-        regions_by_zone: Region of each zone, as far as they are known.
+        region: Region of this node; empty if the deployment has no regions.
+        regions_by_zone: Region of each zone whose region is known.
     """
 
     zone: str
@@ -46,7 +46,7 @@
         return not known or known.get(first, self.region) == known.get(second, self.region)
 
     def distance(self, first: str, second: str) -> Distance:
-        """Return how far apart two zones are."""
+        """Return the distance between two zones."""
         if first == second:
             return Distance.SAME_ZONE
         if self.are_same_region(first, second):
@@ -62,9 +62,9 @@
         return len({self.region, *self.regions_by_zone.values()}) > 1
 
     def zones_of_region(self, region: str, zones: Iterable[str]) -> list[str]:
-        """Return those of some zones that are in a region, in order of their names."""
+        """Return the zones that are in a region, sorted by name."""
         return sorted(zone for zone in zones if self.region_of(zone) == region)
 
 
-# Used where a deployment names no regions.
+# Topology of a deployment without regions.
 ONE_REGION = Topology(zone="")
--- a/src/hillstack/core/traffic_split.py
+++ b/src/hillstack/core/traffic_split.py
@@ -1,7 +1,7 @@
 """Splits the requests of a route over services by weight.
 
-Smooth weighted round robin: each service gets its share exactly over a cycle, in an order as even
-as the weights allow, so that the shares hold for few requests too.
+Uses smooth weighted round robin: over a cycle each service gets exactly its share, interleaved as
+evenly as the weights allow, so that the shares are met approximately for few requests too.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class TrafficSplit:
-    """Keeps the balance of each route's services."""
+    """Chooses services by smooth weighted round robin, with separate balances for each route."""
 
     def __init__(self) -> None:
         self._balances: dict[str, dict[str, float]] = {}
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -18,11 +18,11 @@
     Candidate,
     Choice,
     ExpectedDelayPlacement,
-    _weigh,
+    _score_candidate,
     lateness,
     shared_order,
 )
-from hillstack.core.placement.kept_parts import Surroundings, find_kept_parts, move_seconds
+from hillstack.core.placement.kept_parts import Surroundings, find_cached_parts, move_seconds
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.routing_table import KeptCacheStore
 from hillstack.core.runner_load import OwnAttempt, RunnerLoad
@@ -279,9 +279,9 @@
     positions = shared_order(candidate.runner.runner_id for candidate in candidates)
     costs: dict[str, float] = {}
     for candidate in candidates:
-        kept = find_kept_parts(index, shape, candidate.salt, around, runners)
+        kept = find_cached_parts(index, shape, candidate.salt, around, runners)
         position = positions[candidate.runner.runner_id]
-        weighed = _weigh(shape, candidate, around, kept, position, math.inf)
+        weighed = _score_candidate(shape, candidate, around, kept, position, math.inf)
         if weighed is not None:
             costs[candidate.runner.runner_id] = weighed.cost
     return costs
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -409,7 +409,7 @@
     Mutation(
         "prefills do not weigh against streams",
         "core/placement/expected_delay.py",
-        "cost += _harm(load.running, queue, prefill, around)",
+        "cost += _interference(load.running, queue, prefill, inputs)",
         "pass",
     ),
     Mutation(
@@ -1000,7 +1000,7 @@
     Mutation(
         "a runner that was gone is used from the copy",
         "core/runner_pool.py",
-        "return gone.revision.era < entry.revision.era",
+        "return dropped.revision.era < entry.revision.era",
         "return False",
     ),
     Mutation(
