--- a/tests/fleet/test_crash_counts.py
+++ b/tests/fleet/test_crash_counts.py
@@ -1,4 +1,4 @@
-"""The count of runners that ended under a request, which bounds its sends."""
+"""The count of runners that crashed under a request, which bounds the sends of the request."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
     counts.note(NAME, CrashedRun(f"i-{number}", ended_at - age, ended_at))
 
 
-def bounded() -> CrashCounts:
+def make_bounded_counts() -> CrashCounts:
     counts = CrashCounts()
     for number in range(MAX_CRASHES):
         crash(counts, number, 1.0 + number)
     return counts
 
 
-def test_ends_one_after_the_other_bound_a_request() -> None:
+def test_sequential_crashes_bound_a_request() -> None:
     counts = CrashCounts()
     for number in range(MAX_CRASHES):
         assert not counts.is_bounded(NAME)
@@ -43,22 +43,22 @@
     assert counts.is_bounded(NAME)
 
 
-def test_runners_that_end_together_count_once() -> None:
+def test_simultaneous_crashes_count_once() -> None:
     counts = CrashCounts()
     for number in range(6):
         crash(counts, number, 1.0 + number / 100, age=0.5)
     assert counts.count(NAME) == 1
 
 
-def test_the_order_of_the_words_does_not_matter() -> None:
+def test_the_order_of_the_reports_does_not_matter() -> None:
     counts = CrashCounts()
     for number in (2, 0, 1):
         crash(counts, number, 1.0 + number)
     assert counts.is_bounded(NAME)
 
 
-def test_success_sets_the_count_back_for_ends_that_are_told_later_too() -> None:
-    counts = bounded()
+def test_success_resets_the_count_also_for_crashes_reported_later() -> None:
+    counts = make_bounded_counts()
     assert counts.clear(NAME, 4.0)
     crash(counts, 9, 3.9)
     assert counts.count(NAME) == 0
@@ -66,14 +66,14 @@
     assert counts.count(NAME) == 1
 
 
-def test_an_end_that_is_taken_back_does_not_count() -> None:
-    counts = bounded()
+def test_a_retracted_crash_does_not_count() -> None:
+    counts = make_bounded_counts()
     counts.take_back("i-1")
     assert counts.count(NAME) == MAX_CRASHES - 1
 
 
-def test_nodes_try_again_in_turn() -> None:
-    counts = bounded()
+def test_nodes_take_turns_with_trials() -> None:
+    counts = make_bounded_counts()
     first = MAX_CRASHES + TRIAL_PAUSES_SECONDS[0]
     assert not counts.may_try(NAME, 0, first - 0.1)
     assert counts.may_try(NAME, 0, first)
@@ -81,8 +81,8 @@
     assert counts.may_try(NAME, 1, first + TRIAL_INTERVAL_SECONDS)
 
 
-def test_a_request_gets_three_trials_whatever_comes_of_them() -> None:
-    counts = bounded()
+def test_a_request_gets_three_trials_whatever_their_outcome() -> None:
+    counts = make_bounded_counts()
     trials = 0
     for second in range(4 * 3_600):
         if counts.may_try(NAME, 0, float(second)):
@@ -91,8 +91,8 @@
     assert trials == len(TRIAL_PAUSES_SECONDS) == SENDS_ALLOWED_LATER
 
 
-def test_ends_at_trials_count_as_their_trials() -> None:
-    counts = bounded()
+def test_a_crash_in_a_trial_is_not_counted_as_a_further_trial() -> None:
+    counts = make_bounded_counts()
     trials = 0
     for second in range(4, 4 * 3_600):
         if counts.may_try(NAME, 0, float(second)):
@@ -102,15 +102,15 @@
     assert trials == SENDS_ALLOWED_LATER
 
 
-def test_ends_of_runs_that_were_under_way_use_up_no_trial() -> None:
-    counts = bounded()
+def test_crashes_of_earlier_runs_use_up_no_trial() -> None:
+    counts = make_bounded_counts()
     for number in range(6):
         crash(counts, 10 + number, MAX_CRASHES + 0.1 * (1 + number), age=0.05)
     last = MAX_CRASHES + 0.6
     assert counts.may_try(NAME, 0, last + TRIAL_PAUSES_SECONDS[0])
 
 
-def test_streams_that_are_moved_along_are_bounded_later() -> None:
+def test_settled_streams_are_bounded_after_more_crashes() -> None:
     counts = CrashCounts()
     for number in range(2 * MAX_CRASHES):
         assert not counts.is_bounded(NAME)
@@ -121,23 +121,23 @@
     assert not counts.may_try(NAME, 0, 1_000_000.0)
 
 
-def test_a_run_that_goes_on_far_longer_is_none_that_ends_its_runner() -> None:
-    counts = bounded()
+def test_a_run_much_older_than_the_crashed_runs_has_survived() -> None:
+    counts = make_bounded_counts()
     assert not counts.is_outlived(NAME, 1.1)
     assert counts.is_outlived(NAME, 1.3)
     assert not counts.is_outlived(NAME + 1, 100.0)
 
 
-def test_requests_at_single_ends_push_out_none_that_came_back() -> None:
-    counts = bounded()
+def test_requests_with_one_crash_do_not_evict_those_with_several() -> None:
+    counts = make_bounded_counts()
     for other in range(2 * MAX_NAMES):
         counts.note(1_000 + other, CrashedRun("i-9", 4.0, 5.0))
     assert counts.is_bounded(NAME)
     assert counts.count(1_000) == 0
 
 
-def test_it_forgets() -> None:
-    counts = bounded()
+def test_counts_expire() -> None:
+    counts = make_bounded_counts()
     counts.note(8, CrashedRun("i-9", 1.0, 2.0))
     counts.expire(SINGLE_RETENTION_SECONDS + 10.0)
     assert counts.count(8) == 0
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("pause", [20.0, 60.0, 240.0])
-def test_a_caller_that_comes_back_rarely_is_bounded_too(pause: float) -> None:
+def test_a_caller_that_retries_rarely_is_bounded_too(pause: float) -> None:
     world = World(24, 3, application=True, unsafe=True)
     for number in range(30):
         world.try_until_done(f"node-{number % 3}", FATAL)
@@ -158,7 +158,7 @@
     assert len(later) <= SENDS_ALLOWED_LATER
 
 
-def test_a_failure_that_a_runner_answers_clears_nobody() -> None:
+def test_an_answer_with_a_failure_clears_no_request() -> None:
     world = World(12, 1)
     node = world.nodes["node-0"]
     watch = node.pipeline.runner_ends
@@ -176,7 +176,7 @@
     assert outcome.is_served
 
 
-def test_a_node_that_starts_is_told_of_ends_that_lie_far_back() -> None:
+def test_a_starting_node_is_sent_old_crashes() -> None:
     world = World(12, 1, application=True, unsafe=True)
     for _ in range(2):
         world.try_until_done("node-0", FATAL)
@@ -191,7 +191,7 @@
     assert len(world.runners.ended()) == MAX_CRASHES
 
 
-def test_a_word_of_success_reaches_the_peers() -> None:
+def test_a_success_notice_resets_the_count_of_peers() -> None:
     world = World(4, 2)
     counts = world.nodes["node-1"].state.crash_counts
     requests = [RequestAtEnd(NAME, 110, started=False)]
@@ -199,7 +199,7 @@
     world.loop.call_soon(watch.observe, "node-0", RunnerEndNotice("gone", 0, requests), 0.0)
     world.run(0.01)
     assert counts.count(NAME) == 1
-    told = RunnerEndNotice("", 0, [], succeeded=[NAME])
-    world.loop.call_soon(watch.observe, "node-0", told, world.scheduler.now)
+    notice = RunnerEndNotice("", 0, [], succeeded=[NAME])
+    world.loop.call_soon(watch.observe, "node-0", notice, world.scheduler.now)
     world.run(0.01)
     assert counts.count(NAME) == 0
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement of prompts on runners of a fleet."""
+"""Placement of prompts on the runners of a fleet by expected delay."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
     begin_before: float = math.inf,
     shared: PromptPart = SHARED,
 ) -> Choice | None:
-    around = Surroundings("zone-a", ENGINE, RATE, stores, 0.0, 0.6, 0.5)
+    inputs = Surroundings("zone-a", ENGINE, RATE, stores, 0.0, 0.6, 0.5)
     candidates = [Candidate(runner, SALT, 1, begin_before) for runner in runners]
     shape = PromptShape((shared, OWN), output)
-    return ExpectedDelayPlacement(index).choose(shape, candidates, around, runners)
+    return ExpectedDelayPlacement(index).choose(shape, candidates, inputs, runners)
 
 
 def make_index(*holders: str) -> PartIndex:
@@ -61,7 +61,7 @@
     return index
 
 
-def test_a_prompt_goes_where_its_shared_part_is() -> None:
+def test_a_prompt_is_placed_on_the_runner_that_caches_its_shared_part() -> None:
     index = make_index("i-1", "i-2")
     index.note("i-2", SALT, [SHARED])
     choice = choose(index, [make_runner("i-1"), make_runner("i-2")])
@@ -70,7 +70,7 @@
     assert choice.matched_tokens == 8_000 and choice.prefill_tokens == 1_000
 
 
-def test_a_warm_runner_that_is_busy_is_the_source_instead() -> None:
+def test_a_busy_warm_runner_is_the_source_of_a_transfer() -> None:
     index = make_index("i-1", "i-2")
     index.note("i-2", SALT, [SHARED])
     warm, cold = make_runner("i-2"), make_runner("i-1")
@@ -81,7 +81,7 @@
     assert choice.fetch_from == warm.address and choice.moved_tokens == 8_000
 
 
-def test_the_store_of_kept_cache_is_a_source() -> None:
+def test_a_kv_cache_store_is_a_source() -> None:
     store = KeptCacheStore("10.9.9.9:1", "zone-a", 1_000_000, 200_000.0)
     index = make_index("i-1", store.address)
     index.note(store.address, SALT, [SHARED])
@@ -117,11 +117,11 @@
 
 
 def choose_stream(runners: list[Runner], own: str = "o") -> Runner:
-    around = Surroundings("zone-a", ENGINE, RATE, (), 0.0, 0.6, 0.5)
+    inputs = Surroundings("zone-a", ENGINE, RATE, (), 0.0, 0.6, 0.5)
     shape = PromptShape((PromptPart("s", 100), PromptPart(own, 600)), 800)
     candidates = [Candidate(runner, SALT) for runner in runners]
     index = make_index(*(runner.runner_id for runner in runners))
-    choice = ExpectedDelayPlacement(index).choose(shape, candidates, around, runners)
+    choice = ExpectedDelayPlacement(index).choose(shape, candidates, inputs, runners)
     assert choice is not None
     return choice.candidate.runner
 
@@ -130,7 +130,7 @@
     runners = [make_runner(f"i-{number}") for number in range(12)]
     order = shared_order(runner.runner_id for runner in runners)
     chosen = {choose_stream(runners, f"own-{number}").runner_id for number in range(100)}
-    # They are spread over a few, since the nodes learn of one another's streams late.
+    # The streams are spread over a few runners, since nodes learn of each other's streams late.
     assert 2 <= len(chosen) <= 6
     assert all(order[runner_id] < 0.5 for runner_id in chosen)
 
@@ -145,7 +145,7 @@
     assert first.runner_id in chosen
 
 
-def test_runners_that_come_and_go_leave_the_order_of_the_others() -> None:
+def test_adding_or_removing_runners_keeps_the_order_of_the_others() -> None:
     names = [f"i-{number}" for number in range(9)]
     whole = shared_order(names)
     rest = shared_order(names[1:])
@@ -154,9 +154,10 @@
     ]
 
 
-def test_short_streams_are_spread_over_all_runners_that_look_alike() -> None:
-    # kuitu-varaus-large: an order for short streams too sent the prompts of 195 nodes to the same
-    # few runners within the time that news of a prefill takes.
+def test_short_streams_are_spread_over_runners_of_equal_cost() -> None:
+    # Guards against herding, seen on kuitu-varaus-large: with a shared order for short streams too,
+    # 195 nodes sent their prompts to the same few runners before load reports of the prefills
+    # arrived.
     runners = [make_runner(f"i-{number}") for number in range(12)]
     index = make_index(*(runner.runner_id for runner in runners))
     counts: Counter[str] = Counter()
@@ -186,22 +187,22 @@
     assert choice is not None and choice.candidate.runner is free
 
 
-def test_a_prompt_waits_for_a_part_that_is_being_read_rather_than_reading_it_again() -> None:
+def test_a_prompt_waits_for_a_part_that_is_being_prefilled() -> None:
     index = make_index("i-1", "i-2")
-    reading, idle = make_runner("i-1"), make_runner("i-2")
+    prefilling, idle = make_runner("i-1"), make_runner("i-2")
     index.note("i-1", SALT, [SHARED], ready_at=0.4)
-    reading.prefill_done_at = 0.35
-    choice = choose(index, [reading, idle])
-    assert choice is not None and choice.candidate.runner is reading
+    prefilling.prefill_done_at = 0.35
+    choice = choose(index, [prefilling, idle])
+    assert choice is not None and choice.candidate.runner is prefilling
     assert choice.repeated_tokens == 0
 
 
-def test_a_part_is_read_again_rather_than_waited_for_too_long() -> None:
+def test_a_part_is_prefilled_again_if_the_wait_is_too_long() -> None:
     index = make_index("i-1", "i-2")
-    reading, idle = make_runner("i-1"), make_runner("i-2")
+    prefilling, idle = make_runner("i-1"), make_runner("i-2")
     index.note("i-1", SALT, [SHARED], ready_at=9.0)
-    reading.prefill_done_at = 9.0
-    choice = choose(index, [reading, idle])
+    prefilling.prefill_done_at = 9.0
+    choice = choose(index, [prefilling, idle])
     assert choice is not None and choice.candidate.runner is idle
     assert choice.repeated_tokens == SHARED.tokens
 
@@ -214,16 +215,16 @@
     assert choose(index, [runner], begin_before=9.0) is not None
 
 
-def test_superseded_weights_are_left_for_newer_ones_after_a_while() -> None:
+def test_newer_weights_are_preferred_some_time_after_their_announcement() -> None:
     index = make_index("i-1", "i-2")
     old, new = make_runner("i-1"), make_runner("i-2")
-    around = Surroundings("zone-a", ENGINE, RATE, (), 10.0, 0.6, 0.5)
+    inputs = Surroundings("zone-a", ENGINE, RATE, (), 10.0, 0.6, 0.5)
     new.prefill_done_at = 10.15
     shape = PromptShape((SHARED, OWN), 50)
     chosen = []
     for superseded_at in (9.5, 8.0):
         candidates = [Candidate(old, SALT, 1, superseded_at=superseded_at), Candidate(new, SALT, 2)]
-        choice = ExpectedDelayPlacement(index).choose(shape, candidates, around, [old, new])
+        choice = ExpectedDelayPlacement(index).choose(shape, candidates, inputs, [old, new])
         assert choice is not None
         chosen.append(choice.candidate.runner)
     assert chosen == [old, new]
@@ -235,7 +236,7 @@
 
 
 @given(st.integers(0, 2**32))
-def test_the_choice_is_that_of_weighing_every_runner_in_full(seed: int) -> None:
+def test_the_choice_equals_that_of_computing_the_full_cost_of_every_runner(seed: int) -> None:
     rng = Random(seed)
     index = PartIndex()
     runners = [make_runner(f"i-{number}", f"zone-{number % 3}") for number in range(12)]
@@ -254,12 +255,12 @@
         Candidate(runner, "salt", 1, rng.choice([math.inf, now + 0.9]), rng.choice([math.inf, 8.0]))
         for runner in rng.sample(runners, rng.randint(1, 12))
     ]
-    around = Surroundings("zone-0", ENGINE, 38_000.0, (), now, 0.5, 0.5)
+    inputs = Surroundings("zone-0", ENGINE, 38_000.0, (), now, 0.5, 0.5)
     policy = ExpectedDelayPlacement(index)
-    chosen = policy.choose(shape, candidates, around, runners)
-    costs = _full_costs(index, shape, candidates, around, runners)
+    chosen = policy.choose(shape, candidates, inputs, runners)
+    costs = _full_costs(index, shape, candidates, inputs, runners)
     for runner in runners:
-        # So a runner never finds itself as a source of what it lacks.
+        # A runner is thus never chosen as the source of parts that it lacks itself.
         fetched = index.matched_tokens(runner.runner_id, "salt", shape.shared, now)
         assert fetched <= index.matched_tokens(runner.runner_id, "salt", shape.parts)
     if chosen is None:
@@ -272,28 +273,28 @@
     index: PartIndex,
     shape: PromptShape,
     candidates: Sequence[Candidate],
-    around: Surroundings,
+    inputs: Surroundings,
     runners: Sequence[Runner],
 ) -> dict[str, float]:
-    """Return the cost of each candidate that begins in time, each weighed by itself."""
+    """Return the cost of each candidate that begins in time, each computed independently."""
     positions = shared_order(candidate.runner.runner_id for candidate in candidates)
     costs: dict[str, float] = {}
     for candidate in candidates:
-        kept = find_cached_parts(index, shape, candidate.salt, around, runners)
+        cached = find_cached_parts(index, shape, candidate.salt, inputs, runners)
         position = positions[candidate.runner.runner_id]
-        weighed = _score_candidate(shape, candidate, around, kept, position, math.inf)
-        if weighed is not None:
-            costs[candidate.runner.runner_id] = weighed.cost
+        scored = _score_candidate(shape, candidate, inputs, cached, position, math.inf)
+        if scored is not None:
+            costs[candidate.runner.runner_id] = scored.cost
     return costs
 
 
-def test_what_a_choice_costs_does_not_grow_with_runners_times_holders(
+def test_the_cost_of_a_decision_does_not_grow_with_runners_times_holders(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    asked: list[int] = []
+    computed: list[int] = []
 
     def counted(tokens: int, *arguments: Any) -> float:
-        asked.append(tokens)
+        computed.append(tokens)
         return move_seconds(tokens, *arguments)
 
     monkeypatch.setattr(kept_parts, "move_seconds", counted)
@@ -303,6 +304,6 @@
     for number, runner in enumerate(runners):
         index.note(runner.runner_id, "salt", parts[: 1 + number % 2])
     candidates = [Candidate(runner, "salt") for runner in runners]
-    around = Surroundings("zone-a", ENGINE, 38_000.0, (), 0.0, 0.5, 0.5)
-    ExpectedDelayPlacement(index).choose(PromptShape(parts, 5), candidates, around, runners)
-    assert len(asked) <= 2 * len(runners)
+    inputs = Surroundings("zone-a", ENGINE, 38_000.0, (), 0.0, 0.5, 0.5)
+    ExpectedDelayPlacement(index).choose(PromptShape(parts, 5), candidates, inputs, runners)
+    assert len(computed) <= 2 * len(runners)
--- a/tests/fleet/test_probations.py
+++ b/tests/fleet/test_probations.py
@@ -1,4 +1,4 @@
-"""Where suspects are tried once more, and who keeps away from there."""
+"""Choice of the runners that run suspects, and avoidance of these runners by other requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def make_runners(*loads: int) -> list[Runner]:
-    """Return runners with so many requests each."""
+    """Return runners with the given numbers of requests."""
     runners = []
     for number, load in enumerate(loads):
         runner = Runner(make_entry(f"i-{number}", ENGINES))
@@ -25,23 +25,23 @@
     return [runner.runner_id for runner in runners]
 
 
-def test_without_suspects_all_runners_are_suited() -> None:
+def test_without_suspects_all_runners_are_returned() -> None:
     runners = make_runners(0, 5)
     assert Probations().suited(runners, None, 1.0) is runners
 
 
-def test_the_first_suspect_goes_to_the_quietest_runner_and_the_next_to_the_next() -> None:
+def test_suspects_are_assigned_to_runners_in_order_of_load() -> None:
     runners = make_runners(20, 3 * LOAD_STEP_REQUESTS, 9 * LOAD_STEP_REQUESTS, 0)
     chosen = [names(Probations().suited(runners, rank, 1.0)) for rank in range(4)]
     assert chosen == [["i-3"], ["i-1"], ["i-0"], ["i-2"]]
 
 
-def test_loads_that_hardly_differ_do_not_change_the_order() -> None:
+def test_small_differences_of_load_do_not_change_the_order() -> None:
     for loads in ((0, 1, 2), (2, 1, 0), (3, 0, 3)):
         assert names(Probations().suited(make_runners(*loads), 1, 1.0)) == ["i-1"]
 
 
-def test_a_suspect_passes_by_runners_that_have_one() -> None:
+def test_a_suspect_avoids_runners_with_another_suspect() -> None:
     probations = Probations()
     runners = make_runners(0, 0, 0)
     probations.begin("a", "i-0")
@@ -50,7 +50,7 @@
     assert names(probations.suited(runners, 0, 2.0)) == ["i-1"]
 
 
-def test_others_keep_away_unless_there_is_no_other_runner() -> None:
+def test_other_requests_avoid_runners_with_a_suspect_if_possible() -> None:
     probations = Probations()
     runners = make_runners(0, 0)
     probations.begin("a", "i-0")
@@ -58,7 +58,7 @@
     assert names(probations.suited(runners[:1], None, 1.0)) == ["i-0"]
 
 
-def test_a_probation_ends_with_its_run_or_when_it_is_settled() -> None:
+def test_a_probation_ends_with_its_run_or_once_the_run_is_settled() -> None:
     probations = Probations()
     probations.begin("a", "i-0")
     probations.begin("b", "i-1")
--- a/tests/fleet/test_request_fingerprint.py
+++ b/tests/fleet/test_request_fingerprint.py
@@ -1,4 +1,4 @@
-"""What names a request over all tries of its caller."""
+"""Names that identify a request across all attempts of its caller."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 SHAPE = PromptShape((PromptPart("a", 10), PromptPart("b", 20)), 50)
 
 
-def test_each_field_counts_and_the_expected_output_does_not() -> None:
+def test_the_fingerprint_covers_each_field_but_not_the_expected_output() -> None:
     first = request_fingerprint(TEXTS, SHAPE, b"body")
     assert first == request_fingerprint(TEXTS, PromptShape(SHAPE.parts, 51), b"body")
     others = [
@@ -26,13 +26,13 @@
     assert 0 <= first < 2**64
 
 
-def test_fields_do_not_run_into_one_another() -> None:
+def test_field_boundaries_change_the_fingerprint() -> None:
     assert request_fingerprint(("ab", "c"), None, b"") != request_fingerprint(
         ("a", "bc"), None, b""
     )
 
 
-def test_the_content_name_is_of_tenant_path_and_body_alone() -> None:
+def test_the_content_name_covers_only_tenant_path_and_body() -> None:
     first = content_name("tenant", "/x", b"body")
     others = {
         content_name("other", "/x", b"body"),
--- a/tests/fleet/test_runner_ends.py
+++ b/tests/fleet/test_runner_ends.py
@@ -1,18 +1,18 @@
-"""Whom the record of runner ends blames, in drawn fleets, and what it keeps.
+"""Classification of requests by the record of runner crashes, in random fleets, and its retention.
 
-Measured by ``measure_blame`` over 2,000 drawn fleets of nine runners a kind, the share of requests
-at some runner's end that were blamed though they did nothing:
+``measure_blame`` runs 2,000 random fleets of nine runners for each kind of fault. It measured these
+shares of innocent requests that were classified as fatal, of all requests present at some crash:
 
-- three runners end by themselves within ten seconds: 278 of 30,313 (0.9 %)
-- four runners of a rack end within 0.2 s: 528 of 45,723 (1.2 %); 1,352 (3 %) at some moment, until
-  the other ends of the rack are told
-- three runners end by themselves, with a request of many callers at work everywhere: 145 of 32,141
-  (0.5 %)
-- a fatal request among 24 streams a runner: 1 of 85,947; the fatal one was found in 95 % at the
-  second end, the rest at the third
+- three runners crash independently within ten seconds: 278 of 30,313 (0.9 %)
+- four runners of a rack crash within 0.2 s: 528 of 45,723 (1.2 %); temporarily 1,352 (3 %), until
+  the other crashes of the rack are reported
+- three runners crash independently while a request of many callers runs on all runners: 145 of
+  32,141 (0.5 %)
+- a fatal request among 24 streams per runner: 1 of 85,947; the fatal request was detected at the
+  second crash in 95 % of the fleets and at the third in the others
 
-Most of these had begun within the last second at both ends. They have had both of the runs that a
-route allows; what the blame costs them is their caller's new try.
+Most of these innocent requests had begun within the last second before both crashes. They have
+already had the two runs that a route allows, so the error only refuses their caller's next attempt.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
 
 
 @dataclass
-class DrawnRun:
-    """A run at a runner; it answers from ``answers_at`` on and ends at ``over_at``."""
+class SimulatedRun:
+    """A run of a request on a runner; it answers from ``answers_at`` and ends at ``over_at``."""
 
     fingerprint: int
     runner: int
@@ -58,57 +58,57 @@
 
 
 @dataclass
-class DrawnFleet:
-    """Runners with drawn requests, whose ends are told to one record."""
+class SimulatedFleet:
+    """Runners with random requests; the crashes of the runners are noted in one record."""
 
     rng: Random
     record: RunnerEndRecord = field(default_factory=RunnerEndRecord)
-    runs: list[DrawnRun] = field(default_factory=list)
+    runs: list[SimulatedRun] = field(default_factory=list)
     alive: set[int] = field(default_factory=lambda: set(range(RUNNERS)))
-    witnesses: set[int] = field(default_factory=set)
+    requests_at_crashes: set[int] = field(default_factory=set)
     blamed: set[int] = field(default_factory=set)
-    fatal_ends: int = 0
+    fatal_crashes: int = 0
     numbers: int = 0
 
     def fill(self, seconds: float, per_runner: int) -> None:
-        """Let requests come evenly; their number at a runner is about ``per_runner``."""
+        """Send requests uniformly over time, with about ``per_runner`` at a time on each runner."""
         mean = 2.5
         for runner in range(RUNNERS):
             for _ in range(int(per_runner * seconds / mean)):
                 self.send(runner, self.rng.uniform(-mean, seconds))
 
-    def send(self, runner: int, at: float, fingerprint: int | None = None) -> DrawnRun:
+    def send(self, runner: int, at: float, fingerprint: int | None = None) -> SimulatedRun:
         self.numbers += 1
         first = self.rng.choice((0.03, 0.1, 0.5)) + self.rng.random() * 0.1
         lasts = self.rng.expovariate(1 / 2.5)
         number = self.numbers if fingerprint is None else fingerprint
-        run = DrawnRun(number, runner, at, at + first, at + first + lasts)
+        run = SimulatedRun(number, runner, at, at + first, at + first + lasts)
         self.runs.append(run)
         return run
 
     def end(self, runner: int, now: float) -> None:
-        """End a runner: what was there moves to others, suspects apart where that can be."""
+        """Crash a runner and move its requests to others, suspects to separate ones if possible."""
         if runner not in self.alive or len(self.alive) < 2:
             return
         self._clear_finished(now)
         self.alive.discard(runner)
-        there = [run for run in self.runs if run.runner == runner]
-        there = [run for run in there if run.began_at <= now < run.over_at]
+        present = [run for run in self.runs if run.runner == runner]
+        present = [run for run in present if run.began_at <= now < run.over_at]
         runs: dict[int, RunAtEnd] = {}
-        for run in there:
+        for run in present:
             seen = run.at_end(now)
             known = runs.get(run.fingerprint)
             if known is None or seen.age > known.age:
                 runs[run.fingerprint] = seen
-        self.witnesses |= runs.keys()
+        self.requests_at_crashes |= runs.keys()
         if runs.get(FATAL) is not None:
-            self.fatal_ends += 1
-        self.record.note_end(f"i-{runner}", now, runs, now, len(there))
+            self.fatal_crashes += 1
+        self.record.note_end(f"i-{runner}", now, runs, now, len(present))
         self.blamed |= self.record.fatal().keys()
-        for run in there:
+        for run in present:
             self._move(run, now)
 
-    def _move(self, run: DrawnRun, now: float) -> None:
+    def _move(self, run: SimulatedRun, now: float) -> None:
         run.over_at, lasted = now, run.over_at - now
         if run.moves >= 1 or self.record.suspicion(run.fingerprint, now) is Suspicion.FATAL:
             return
@@ -117,9 +117,9 @@
         target = others[rank % len(others)] if rank is not None else self.rng.choice(others)
         at = now + MOVE_SECONDS
         if rank is not None and rank >= len(others):
-            # All runners have a suspect: it waits, here as long as it may.
+            # All runners have a suspect: the request waits, here for the maximum time.
             at += WAIT_SECONDS
-        moved = DrawnRun(run.fingerprint, target, at, at + 0.05, at + max(0.1, lasted), 1)
+        moved = SimulatedRun(run.fingerprint, target, at, at + 0.05, at + max(0.1, lasted), 1)
         self.runs.append(moved)
 
     def _clear_finished(self, now: float) -> None:
@@ -129,17 +129,17 @@
                 self.record.clear(run.fingerprint, run.over_at)
 
     def falsely_blamed(self) -> set[int]:
-        """Return who is blamed in the end; for a moment it may have been others."""
+        """Return the innocent requests that are finally classified as fatal."""
         return set(self.record.fatal()) - {FATAL}
 
-    def blamed_for_a_moment(self) -> set[int]:
+    def blamed_temporarily(self) -> set[int]:
         return self.blamed - {FATAL}
 
 
-def drawn_fleet(kind: str, seed: int) -> DrawnFleet:
-    """Return a fleet after a drawn fault of a kind."""
+def simulate_fleet(kind: str, seed: int) -> SimulatedFleet:
+    """Return a random fleet after a fault of a kind."""
     rng = Random(f"{kind}/{seed}")
-    fleet = DrawnFleet(rng)
+    fleet = SimulatedFleet(rng)
     fleet.fill(12.0, 24 if kind == "24 streams" else rng.choice((2, 6, 12)))
     if kind == "lone ends":
         for at in sorted(rng.uniform(1.0, 11.0) for _ in range(3)):
@@ -166,66 +166,73 @@
 
 
 KINDS = ("lone ends", "rack", "popular", "24 streams")
-# Half as many again as were measured.
-MOST_BLAMED = (0.014, 0.018, 0.007, 0.0005)
+# Upper bounds of the shares by kind: 1.5 times the measured shares.
+MAX_BLAMED_SHARES = (0.014, 0.018, 0.007, 0.0005)
 
 
 def measure_blame(seeds: int = 2_000) -> dict[str, tuple[int, int, int]]:
-    """Return of each kind how many were blamed falsely, of how many, and in how many fleets."""
-    found = {}
+    """Return for each kind the falsely blamed requests, all requests at crashes, and the fleets.
+
+    The fleets counted are those with a falsely blamed request.
+    """
+    result = {}
     for kind in KINDS:
-        fleets = [drawn_fleet(kind, seed) for seed in range(seeds)]
+        fleets = [simulate_fleet(kind, seed) for seed in range(seeds)]
         blamed = sum(len(fleet.falsely_blamed()) for fleet in fleets)
-        witnesses = sum(len(fleet.witnesses) for fleet in fleets)
-        found[kind] = blamed, witnesses, sum(bool(fleet.falsely_blamed()) for fleet in fleets)
-    return found
+        requests_at_crashes = sum(len(fleet.requests_at_crashes) for fleet in fleets)
+        result[kind] = (
+            blamed,
+            requests_at_crashes,
+            sum(bool(fleet.falsely_blamed()) for fleet in fleets),
+        )
+    return result
 
 
 @pytest.mark.parametrize("kind", KINDS)
 @given(seed=st.integers(0, 10_000_000))
 @settings(max_examples=60, deadline=None)
-def test_no_more_are_blamed_than_runners_ended_one_after_the_other(kind: str, seed: int) -> None:
-    fleet = drawn_fleet(kind, seed)
+def test_fewer_requests_are_blamed_than_runners_crashed_in_sequence(kind: str, seed: int) -> None:
+    fleet = simulate_fleet(kind, seed)
     ends = {end.runner_id: end for end in fleet.record.ends()}
-    for found in fleet.record.fatal().values():
-        assert len(found.runner_ids) >= 2
-        first, second = (ends[runner_id] for runner_id in found.runner_ids[:2])
-        assert second.began_at(found.fingerprint) > first.ended_at
-        assert found.fingerprint not in fleet.record.suspects()
-        assert fleet.record.suspicion(found.fingerprint, second.ended_at) is Suspicion.FATAL
+    for result in fleet.record.fatal().values():
+        assert len(result.runner_ids) >= 2
+        first, second = (ends[runner_id] for runner_id in result.runner_ids[:2])
+        assert second.began_at(result.fingerprint) > first.ended_at
+        assert result.fingerprint not in fleet.record.suspects()
+        assert fleet.record.suspicion(result.fingerprint, second.ended_at) is Suspicion.FATAL
     assert len(fleet.record.fatal()) <= max(0, len(ends) - 1)
 
 
-@pytest.mark.parametrize(("kind", "most"), zip(KINDS, MOST_BLAMED, strict=True))
-def test_few_are_blamed_falsely(kind: str, most: float) -> None:
-    fleets = [drawn_fleet(kind, seed) for seed in range(300)]
+@pytest.mark.parametrize(("kind", "most"), zip(KINDS, MAX_BLAMED_SHARES, strict=True))
+def test_few_innocent_requests_are_blamed(kind: str, most: float) -> None:
+    fleets = [simulate_fleet(kind, seed) for seed in range(300)]
     blamed = sum(len(fleet.falsely_blamed()) for fleet in fleets)
-    witnesses = sum(len(fleet.witnesses) for fleet in fleets)
-    assert blamed <= most * witnesses
+    requests_at_crashes = sum(len(fleet.requests_at_crashes) for fleet in fleets)
+    assert blamed <= most * requests_at_crashes
 
 
-def test_most_fatal_requests_among_24_streams_are_found_at_their_second_end() -> None:
-    fleets = [drawn_fleet("24 streams", seed) for seed in range(200)]
-    assert all(fleet.fatal_ends == 2 for fleet in fleets)
-    found = sum(FATAL in fleet.record.fatal() for fleet in fleets)
-    assert found >= 0.9 * len(fleets)
+def test_most_fatal_requests_among_24_streams_are_detected_at_the_second_crash() -> None:
+    fleets = [simulate_fleet("24 streams", seed) for seed in range(200)]
+    assert all(fleet.fatal_crashes == 2 for fleet in fleets)
+    result = sum(FATAL in fleet.record.fatal() for fleet in fleets)
+    assert result >= 0.9 * len(fleets)
 
 
-def test_a_request_of_many_callers_that_never_ends_well_is_fatal_though_it_is_popular() -> None:
+def test_a_popular_request_that_never_succeeds_is_fatal() -> None:
     record = RunnerEndRecord()
     record.note_end("i-1", 1.0, {POPULAR: RunAtEnd(0.1)}, 1.0)
     record.note_end("i-2", 1.2, {POPULAR: RunAtEnd(0.1)}, 1.2)
     assert record.suspicion(POPULAR, NOW) is Suspicion.FATAL
 
 
-def test_ends_at_which_it_was_at_work_all_the_time_show_nothing_of_a_popular_request() -> None:
+def test_crashes_during_concurrent_runs_do_not_make_a_popular_request_fatal() -> None:
     record = RunnerEndRecord()
     record.note_end("i-1", 1.0, {POPULAR: RunAtEnd(0.4)}, 1.0)
     record.note_end("i-2", 1.2, {POPULAR: RunAtEnd(0.5)}, 1.2)
     assert record.suspicion(POPULAR, NOW) is Suspicion.SUSPECT
 
 
-def test_a_run_that_ended_well_clears_until_the_next_end() -> None:
+def test_a_successful_run_clears_a_request_until_the_next_crash() -> None:
     record = RunnerEndRecord()
     record.note_end("i-1", 1.0, {7: RunAtEnd(0.1)}, 1.0)
     assert record.suspicion(7, NOW) is Suspicion.SUSPECT
@@ -237,7 +244,7 @@
     assert record.suspicion(7, NOW) is Suspicion.SUSPECT
 
 
-def test_an_end_that_is_taken_back_takes_its_verdicts_with_it() -> None:
+def test_retracting_a_crash_reverts_the_classification() -> None:
     record = RunnerEndRecord()
     record.note_end("i-1", 1.0, {7: RunAtEnd(0.1)}, 1.0)
     record.note_end("i-2", 1.2, {7: RunAtEnd(0.1)}, 1.2)
@@ -250,21 +257,21 @@
     assert record.suspicion(7, NOW) is Suspicion.FATAL
 
 
-def test_what_several_nodes_tell_of_an_end_is_one_end() -> None:
+def test_reports_of_several_nodes_about_one_crash_are_merged() -> None:
     record = RunnerEndRecord()
     record.note_end("i-1", 1.000, {7: RunAtEnd(0.1)}, 1.0)
     record.note_end("i-1", 1.003, {8: RunAtEnd(0.2)}, 1.0)
     assert [set(end.runs) for end in record.ends()] == [{7, 8}]
 
 
-def test_a_settled_stream_goes_on_without_restriction() -> None:
+def test_a_settled_stream_is_no_suspect() -> None:
     record = RunnerEndRecord()
     record.note_end("i-1", 9.0, {7: RunAtEnd(5.0, 4.5), 8: RunAtEnd(0.1)}, 9.0)
     assert record.suspicion(7, NOW) is Suspicion.NONE
     assert record.suspicion(8, NOW) is Suspicion.SUSPECT
 
 
-def test_those_beside_a_fatal_request_are_suspects_no_longer() -> None:
+def test_requests_at_crashes_of_a_fatal_request_are_no_longer_suspects() -> None:
     record = RunnerEndRecord()
     record.note_end("i-1", 1.0, {7: RunAtEnd(0.1), 8: RunAtEnd(0.2)}, 1.0)
     record.note_end("i-2", 1.2, {7: RunAtEnd(0.1), 9: RunAtEnd(0.2)}, 1.2)
@@ -273,7 +280,7 @@
     assert record.suspicion(9, NOW) is Suspicion.NONE
 
 
-def test_of_two_that_moved_together_neither_is_blamed_before_the_third_end() -> None:
+def test_of_two_requests_that_moved_together_neither_is_fatal_before_the_third_crash() -> None:
     record = RunnerEndRecord()
     for number in (1, 2):
         at = float(number)
@@ -285,7 +292,7 @@
     assert record.suspicion(7, NOW) is Suspicion.NONE
 
 
-def test_ends_are_forgotten_but_those_that_a_verdict_rests_on_later() -> None:
+def test_crashes_of_a_fatal_request_are_retained_longer() -> None:
     record = RunnerEndRecord()
     record.note_end("i-1", 1.0, {7: RunAtEnd(0.1)}, 1.0)
     record.note_end("i-2", 1.2, {7: RunAtEnd(0.1)}, 1.2)
@@ -293,7 +300,7 @@
     record.expire(1.4 + END_SECONDS)
     assert [end.runner_id for end in record.ends()] == ["i-1", "i-2"]
     assert record.suspicion(7, 1.1 + FATAL_SECONDS) is Suspicion.FATAL
-    # After its time it is tried once more, and one further end suffices.
+    # After FATAL_SECONDS the request is tried once more; one further crash makes it fatal again.
     assert record.suspicion(7, 1.3 + FATAL_SECONDS) is Suspicion.SUSPECT
     assert record.rank(7) == 0
     record.note_end("i-4", 100.0, {7: RunAtEnd(0.1), 9: RunAtEnd(0.1)}, 100.0)
@@ -303,7 +310,7 @@
     assert not record
 
 
-def test_a_late_word_that_a_runner_was_heard_does_not_undo_a_later_one() -> None:
+def test_an_older_contact_does_not_replace_a_later_one() -> None:
     record = RunnerEndRecord()
     record.take_back("i-1", 2.0)
     record.take_back("i-1", 1.0)
--- a/tests/fleet/test_runner_load.py
+++ b/tests/fleet/test_runner_load.py
@@ -1,4 +1,4 @@
-"""Running totals of loads agree with adding everything up anew."""
+"""Running totals of loads equal the sums over the individual loads."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @given(reports=reports, pause=st.floats(0.0, 3.0))
-def test_totals_are_the_sum_of_the_reports_that_are_not_out_of_date(
+def test_totals_are_the_sum_of_the_reports_that_have_not_expired(
     reports: list[tuple[str, RunnerLoad, float]], pause: float
 ) -> None:
     totals = ReportedLoads()
@@ -38,7 +38,7 @@
     assert len(totals) == len(fresh)
 
 
-def test_a_peer_without_load_takes_no_room() -> None:
+def test_a_peer_without_load_is_not_stored() -> None:
     totals = ReportedLoads()
     for number in range(1_000):
         totals.report(f"node-{number}", RunnerLoad(), 1.0)
@@ -48,7 +48,7 @@
     assert len(totals) == 0 and totals.total(1.1) == RunnerLoad()
 
 
-def test_own_attempts_count_once_and_until_they_end() -> None:
+def test_own_attempts_count_once_until_they_end() -> None:
     attempts = OwnAttempts()
     attempts.add("a", OwnAttempt(10, 700, 0.0, 1.0, long=True))
     attempts.add("a", OwnAttempt(10, 500, 0.0, 1.0))
@@ -59,5 +59,5 @@
     assert attempts.load() == RunnerLoad(1, 1, 300)
 
 
-def test_a_load_without_more_than_itself_is_nothing() -> None:
+def test_subtracting_a_larger_load_gives_zero() -> None:
     assert RunnerLoad(2, 1, 50).without(RunnerLoad(3, 0, 20)) == RunnerLoad(0, 1, 30)
--- a/tests/fleet/test_runner_pool.py
+++ b/tests/fleet/test_runner_pool.py
@@ -1,4 +1,4 @@
-"""Beliefs about runners: suspicion, silence, draining, versions, loads of peers."""
+"""The runner pool: suspicion, silence, draining, weights versions, loads of peers."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
     assert pool.accepting(APPLICATION, 0.0) == []
 
 
-def test_an_older_entry_changes_nothing() -> None:
+def test_an_entry_with_an_older_revision_is_ignored() -> None:
     pool, runner = make_pool()
     pool.update(make_entry("i-1", draining=True, revision=5))
     assert pool.update(make_entry("i-1", revision=4)) is None
     assert runner.entry.draining
 
 
-def test_failures_pause_longer_and_longer_until_an_answer() -> None:
+def test_suspicion_doubles_with_each_failure_until_an_answer() -> None:
     pool, runner = make_pool()
     pool.failed(runner, 0.0)
     assert not runner.accepts(SUSPECT_SECONDS - 0.01)
@@ -48,13 +48,13 @@
     assert runner.accepts(2.0 + SUSPECT_SECONDS)
 
 
-def test_a_refused_connection_pauses_at_once_for_long() -> None:
+def test_a_refused_connection_suspects_the_runner_for_longer() -> None:
     pool, runner = make_pool()
     pool.unreachable(runner, 0.0)
     assert not runner.accepts(UNREACHABLE_SECONDS - 0.1)
 
 
-def test_silence_needs_something_owed() -> None:
+def test_a_runner_is_silent_only_with_an_overdue_attempt() -> None:
     pool, runner = make_pool()
     assert not runner.is_silent(100.0)
     pool.sent(runner, "a", OwnAttempt(0, 0, 0.0, due_at=1.0), 1.0)
@@ -67,7 +67,7 @@
     assert not runner.is_silent(9.0)
 
 
-def test_a_started_stream_owes_bytes_all_the_time() -> None:
+def test_a_runner_is_silent_if_a_started_stream_gets_no_bytes() -> None:
     pool, runner = make_pool()
     pool.sent(runner, "a", OwnAttempt(0, 0, 0.0, due_at=100.0), 1.0)
     pool.heard(runner, 0.5)
@@ -75,7 +75,7 @@
     assert runner.is_silent(0.6 + SILENCE_SECONDS)
 
 
-def test_a_peer_is_believed_unless_this_node_heard_the_runner_itself() -> None:
+def test_a_suspicion_of_a_peer_is_ignored_after_recent_contact() -> None:
     pool, runner = make_pool()
     pool.heard(runner, 1.0)
     pool.suspected_by_peer(runner, 1.1)
@@ -96,7 +96,7 @@
     assert runner.weights_version(MODEL) == 2
 
 
-def test_loads_of_peers_count_while_they_are_fresh() -> None:
+def test_loads_of_peers_count_until_they_expire() -> None:
     pool, runner = make_pool()
     pool.note_peer_load(runner, "node-2", RunnerLoad(3, 1, 900), 10.0)
     pool.sent(runner, "a", OwnAttempt(0, 100, 10.0, due_at=11.0), 1.0)
--- a/tests/stateful/test_crash_counts.py
+++ b/tests/stateful/test_crash_counts.py
@@ -1,7 +1,7 @@
-"""The counts of several nodes under one request that crashes every runner, words in any order.
+"""Crash counts of several nodes for one request that crashes every runner.
 
-Words between nodes take up to 50 ms, come twice and in any order. Whatever the callers do, no more
-than three sends come later than the third crash was known everywhere.
+Messages between nodes take up to 50 ms and may be duplicated and reordered. Whatever the callers
+do, at most three sends follow after all nodes know of the third crash.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 NAME = 7
 NODES = 4
 CRASH_SECONDS = 0.1
-# Longer than the way by relays, which takes up to 30 ms more than that between two nodes.
-WORD_SECONDS = 0.05
+# Longer than the delay via relays, which is up to 30 ms above the direct delay between two nodes.
+MESSAGE_SECONDS = 0.05
 CONTACT_SECONDS = 3.0
 SENDS_ALLOWED_LATER = 3
 
 
 @dataclass(frozen=True)
-class Word:
-    """What one node tells another: a crash, or a trial that begins."""
+class Message:
+    """A message between two nodes: a crash, or the start of a trial if ``crash`` is None."""
 
     to: int
-    told_at: float
+    sent_at: float
     crash: CrashedRun | None
 
 
 class CountsInAnyOrder(RuleBasedStateMachine):
-    """Nodes that send a request whenever their own count lets them."""
+    """Nodes that send a request whenever their own count allows it."""
 
     @initialize()
     def start(self) -> None:
         self.now = 100.0
         self.counts = [CrashCounts() for _ in range(NODES)]
-        self.words: list[Word] = []
+        self.messages: list[Message] = []
         self.crashes: list[CrashedRun] = []
         self.pending: list[tuple[int, CrashedRun]] = []
 
@@ -47,13 +47,14 @@
     def try_again(self, node: int) -> None:
         counts = self.counts[node]
         if counts.count(NAME) and self.pending:
-            # Suspects go one at a time: nodes choose some ms apart and tell of it (``Probations``).
+            # Suspects run one at a time: nodes decide some ms apart and notify the others of a run
+            # (``Probations``).
             return
         if counts.is_bounded(NAME):
             if not counts.may_try(NAME, node, self.now):
                 return
             counts.note_trial(NAME, self.now)
-            self._tell(node, None)
+            self._broadcast(node, None)
         crash = CrashedRun(
             f"i-{len(self.crashes) + len(self.pending)}", self.now, self.now + CRASH_SECONDS
         )
@@ -65,20 +66,20 @@
         while due := [due for due in self._due() if due <= until]:
             self.now = max(self.now, min(due))
             self._crash_now()
-            self._deliver_late_ones()
+            self._deliver_due()
         self.now = until
 
     @rule(data=st.data(), again=st.booleans())
     def deliver(self, data: st.DataObject, again: bool) -> None:
-        if not self.words:
+        if not self.messages:
             return
-        word = data.draw(st.sampled_from(self.words))
-        self._take(word)
+        message = data.draw(st.sampled_from(self.messages))
+        self._apply(message)
         if not again:
-            self.words.remove(word)
+            self.messages.remove(message)
 
     @invariant()
-    def few_sends_come_later(self) -> None:
+    def few_sends_after_the_bound(self) -> None:
         if len(self.crashes) < MAX_CRASHES:
             return
         ended = sorted(crash.ended_at for crash in self.crashes)
@@ -88,27 +89,31 @@
 
     def _due(self) -> list[float]:
         ends = [crash.ended_at for _, crash in self.pending]
-        return ends + [word.told_at + WORD_SECONDS for word in self.words]
+        return ends + [message.sent_at + MESSAGE_SECONDS for message in self.messages]
 
     def _crash_now(self) -> None:
         for node, crash in [each for each in self.pending if each[1].ended_at <= self.now]:
             self.pending.remove((node, crash))
             self.crashes.append(crash)
             self.counts[node].note(NAME, crash)
-            self._tell(node, crash)
-
-    def _deliver_late_ones(self) -> None:
-        for word in [word for word in self.words if word.told_at + WORD_SECONDS <= self.now]:
-            self.words.remove(word)
-            self._take(word)
-
-    def _tell(self, node: int, crash: CrashedRun | None) -> None:
-        self.words += [Word(other, self.now, crash) for other in range(NODES) if other != node]
-
-    def _take(self, word: Word) -> None:
-        counts = self.counts[word.to]
-        if word.crash is not None:
-            counts.note(NAME, word.crash)
+            self._broadcast(node, crash)
+
+    def _deliver_due(self) -> None:
+        for message in [
+            message for message in self.messages if message.sent_at + MESSAGE_SECONDS <= self.now
+        ]:
+            self.messages.remove(message)
+            self._apply(message)
+
+    def _broadcast(self, node: int, crash: CrashedRun | None) -> None:
+        self.messages += [
+            Message(other, self.now, crash) for other in range(NODES) if other != node
+        ]
+
+    def _apply(self, message: Message) -> None:
+        counts = self.counts[message.to]
+        if message.crash is not None:
+            counts.note(NAME, message.crash)
         else:
             counts.note_trial(NAME, self.now)
 
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -39,7 +39,7 @@
     return make_policy(routing).choose(REQUEST, engines, Random(1)).engine_id
 
 
-def test_hashes_differ_by_every_part_of_the_scope() -> None:
+def test_hashes_depend_on_every_field_of_the_scope() -> None:
     base = PrefixScope("tenant", "model", 1, "adapter", 1)
     others = [
         replace(base, tenant="other"),
@@ -67,7 +67,7 @@
     assert choose("full", busy, VIEW) == "engine-0"
 
 
-def test_full_policy_discounts_beliefs_with_a_gap() -> None:
+def test_full_policy_discounts_untrusted_matches() -> None:
     doubted = replace(VIEW, engine_id="doubted", matched_blocks=4, trusted=False)
     sure = replace(VIEW, engine_id="sure", matched_blocks=3)
     assert choose("full", doubted, sure) == "sure"
@@ -88,7 +88,7 @@
     assert choose(policy, idle, busy) in ("idle", "busy")
 
 
-def test_a_new_incarnation_drops_all_beliefs() -> None:
+def test_a_new_incarnation_drops_all_blocks() -> None:
     index = CacheIndex()
     index.observe_incarnation("engine", "one")
     index.stored("engine", "one", [1, 2, 3])
@@ -99,7 +99,7 @@
     assert index.matched_blocks("engine", (1, 2, 3), 0.0) == 0
 
 
-def test_a_gap_distrusts_until_it_is_closed() -> None:
+def test_a_partition_is_untrusted_until_its_gap_is_closed() -> None:
     index = CacheIndex()
     assert index.observe_sequence("engine", "one", 0) is None
     gap = index.observe_sequence("engine", "one", 3)
@@ -170,7 +170,7 @@
     scope = PrefixScope("tenant-a", "model", 2)
     prompt = TextHashes(b"x" * 300, 100, 1, scope)
     fleet.observe_status("engine-0", "one", 2, False)
-    # engine-1 still serves version 1; blocks under the hashes of version 2 are of no use there.
+    # engine-1 still serves version 1, so its blocks under the hashes of version 2 do not match.
     index.stored("engine-1", "one", prompt.for_version(2))
     request = replace(make_request(2), hashes=prompt)
     placement = router.place(request, 0.0, excluded=("engine-0",))
@@ -204,7 +204,7 @@
     assert router.place(make_request(), 0.0) is not None
 
 
-def test_a_peers_word_starts_the_drain_of_one_incarnation() -> None:
+def test_a_leaving_notice_drains_one_incarnation() -> None:
     router, fleet, _ = make_router(1)
     fleet.observe_notices([LeavingNotice("engine-0", "another life")])
     assert router.place(make_request(), 0.0) is not None
@@ -213,7 +213,7 @@
     assert fleet.leaving_notices() == (LeavingNotice("engine-0", "one"),)
 
 
-def test_a_process_that_resumed_sends_no_work_on_its_old_view() -> None:
+def test_a_resumed_process_places_no_work_before_a_refresh() -> None:
     router, fleet, _ = make_router(1)
     assert not fleet.heartbeat(0.0)
     assert router.place(make_request(), 10.0) is None
@@ -223,7 +223,7 @@
     assert router.place(make_request(), 10.1) is not None
 
 
-def test_a_suspected_engine_comes_back_after_a_while() -> None:
+def test_a_suspicion_expires() -> None:
     router, fleet, _ = make_router(1)
     fleet.observe_failure("engine-0", 0.0)
     assert router.place(make_request(), 0.1) is None
@@ -246,14 +246,14 @@
     return AdmissionRequest(**(fields | changes))  # type: ignore[arg-type]
 
 
-def test_admission_is_work_conserving_while_nobody_waits() -> None:
+def test_admission_is_work_conserving_while_no_request_waits() -> None:
     admission = Admission({"a": 1.0, "b": 1.0}, 1.0, 10.0)
     admission.try_admit(admission_request("b", 0.0), 0.0)
     for _ in range(100):
         assert admission.try_admit(admission_request("a", 0.001), 0.0) is None
 
 
-def test_a_flooding_tenant_is_refused_and_the_others_are_not() -> None:
+def test_only_a_tenant_over_its_share_is_refused() -> None:
     admission = Admission({"a": 1.0, "b": 1.0}, 1.0, 10.0)
     for _ in range(100):
         admission.try_admit(admission_request("a", 0.5), 0.0)
@@ -264,7 +264,7 @@
     assert admission.try_admit(admission_request("b", 2.0), 0.0) is None
 
 
-def test_the_further_over_its_share_the_sooner_a_tenant_is_refused() -> None:
+def test_tenants_further_over_their_share_are_refused_at_shorter_waits() -> None:
     admission = Admission({"a": 1.0, "b": 1.0, "c": 8.0}, 1.0, 10.0)
     for tenant, requests in (("a", 60), ("b", 12), ("c", 60)):
         for _ in range(requests):
@@ -274,7 +274,7 @@
     assert admission.try_admit(admission_request("c", 2.0), 0.0) is None
 
 
-def test_coming_back_after_retry_after_is_admitted() -> None:
+def test_a_retry_after_the_retry_delay_is_admitted() -> None:
     admission = Admission({"a": 1.0, "b": 1.0}, 1.0, 10.0)
     for _ in range(30):
         admission.try_admit(admission_request("a", 0.5), 0.0)
@@ -295,7 +295,7 @@
     assert refusal.reason is RefusalReason.DEADLINE
 
 
-def test_urgent_work_passes_until_the_hard_limit() -> None:
+def test_urgent_requests_are_admitted_up_to_the_hard_limit() -> None:
     admission = Admission({"a": 1.0}, 1.0, 10.0)
     assert admission.try_admit(admission_request("a", 9.0, urgent=True), 0.0) is None
     refusal = admission.try_admit(admission_request("a", 11.0, urgent=True), 0.0)
