--- a/src/hillstack/core/runner_limit.py
+++ b/src/hillstack/core/runner_limit.py
@@ -70,7 +70,7 @@
 
     Attributes:
         rate: Requests per second that the runner accepts from all nodes; None without a limit.
-        named_at: When the latest answer with the limit arrived.
+        last_reported_at: When the latest answer with the limit arrived.
         first_named_at: When the first answer with a limit arrived since the runner had none.
         source: The first answer with the limit, for the log.
         asked_at: When the request of the latest applied answer was sent.
@@ -85,7 +85,7 @@
     """
 
     rate: float | None = None
-    named_at: float = float("-inf")
+    last_reported_at: float = float("-inf")
     first_named_at: float = float("-inf")
     source: str = ""
     asked_at: float = float("-inf")
@@ -101,7 +101,10 @@
         """Return the requests per second that the runner accepts from all nodes, or None."""
         if now >= self.hinted_until:
             return self.rate
-        if self.rate is None or self.hinted_asked_at - HINT_TRANSIT_SECONDS >= self.named_at:
+        if (
+            self.rate is None
+            or self.hinted_asked_at - HINT_TRANSIT_SECONDS >= self.last_reported_at
+        ):
             return self.hinted_rate
         return min(self.rate, self.hinted_rate)
 
@@ -127,7 +130,7 @@
         self.may_probe = False
         if self.rate is None:
             self.first_named_at, self.source = now, str(source)
-        self.rate, self.named_at, self.asked_at = rate, now, asked_at
+        self.rate, self.last_reported_at, self.asked_at = rate, now, asked_at
         self.kinds |= {source.kind}
         return is_news
 
@@ -172,7 +175,7 @@
         asked_at = now - age_seconds - HINT_TRANSIT_SECONDS
         if asked_at >= self.hinted_asked_at:
             self.hinted_until = float("-inf")
-        if self.rate is not None and asked_at >= self.named_at:
+        if self.rate is not None and asked_at >= self.last_reported_at:
             self.may_probe = True
             self.no_room_until = float("-inf")
 
@@ -190,7 +193,7 @@
         """
         if self.in_force(now) is None or not source.is_whole:
             return False
-        if asked_at < max(self.named_at, self.hinted_asked_at):
+        if asked_at < max(self.last_reported_at, self.hinted_asked_at):
             return False
         if source.kind is not AnswerKind.REQUEST and source.kind not in self.kinds:
             return False
