--- a/src/hillstack/core/answer_durations.py
+++ b/src/hillstack/core/answer_durations.py
@@ -34,8 +34,8 @@
         if self._seen % ANSWERS_A_LOOK == 0:
             ordered = sorted(self._durations)
             self._median = ordered[len(ordered) // 2]
-            usual = ordered[min(len(ordered) - 1, int(QUANTILE * len(ordered)))]
-            self._overdue = max(SHORTEST_SECONDS, OVERDUE_FACTOR * usual)
+            quantile_seconds = ordered[min(len(ordered) - 1, int(QUANTILE * len(ordered)))]
+            self._overdue = max(SHORTEST_SECONDS, OVERDUE_FACTOR * quantile_seconds)
 
     def overdue_seconds(self) -> float:
         """Return the seconds after which an answer is overdue."""
--- a/src/hillstack/core/cache_index.py
+++ b/src/hillstack/core/cache_index.py
@@ -160,8 +160,8 @@
     def expire(self, now: float) -> None:
         """Drop expected blocks whose time has passed."""
         for partition in self._partitions.values():
-            lapsed = [block for block, until in partition.expected.items() if until <= now]
-            for block in lapsed:
+            expired = [block for block, until in partition.expected.items() if until <= now]
+            for block in expired:
                 del partition.expected[block]
 
     def total_blocks(self) -> int:
--- a/src/hillstack/core/crash_counts.py
+++ b/src/hillstack/core/crash_counts.py
@@ -16,8 +16,9 @@
 
 from hillstack.core.runner_ends import ORDER_SLACK_SECONDS
 
-# Crashes under one content name from which a request with that name is a suspect, even if its own
-# fingerprint was at no crash. With 1, all requests with the same short body would become suspects.
+# Crashes under one content name from which a request with that name is a suspect, even if no crash
+# is recorded for its fingerprint. With 1, all requests with the same short body would become
+# suspects.
 MIN_SUSPECT_CRASHES = 2
 # Crashes from which a request is refused, except for single trials.
 MAX_CRASHES = 3
--- a/src/hillstack/core/overload.py
+++ b/src/hillstack/core/overload.py
@@ -32,5 +32,5 @@
     allowed = min(target, remaining) if target > 0 else remaining
     if waiting <= allowed:
         return None
-    shrunk = waiting - max(0.0, target - own_work)
-    return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, shrunk))
+    retry_after = waiting - max(0.0, target - own_work)
+    return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, retry_after))
--- a/src/hillstack/core/runner_ends.py
+++ b/src/hillstack/core/runner_ends.py
@@ -403,12 +403,12 @@
             for other in first.runs.keys() & second.runs.keys()
             if _is_sequential(other, first, second)
         }
-        chance = COINCIDENCE_SCORE_BESIDE_FATAL if explained_crashes else COINCIDENCE_SCORE
-        beside = max(
+        coincidence = COINCIDENCE_SCORE_BESIDE_FATAL if explained_crashes else COINCIDENCE_SCORE
+        unexplained = max(
             self._unexplained_simultaneous(end, fingerprint, explained) for end in (first, second)
         )
-        chance += COINCIDENCE_SCORE_PER_CRASH * beside
-        return scores[fingerprint] / (sum(scores.values()) + chance)
+        coincidence += COINCIDENCE_SCORE_PER_CRASH * unexplained
+        return scores[fingerprint] / (sum(scores.values()) + coincidence)
 
 
 def _has_common_cause(simultaneous: list[RunnerEnd], fingerprint: int) -> bool:
--- a/src/hillstack/core/runner_signals.py
+++ b/src/hillstack/core/runner_signals.py
@@ -2,8 +2,8 @@
 
 A node receives these signals directly and at once, while the directory has them only after a write
 to its store, which fails during an outage. Signals apply to one process of a runner, whatever the
-directory lists meanwhile. A leaving process never returns, a backoff ends after its time, and a
-limit ends with an answer of the runner (``runner_limit``).
+directory lists meanwhile. A leaving process never accepts work again, a backoff ends after its
+time, and a limit ends with an answer that has none (``runner_limit``).
 """
 
 from __future__ import annotations
--- a/src/hillstack/core/traffic_split.py
+++ b/src/hillstack/core/traffic_split.py
@@ -12,7 +12,7 @@
 
 
 class TrafficSplit:
-    """Chooses services by smooth weighted round robin, with separate balances for each route."""
+    """Chooses the service of each request, with separate balances for each route."""
 
     def __init__(self) -> None:
         self._balances: dict[str, dict[str, float]] = {}
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -271,8 +271,8 @@
     Mutation(
         "callers are told to come back before they can be in time",
         "core/overload.py",
-        "shrunk = waiting - max(0.0, target - own_work)",
-        "shrunk = waiting - target",
+        "retry_after = waiting - max(0.0, target - own_work)",
+        "retry_after = waiting - target",
     ),
     Mutation(
         "what would wait until its deadline is taken",
@@ -782,7 +782,7 @@
     Mutation(
         "any answer without a limit ends it",
         "core/runner_limit.py",
-        "        if asked_at < max(self.named_at, self.hinted_asked_at):",
+        "        if asked_at < max(self.last_reported_at, self.hinted_asked_at):",
         "        if False:",
     ),
     Mutation(
