--- a/src/hillstack/core/placement/expected_delay.py
+++ b/src/hillstack/core/placement/expected_delay.py
@@ -45,8 +45,8 @@
 SHED_PENALTY_SECONDS = 0.5
 # Round trip between zones (one way takes 0.9 to 1.4 ms on the observed deployments).
 REMOTE_PENALTY_SECONDS = 0.002
-# Cost of a runner to which this node has no idle connection. A new connection occupies a slot of
-# the runner for a millisecond and costs both sides system calls. At 64 nodes, 45 runners and 250
+# Cost of a runner to which this node has no idle connection. A new connection occupies the
+# runner for a millisecond and costs both sides system calls. At 64 nodes, 45 runners and 250
 # requests/s, new connections for 4,900 requests fell from 2,749 without the penalty to 2,270 with
 # 0.02 and 1,753 with 0.06; served requests, late requests and repeated prefills were equal within
 # noise. The penalty is larger than the hash bonus and smaller than a repeated prefill of a shared
--- a/src/hillstack/core/runner_pool.py
+++ b/src/hillstack/core/runner_pool.py
@@ -329,7 +329,7 @@
         return runner if changed else None
 
     def _with_known_draining(self, entry: RunnerEntry) -> RunnerEntry:
-        """Return an entry of a new store era, marked as draining if the process was draining.
+        """Return the entry, marked as draining if the process was draining in an earlier store era.
 
         The entry in a restored store may come from a backup made before the process was draining.
         """
