--- a/src/hillstack/core/placement/kept_parts.py
+++ b/src/hillstack/core/placement/kept_parts.py
@@ -117,7 +117,8 @@
     """The holders of a prompt's parts under one salt.
 
     Attributes:
-        known_tokens: Maximum number of shared tokens that a single holder has or is prefilling.
+        known_tokens: Maximum number of shared tokens that any runner has or is prefilling, or that
+            a store in another region has.
         matched: Cached leading tokens of the whole prompt, by runner with any.
     """
 
