--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -271,8 +271,8 @@
     Mutation(
         "callers are told to come back before they can be in time",
         "core/overload.py",
-        "shrunk = waiting - max(0.0, target - own_work)",
-        "shrunk = waiting - target",
+        "retry_after = waiting - max(0.0, target - own_work)",
+        "retry_after = waiting - target",
     ),
     Mutation(
         "what would wait until its deadline is taken",
@@ -409,7 +409,7 @@
     Mutation(
         "prefills do not weigh against streams",
         "core/placement/expected_delay.py",
-        "cost += _harm(load.running, queue, prefill, around)",
+        "cost += _interference(load.running, queue, prefill, inputs)",
         "pass",
     ),
     Mutation(
@@ -782,7 +782,7 @@
     Mutation(
         "any answer without a limit ends it",
         "core/runner_limit.py",
-        "        if asked_at < max(self.named_at, self.hinted_asked_at):",
+        "        if asked_at < max(self.last_reported_at, self.hinted_asked_at):",
         "        if False:",
     ),
     Mutation(
@@ -1000,7 +1000,7 @@
     Mutation(
         "a runner that was gone is used from the copy",
         "core/runner_pool.py",
-        "return gone.revision.era < entry.revision.era",
+        "return dropped.revision.era < entry.revision.era",
         "return False",
     ),
     Mutation(
