--- a/src/hillstack/core/__init__.py
+++ b/src/hillstack/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a node: no I/O, no clock, no randomness of their own."""
+"""Decision logic of a node. It does no I/O; time and randomness are passed in."""
--- a/src/hillstack/core/bucket_holders.py
+++ b/src/hillstack/core/bucket_holders.py
@@ -1,8 +1,8 @@
 """Which nodes hold the token buckets of tenants' limits, as one node sees it.
 
-A zone's buckets are with the node that relays for the zone. Nobody is appointed, and nodes need not
-agree: whoever is handed time holds what it is worth. Where they agree, tokens lie together and few
-messages are needed.
+The relay of a zone holds the zone's buckets. There is no election, and nodes need not agree on the
+holder: any node that receives contributed time holds the tokens it is worth (``token_buckets``).
+Where nodes agree, the tokens are in one place and few messages are needed.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 from hillstack.core.node_directory import NodeDirectory, NodeEntry
 from hillstack.core.relay_choice import RelayChoice
 
-# A holder that did not answer is not asked for that long: a restart takes about a second.
-PASS_OVER_SECONDS = 1.0
+# How long a holder that did not answer is skipped. A restart takes about a second.
+SKIP_SECONDS = 1.0
 
 
 class BucketHolders:
-    """The choice of holders of one node.
+    """Chooses the bucket holders that one node uses.
 
     Args:
         node_id: This node.
-        directory: All nodes.
-        choice: Who relays.
+        directory: All listed nodes.
+        choice: The choice of relays.
         zone: Zone of this node.
     """
 
@@ -31,17 +31,17 @@
         self._directory = directory
         self._choice = choice
         self._zone = zone
-        self._silent_until: dict[str, float] = {}
+        self._skipped_until: dict[str, float] = {}
 
     def own(self, now: float) -> NodeEntry | None:
-        """Return the holder that this node hands its time to; None if it is this node."""
+        """Return the holder that this node contributes its time to; None if it is this node."""
         group = self._choice.group(self._zone)
         relay = self._choice.relay(group, now)
         candidates = (relay, *self._directory.relay_order(group))
         for node_id in candidates:
             if node_id == self._node_id:
                 return None
-            if node_id is not None and now >= self._silent_until.get(node_id, now):
+            if node_id is not None and now >= self._skipped_until.get(node_id, now):
                 return self._directory.get(node_id)
         return None
 
@@ -53,9 +53,9 @@
         return self._choice.relays_of_others(group, now)
 
     def note_silent(self, node_id: str, now: float) -> None:
-        """Note that a holder did not answer."""
-        self._silent_until[node_id] = now + PASS_OVER_SECONDS
+        """Record that a holder did not answer."""
+        self._skipped_until[node_id] = now + SKIP_SECONDS
 
     def note_answer(self, node_id: str) -> None:
-        """Note that a holder answered."""
-        self._silent_until.pop(node_id, None)
+        """Record that a holder answered."""
+        self._skipped_until.pop(node_id, None)
--- a/src/hillstack/core/change_score.py
+++ b/src/hillstack/core/change_score.py
@@ -1,9 +1,10 @@
-"""A sequential test for answers that get worse at some unknown moment.
+"""A sequential change-point test: detects that answers became worse at an unknown moment.
 
-Each step adds the log of how much likelier its answers are from a bad version than from a good one.
-The score is the largest sum that ends now (Page's cumulative sum), so good answers of long ago
-don't hide trouble that begins later. A crash or a load of weights makes one burst and no more:
-the score without its worst burst tells whether there is evidence beside it.
+Each step adds the log likelihood ratio of its answers, bad version to good version. The score is
+the largest sum over steps that end with the latest one (Page's cumulative sum, CUSUM), so earlier
+good answers don't hide a problem that begins later. A runner crash or a load of weights causes a
+single burst of bad answers. The score without its worst burst shows whether there is evidence
+besides that burst.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
     """The answers of one step.
 
     Attributes:
-        gain: Sum of their log likelihood ratios, bad to good.
-        answered: Answers.
-        bad: Those of them that count as bad.
-        expected: How many would be bad at the rate of the other versions.
+        gain: Sum of the log likelihood ratios of the answers, bad version to good version.
+        answered: Number of answers.
+        bad: Number of answers that count as bad.
+        expected: Number of answers that would be bad at the rate of the other versions.
     """
 
     gain: float
@@ -31,11 +32,11 @@
 
 
 class ChangeScore:
-    """Scores one kind of trouble in one group of answers.
+    """CUSUM score for one kind of problem in one group of answers.
 
     Args:
-        burst_steps: Steps that one burst may fill.
-        memory_steps: Steps that are remembered.
+        burst_steps: Greatest length of a burst, in steps.
+        memory_steps: Number of latest steps that are stored.
     """
 
     def __init__(self, burst_steps: int, memory_steps: int) -> None:
@@ -44,18 +45,18 @@
         self.score = 0.0
 
     def add(self, step: ScoredStep) -> None:
-        """Take over the answers of one step."""
+        """Add the answers of one step."""
         self._steps.append(step)
         self.score = max(0.0, self.score + step.gain)
 
     def steps(self) -> list[ScoredStep]:
-        """Return the remembered steps, the oldest first."""
+        """Return the stored steps, oldest first."""
         return list(self._steps)
 
     def worst_burst(self) -> tuple[int, int]:
-        """Return the bad answers of the burst with most of them, and how many steps ago it began.
+        """Return the number of bad answers of the worst burst and how many steps ago it began.
 
-        The latest step is one step ago.
+        The worst burst has the most bad answers. The latest step counts as one step ago.
         """
         bad = [step.bad for step in self._steps]
         sums = [0, *accumulate(bad)]
@@ -66,7 +67,7 @@
         return found
 
     def score_beside(self, steps_ago: int) -> float:
-        """Return the score with a burst left out that began so many steps ago."""
+        """Return the score without the burst that began ``steps_ago`` steps ago."""
         steps = list(self._steps)
         first = len(steps) - steps_ago
         score = 0.0
@@ -76,7 +77,7 @@
         return score
 
     def score_without_burst(self) -> float:
-        """Return the largest sum that ends now, its worst burst left out."""
+        """Return the largest sum that ends with the latest step, without the worst burst in it."""
         gains = [step.gain for step in self._steps]
         sums = [0.0, *accumulate(gains)]
         best = 0.0
--- a/src/hillstack/core/claims.py
+++ b/src/hillstack/core/claims.py
@@ -1,13 +1,13 @@
-"""Claims on non-repeatable requests: at most one execution for each key.
+"""Claims on non-repeatable requests: at most one execution per key.
 
-For each key, one replica per zone keeps the claim in memory. A router runs the request only after
-a majority of the zones granted its claim. Two majorities share a zone, so two routers cannot both
-be granted while the replicas keep their memory.
+For each key, one replica per zone stores the claim in memory. A router runs the request only after
+a majority of the zones granted its claim. Any two majorities share a zone, so two routers cannot
+both win a claim while the replicas retain their memory.
 
-Replicas lose their memory when they restart, and take keys over from others. A replica therefore
-vouches for the absence of a claim only if the key was made after it became the key's replica.
-Keys that carry their time (UUIDv7) make that check possible; the difference between clocks is
-bounded by a setting.
+A replica loses its claims when it restarts, and it becomes the replica of further keys when other
+nodes fail. A replica therefore vouches for the absence of a claim only if the key was created after
+the node became the key's replica. Keys that contain their creation time (UUIDv7) make that check
+possible; a setting bounds the assumed clock skew.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     StoredAnswer,
 )
 
-UUID_VERSION_WITH_TIME = 7
+TIMESTAMPED_UUID_VERSION = 7
 MILLISECONDS = 1000.0
 
 
@@ -37,7 +37,7 @@
         parsed = uuid.UUID(key)
     except ValueError:
         return None
-    if parsed.version != UUID_VERSION_WITH_TIME:
+    if parsed.version != TIMESTAMPED_UUID_VERSION:
         return None
     return (parsed.int >> 80) / MILLISECONDS
 
@@ -52,7 +52,7 @@
     milliseconds = int(now_wall * MILLISECONDS) & ((1 << 48) - 1)
     random_a = random_bits & 0xFFF
     random_b = (random_bits >> 12) & ((1 << 62) - 1)
-    value = (milliseconds << 80) | (UUID_VERSION_WITH_TIME << 76) | (random_a << 64)
+    value = (milliseconds << 80) | (TIMESTAMPED_UUID_VERSION << 76) | (random_a << 64)
     return str(uuid.UUID(int=value | (0b10 << 62) | random_b))
 
 
@@ -67,10 +67,11 @@
 
 
 class OwnershipHistory:
-    """Since when a node has been the replica of a key in its zone, by its own view.
+    """How long a node has been the replica of a key in its zone, in the node's own view.
 
-    A replica that took a key over from another lacks the claims made before. Views are recorded
-    as they change, so that the answer depends on the key: most keys keep their replica.
+    A node that became the replica of a key after another one lacks the earlier claims. The history
+    records each change of the zone's node list, since a change moves only some keys: most keys
+    retain their replica.
 
     Args:
         node_id: This node.
@@ -81,23 +82,23 @@
         self._views: list[tuple[float, frozenset[str]]] = []
 
     def record(self, zone_nodes: Collection[str], now_wall: float) -> None:
-        """Note the serving nodes of the zone, this one included, if they changed."""
+        """Record the serving nodes of the zone, including this one, if they changed."""
         view = frozenset(zone_nodes)
         if not self._views or self._views[-1][1] != view:
             self._views.append((now_wall, view))
 
     def restart(self, now_wall: float) -> None:
-        """Forget the past: others may have owned this node's keys until now."""
+        """Drop the history: other nodes may have owned this node's keys until now."""
         if self._views:
             self._views = [(now_wall, self._views[-1][1])]
 
     def trim(self, before: float) -> None:
-        """Forget views that ended before a time."""
+        """Drop views that were superseded before the given time."""
         while len(self._views) > 1 and self._views[1][0] < before:
             self._views.pop(0)
 
     def owned_since(self, key: str) -> float | None:
-        """Return since when this node has owned the key without a break; None if it does not."""
+        """Return since when this node has owned the key continuously; None if it does not."""
         since = None
         for recorded_at, view in reversed(self._views):
             if owner(key, view) != self._node_id:
@@ -108,17 +109,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimLimits:
-    """How long claims are kept and how far clocks may differ, in seconds."""
+    """How long claims are retained and how far clocks may differ, in seconds."""
 
     horizon: float
     max_clock_skew: float
 
 
 class ClaimTable:
-    """The claims that one replica keeps.
+    """The claims stored by one replica.
 
     Args:
-        ownership: Since when this node has been the replica of a key.
+        ownership: How long this node has been the replica of a key.
     """
 
     def __init__(self, ownership: OwnershipHistory) -> None:
@@ -143,8 +144,8 @@
     ) -> bool:
         """Return whether the absence of a record proves that there was no earlier claim.
 
-        A key without a time can be vouched for once it has been owned for the horizon. A key that
-        is past the horizon may have been forgotten.
+        For a key without a creation time this holds once this node has owned the key for the
+        horizon. The claim of a key older than the horizon may have expired here.
         """
         since = self._ownership.owned_since(key)
         if since is None:
@@ -156,13 +157,13 @@
         return created_at - limits.max_clock_skew >= since
 
     def release(self, key: str, attempt_id: str) -> None:
-        """Remove a claim whose request provably did not run; only its holder may do so."""
+        """Remove a claim whose request provably did not run; only the claim's holder may do so."""
         record = self._records.get(key)
         if record is not None and record.attempt_id == attempt_id and record.answer is None:
             del self._records[key]
 
     def complete(self, key: str, attempt_id: str, answer: StoredAnswer) -> None:
-        """Keep the answer of a claimed request for its repeats."""
+        """Store the answer of a claimed request, to be returned for repeated requests."""
         record = self._records.get(key)
         if record is not None and record.attempt_id == attempt_id:
             record.answer = answer
@@ -175,9 +176,11 @@
             self.complete(message.key, message.attempt_id, message.answer)
 
     def expire(self, now_wall: float, limits: ClaimLimits) -> None:
-        """Forget claims past the horizon."""
-        keep_after = now_wall - limits.horizon - 2 * limits.max_clock_skew
-        lapsed = [key for key, record in self._records.items() if record.granted_at < keep_after]
+        """Remove claims older than the horizon."""
+        oldest_retained = now_wall - limits.horizon - 2 * limits.max_clock_skew
+        lapsed = [
+            key for key, record in self._records.items() if record.granted_at < oldest_retained
+        ]
         for key in lapsed:
             del self._records[key]
 
@@ -203,22 +206,22 @@
     """One attempt to claim a key at a majority of zones.
 
     Args:
-        replicas: The replica of each zone; None where the zone has no live node.
+        replicas: The replica in each zone; None where the zone has no live node.
     """
 
     replicas: Mapping[str, str | None]
     replies: dict[str, ClaimReply | None] = field(default_factory=dict)
 
     def majority(self) -> int:
-        """Return how many zones must grant."""
+        """Return the number of zones that must grant the claim."""
         return len(self.replicas) // 2 + 1
 
     def on_reply(self, zone: str, reply: ClaimReply | None) -> None:
-        """Note the reply of a zone's replica; None when it failed or timed out."""
+        """Record the reply of a zone's replica; None if the call failed or timed out."""
         self.replies[zone] = reply
 
     def verdict(self) -> ClaimVerdict | None:
-        """Return the result, or None while replies that matter are outstanding."""
+        """Return the result, or None while outstanding replies can still decide it."""
         statuses = [reply.status for reply in self.replies.values() if reply is not None]
         if ClaimStatus.OTHER_BODY in statuses:
             return ClaimVerdict.OTHER_BODY
@@ -233,9 +236,9 @@
         return None
 
     def is_settled(self) -> bool:
-        """Return whether outstanding replies cannot change what the caller is told.
+        """Return whether outstanding replies cannot change the answer to the caller.
 
-        A replica that holds the claim may lack the answer, which another one has.
+        A replica that stores the claim may lack the answer, which another replica may have.
         """
         verdict = self.verdict()
         if verdict is ClaimVerdict.HELD:
@@ -243,7 +246,7 @@
         return verdict is not None
 
     def answer(self) -> StoredAnswer | None:
-        """Return the answer of the earlier execution, if a replica has kept it."""
+        """Return the answer of the earlier execution, if a replica stored it."""
         for reply in self.replies.values():
             if reply is not None and reply.answer is not None:
                 return reply.answer
@@ -253,5 +256,5 @@
 def replicas_of(
     key: str, zones: Sequence[str], nodes_by_zone: Mapping[str, Sequence[str]]
 ) -> dict[str, str | None]:
-    """Return the replica of each zone for a key."""
+    """Return the replica of a key in each zone."""
     return {zone: owner(key, nodes_by_zone.get(zone, ())) for zone in zones}
--- a/src/hillstack/core/control.py
+++ b/src/hillstack/core/control.py
@@ -1,4 +1,4 @@
-"""The control state of a node: members, bundle in force and claims, and what follows from them."""
+"""The control state of a node: the member list, the bundle in force and the claim replica."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
     SyncRequest,
 )
 
-EXPIRE_INTERVAL_SECONDS = 5.0
+CLAIM_EXPIRY_INTERVAL_SECONDS = 5.0
 
 
 class ControlState:
-    """Joins membership, bundles and claims of one node.
+    """Connects the membership, bundle and claims of one node.
 
     Args:
         membership: The member list.
-        adopter: The bundle in force.
-        now: Monotonic seconds at the start.
+        adopter: Holds the bundle in force.
+        now: Monotonic time at the start, in seconds.
     """
 
     def __init__(self, membership: Membership, adopter: BundleAdopter, now: float) -> None:
@@ -46,7 +46,7 @@
         self._refutations = 0
         self._generation = -1
         self._claims_expire_at = now
-        self._majority_seen_at = now
+        self._last_majority_at = now
 
     @property
     def bundle(self) -> Bundle | None:
@@ -55,11 +55,15 @@
         return current.bundle if current else None
 
     def is_too_stale(self, now: float) -> bool:
-        """Return whether this node was cut off for so long that the bundle bids it to refuse."""
+        """Return whether this node must refuse requests because it was partitioned for too long.
+
+        The node is partitioned while it has live members in no majority of the bundle's zones. The
+        bundle sets the limit.
+        """
         bundle = self.bundle
         if bundle is None or bundle.staleness.action == "serve":
             return False
-        return now - self._majority_seen_at > bundle.staleness.after_seconds
+        return now - self._last_majority_at > bundle.staleness.after_seconds
 
     def on_tick(self, now: float, now_wall: float) -> list[Datagram]:
         """Advance timers."""
@@ -70,22 +74,22 @@
     def on_gossip(
         self, message: Gossip, address: str, now: float, now_wall: float
     ) -> list[Datagram]:
-        """Handle a datagram of another node."""
+        """Handle a datagram from another node."""
         effects = self.membership.on_message(message, address, now)
         self._after_membership_change(now, now_wall)
         return effects
 
     def on_synchronized(self, members: Iterable[Member], now: float, now_wall: float) -> None:
-        """Take in the whole member list of another node."""
+        """Merge the full member list of another node."""
         self.membership.on_synchronized(members, now)
         self._after_membership_change(now, now_wall)
 
     def on_request(self, message: Message, now: float, now_wall: float) -> Message:
-        """Answer a request of another node."""
+        """Answer a request from another node."""
         if isinstance(message, SyncDigest):
             return SyncDigest(self.membership.digest())
         if isinstance(message, SyncRequest):
-            # The sender stands first; its arrival is news for others, the rest of its list is not.
+            # The first member is the sender. Only its arrival is announced to other nodes.
             self.membership.merge(message.members[:1], now)
             self.membership.merge(message.members[1:], now, announce=False)
             self._after_membership_change(now, now_wall)
@@ -100,7 +104,7 @@
         return Failure(f"unexpected message {type(message).__name__}")
 
     def claim(self, request: ClaimRequest, now_wall: float) -> ClaimReply:
-        """Answer a claim as a replica."""
+        """Answer a claim request as a replica."""
         bundle = self.bundle
         if bundle is None:
             return ClaimReply(ClaimStatus.CANNOT_VOUCH)
@@ -115,7 +119,8 @@
     def _after_membership_change(self, now: float, now_wall: float) -> None:
         membership = self.membership
         if membership.refutations != self._refutations:
-            # Others believed this node dead and may have given its keys to another replica.
+            # Other nodes suspected this node or considered it dead, and may have assigned its keys
+            # to another replica.
             self._refutations = membership.refutations
             self._ownership.restart(now_wall)
         if membership.generation != self._generation:
@@ -128,9 +133,9 @@
             return
         by_zone = membership.by_zone()
         if sum(1 for zone in bundle.zones if by_zone.get(zone)) > len(bundle.zones) // 2:
-            self._majority_seen_at = now
+            self._last_majority_at = now
         if now >= self._claims_expire_at:
-            self._claims_expire_at = now + EXPIRE_INTERVAL_SECONDS
+            self._claims_expire_at = now + CLAIM_EXPIRY_INTERVAL_SECONDS
             self._ownership.trim(now_wall - 2 * bundle.claims.horizon_seconds)
             self.claims.expire(now_wall, claim_limits(bundle))
 
--- a/src/hillstack/core/doubtful_entries.py
+++ b/src/hillstack/core/doubtful_entries.py
@@ -1,8 +1,8 @@
-"""Entries of runners that a restored store may have from its copy alone.
+"""Runner entries that a store, restored from a backup, may list although the runner has stopped.
 
-A runner that was known to be gone before a restore is listed again where the copy is older than
-that. One that is gone lapses from the copy; one that lives is still listed afterwards, or has
-changed its entry by then. Until this shows it gets no requests.
+The backup may be older than the runner's removal, and so list the runner again. The entry of a
+stopped runner expires in the store; a live runner is still listed afterwards or has updated its
+entry. Until one of these is observed, the runner gets no requests.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 logger = logging.getLogger(__name__)
 
-# The entry of a runner that does not live is dropped after three heartbeats of 1.2 s.
+# The store drops the entry of a stopped runner after three missed heartbeats of 1.2 s.
 LAPSE_SECONDS = 5.0
 
 
 class DoubtfulEntries:
-    """The entries that are kept back, by their names in the directory.
+    """The entries that are withheld from use, by their names in the directory.
 
     Args:
-        pool: What is known of the runners.
+        pool: The runners known to this node.
     """
 
     def __init__(self, pool: RunnerPool) -> None:
@@ -30,7 +30,7 @@
         self._kept: dict[str, tuple[RunnerEntry, float]] = {}
 
     def keep_back(self, entry: RunnerEntry, now: float) -> bool:
-        """Keep an entry back if it is doubtful; return whether it is."""
+        """Withhold an entry if its runner may have stopped; return whether it is withheld."""
         name = entry.directory_name
         kept, _ = self._kept.get(name, (None, 0.0))
         if kept is not None and kept.revision.era == entry.revision.era:
@@ -44,16 +44,16 @@
         return True
 
     def drop(self, name: str) -> None:
-        """Forget an entry that the directory has dropped."""
+        """Forget an entry that the directory has removed."""
         self._kept.pop(name, None)
 
     def retain(self, listed: Collection[str]) -> None:
-        """Forget the entries that a whole list of the directory no longer has."""
+        """Forget the entries that are not in a full list of the directory."""
         for name in self._kept.keys() - listed:
             del self._kept[name]
 
     def take_due(self, now: float) -> list[RunnerEntry]:
-        """Return the entries that have outlived the doubt, which are kept back no more."""
+        """Release and return the entries that are still listed after ``LAPSE_SECONDS``."""
         due = [entry for entry, until in self._kept.values() if now >= until]
         for entry in due:
             del self._kept[entry.directory_name]
--- a/src/hillstack/core/freshness.py
+++ b/src/hillstack/core/freshness.py
@@ -1,8 +1,8 @@
-"""How old a node's knowledge of the configuration store may be.
+"""Age of a node's view of the configuration store, and the bound on that age.
 
-The age is counted on the monotonic clock from the moment a linearizable call was *sent*: whatever
-was acknowledged before that moment is in its answer. A node whose knowledge is older than the bound
-must not serve requests with a key, since the key may have been revoked meanwhile.
+The age is measured on the monotonic clock from the moment a linearizable call was *sent*: the
+answer contains every change that was acknowledged before that moment. A node whose view is older
+than the bound must not serve requests with a key, since the key may have been revoked meanwhile.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 
 class Freshness:
-    """Age of the last linearizable answer.
+    """Tracks the age of the latest linearizable answer.
 
     Args:
-        bound_seconds: Age from which requests with a key are refused; infinite when stale
-            knowledge is acceptable.
+        bound_seconds: Age beyond which requests with a key are refused; infinite if a stale view
+            is acceptable.
     """
 
     def __init__(self, bound_seconds: float = math.inf) -> None:
@@ -24,15 +24,15 @@
         self._fresh = False
 
     def prove(self, call_started_at: float) -> None:
-        """Note the answer of a linearizable call."""
+        """Record that a linearizable call, sent at ``call_started_at``, was answered."""
         self._proved_at = max(self._proved_at, call_started_at)
 
     def proved_at(self) -> float:
-        """Return the moment up to which all acknowledged changes are known."""
+        """Return the time up to which this node has all acknowledged changes."""
         return self._proved_at
 
     def age(self, now: float) -> float:
-        """Return the age in seconds; infinite before the first answer."""
+        """Return the age of the view in seconds; infinite before the first answer."""
         return now - self._proved_at
 
     def is_fresh(self, now: float) -> bool:
@@ -40,7 +40,7 @@
         return self.age(now) <= self._bound
 
     def changed(self, now: float) -> bool | None:
-        """Return the new state if it differs from that of the last call, else None."""
+        """Return the result of ``is_fresh`` if it differs from the previous call, else None."""
         fresh = self.is_fresh(now)
         if fresh is self._fresh:
             return None
