--- a/src/hillstack/core/membership.py
+++ b/src/hillstack/core/membership.py
@@ -1,10 +1,11 @@
-"""Membership of nodes by probing and gossip, after SWIM.
-
-Each node probes one other node per interval: mostly of its own zone, now and then of another. A
-node that does not answer, also not to others asked to probe it, becomes suspect, and dead unless
-it refutes in time. Changes travel on probes and their answers, each a bounded number of times, so
-that the load of a node does not grow with the number of nodes. Dead nodes and seeds are probed
-now and then, so that the two sides of a cut find each other again.
+"""Membership of nodes by probing and gossip, following the SWIM protocol.
+
+Each node probes one other node per interval: usually one of its own zone, periodically one of
+another zone. A node that answers neither the direct probe nor the indirect probes through other
+nodes becomes suspect; it becomes dead unless it refutes the suspicion in time. Membership changes
+are piggybacked on probes and their acknowledgements, each a bounded number of times, so that the
+load of a node does not grow with the number of nodes. Dead nodes and seeds that are not members are
+probed periodically, so that the two sides of a network partition find each other again.
 """
 
 from __future__ import annotations
@@ -26,11 +27,11 @@
     PingRequest,
 )
 
-UPDATES_PER_MESSAGE = 10
+MAX_UPDATES_PER_MESSAGE = 10
 TRANSMIT_FACTOR = 3
 REMOTE_PROBE_EVERY = 4
 RECONNECT_PROBE_EVERY = 5
-HELPERS = 2
+INDIRECT_PROBE_HELPERS = 2
 FORGET_DEAD_SECONDS = 4_000.0
 
 
@@ -43,12 +44,12 @@
 
     @property
     def indirect_after(self) -> float:
-        """Silence after which others are asked to probe."""
+        """Time without an acknowledgement after which other nodes are asked to probe the target."""
         return self.probe_interval
 
     @property
     def suspect_after(self) -> float:
-        """Silence after which a probed node is suspect."""
+        """Time without an acknowledgement after which a probed node becomes suspect."""
         return 2 * self.probe_interval
 
 
@@ -68,7 +69,7 @@
 
 
 @dataclass(slots=True)
-class _Relay:
+class _IndirectProbe:
     origin_address: str
     origin_sequence: int
     expires_at: float
@@ -78,13 +79,13 @@
     """The member list of one node.
 
     Args:
-        own: This node, alive, with its start time in milliseconds as incarnation.
-        seeds: Addresses probed until they are members.
-        timing: Intervals.
+        own: This node in state alive, with its start time in milliseconds as incarnation.
+        seeds: Addresses that are probed until they belong to members.
+        timing: Intervals of the protocol.
         rng: Source of randomness.
 
     Attributes:
-        leaving: Back ends that leave, told to others with each message.
+        leaving: Back ends that are leaving; every message carries them.
     """
 
     def __init__(
@@ -95,59 +96,64 @@
         self._timing = timing
         self._rng = rng
         self._members: dict[str, Member] = {}
-        # Suspect, dead and left members and the time of that change; all others are alive.
+        # Time at which each suspect, dead or left member entered that state; all others are alive.
         self._not_alive: dict[str, float] = {}
         self._generation = 0
         self._by_zone: dict[str, list[str]] | None = None
         self._transmits: dict[str, int] = {}
         self._probes: dict[int, _Probe] = {}
-        self._relays: dict[int, _Relay] = {}
+        self._indirect_probes: dict[int, _IndirectProbe] = {}
         self._sequence = 0
         self._round = 0
         self._next_probe_at = 0.0
         self._local_queue: list[str] = []
         self._remote_queue: list[str] = []
-        self._heard: set[str] = set()
+        self._acknowledged: set[str] = set()
         self._synchronized = False
         self._refutations = 0
         self.leaving: tuple[LeavingNotice, ...] = ()
 
     @property
     def refutations(self) -> int:
-        """How often this node refuted a belief that it is suspect or dead."""
+        """How often this node refuted a report that it is suspect, dead or has left."""
         return self._refutations
 
     @property
     def generation(self) -> int:
-        """A number that rises whenever a member changes state or a node is heard from first."""
+        """A number that rises with each change of the member list or of what is known of this node.
+
+        These are a changed member entry, a node's first acknowledgement of a probe, a refutation,
+        the departure of this node, and its first merge of a full list.
+        """
         return self._generation
 
     def is_known_to_zone(self) -> bool:
-        """Return whether a peer gave its member list and all nodes of the zone answered here.
+        """Return whether all nodes of the zone have this node in their member lists.
 
-        Whoever answered has this node in its own list.
+        This is known once a peer has sent its full member list and every node of the zone in it has
+        acknowledged a probe of this node: a node that acknowledges has merged the sender.
         """
         others = set(self.by_zone().get(self._own.zone, ())) - {self._own.node_id}
-        return self._synchronized and others <= self._heard
+        return self._synchronized and others <= self._acknowledged
 
     def on_synchronized(self, members: Iterable[Member], now: float) -> None:
-        """Take in the whole member list of a peer."""
+        """Merge the full member list of a peer."""
         if not self._synchronized:
             self._synchronized = True
-            self._note_change()
+            self._mark_changed()
         self.merge(members, now, announce=False)
 
     @property
     def own(self) -> Member:
-        """This node as it announces itself."""
+        """This node's own member entry, as sent to others."""
         return self._own
 
     def members(self) -> list[Member]:
-        """Return all other members known, dead ones included."""
+        """Return all other known members, including dead ones."""
         return list(self._members.values())
 
     def serving(self) -> list[Member]:
-        """Return this node and the others that are not dead and have not left."""
+        """Return the nodes, including this one, that are not dead and have not left."""
         others = [entry for entry in self._members.values() if entry.state <= MemberState.SUSPECT]
         if self._own.state is MemberState.ALIVE:
             others.append(self._own)
@@ -169,19 +175,19 @@
         return member.address if member else None
 
     def set_bundle_version(self, version: int) -> None:
-        """Announce the bundle version in force here; every message carries it."""
+        """Set the bundle version in force on this node; every message carries it."""
         self._own = replace(self._own, bundle_version=version)
 
     def leave(self) -> list[Datagram]:
-        """Announce that this node leaves, to a few others at once."""
+        """Return messages that announce to a few other nodes that this node leaves."""
         self._own = replace(self._own, state=MemberState.LEFT)
-        self._note_change()
+        self._mark_changed()
         alive = [entry for entry in self._members.values() if entry.state is MemberState.ALIVE]
-        targets = self._rng.sample(alive, min(len(alive), 2 * HELPERS))
+        targets = self._rng.sample(alive, min(len(alive), 2 * INDIRECT_PROBE_HELPERS))
         return [Datagram(target.address, self._ping()) for target in targets]
 
     def on_tick(self, now: float) -> list[Datagram]:
-        """Advance timers; call several times per probe interval."""
+        """Advance timers; to be called several times per probe interval."""
         effects = self._check_probes(now)
         self._expire(now)
         if now >= self._next_probe_at and self._own.state is MemberState.ALIVE:
@@ -193,18 +199,20 @@
         """Handle a message that arrived from ``address``."""
         self.merge((message.sender, *message.updates), now)
         if isinstance(message, Ping):
-            self._tell_if_wrong(message.sender)
+            self._announce_if_contradicted(message.sender)
             return [Datagram(address, self._ack(message.sequence))]
         if isinstance(message, PingRequest):
-            return [self._relay_probe(message, address, now)]
+            return [self._probe_for_other(message, address, now)]
         return self._on_ack(message, now)
 
     def merge(self, updates: Iterable[Member], now: float, *, announce: bool = True) -> None:
-        """Take in what others say about members.
+        """Merge member entries received from other nodes.
 
         Args:
-            announce: Whether to pass changes on. What came as a whole list is not passed on: each
-                node exchanges whole lists itself, and a new node would gossip all of them.
+            updates: The member entries.
+            now: Time on the node's clock.
+            announce: Whether to gossip the changes. Entries of a full list are not gossiped: each
+                node exchanges full lists itself, and a new node would gossip every entry.
         """
         for update in updates:
             if update.node_id == self._own.node_id:
@@ -213,13 +221,13 @@
                 self._announce(update.node_id)
 
     def digest(self) -> int:
-        """Return a digest of all members, this one included, that is equal for equal lists."""
-        everyone = [self._own, *self._members.values()]
-        entries = sorted((m.node_id, m.incarnation, m.state) for m in everyone)
+        """Return a digest of all members, including this node; equal lists have equal digests."""
+        all_members = [self._own, *self._members.values()]
+        entries = sorted((m.node_id, m.incarnation, m.state) for m in all_members)
         return xxh3_64_intdigest(repr(entries).encode())
 
     def snapshot(self) -> tuple[Member, ...]:
-        """Return this node and all members, for a full exchange."""
+        """Return this node and all members, for the exchange of full lists."""
         return (self._own, *self._members.values())
 
     def _refute(self, update: Member) -> None:
@@ -230,12 +238,12 @@
         if update.state is MemberState.ALIVE and update.incarnation == self._own.incarnation:
             return
         self._refutations += 1
-        self._note_change()
+        self._mark_changed()
         self._own = replace(self._own, incarnation=update.incarnation + 1)
         self._announce(self._own.node_id)
 
     def _apply(self, update: Member, now: float) -> bool:
-        """Take over an update and return whether it was news."""
+        """Apply an update; return whether it changed the member's entry or state."""
         known = self._members.get(update.node_id)
         if known is not None and not _supersedes(update, known):
             self._raise_bundle_version(known, update)
@@ -245,7 +253,7 @@
             self._not_alive.pop(update.node_id, None)
         else:
             self._not_alive[update.node_id] = now
-        self._note_change()
+        self._mark_changed()
         return True
 
     def _raise_bundle_version(self, known: Member, update: Member) -> None:
@@ -254,19 +262,20 @@
             self._members[known.node_id] = raised
 
     def _change_state(self, member: Member, state: MemberState, now: float) -> None:
-        """Change a member's state by this node's own finding, and pass it on."""
+        """Change a member's state because of this node's own probes, and announce the change."""
         self._apply(replace(member, state=state), now)
         self._announce(member.node_id)
 
-    def _note_change(self) -> None:
+    def _mark_changed(self) -> None:
         self._generation += 1
         self._by_zone = None
 
     def _announce(self, node_id: str) -> None:
         self._transmits[node_id] = 0
 
-    def _tell_if_wrong(self, sender: Member) -> None:
-        # A node believed dead speaks: the answer must carry that belief, so that it refutes.
+    def _announce_if_contradicted(self, sender: Member) -> None:
+        # This node holds another state of the sender than the sender itself, such as dead. The
+        # acknowledgement must carry that state, so that the sender refutes it.
         known = self._members.get(sender.node_id)
         if known is not None and known.state is not sender.state:
             self._announce(sender.node_id)
@@ -280,22 +289,22 @@
             self._probes[ping.sequence] = _Probe(target.node_id, now)
             effects.append(Datagram(target.address, ping))
         if target is None or self._round % RECONNECT_PROBE_EVERY == 0:
-            lost = self._lost_addresses()
-            if lost:
-                effects.append(Datagram(self._rng.choice(lost), self._ping()))
+            disconnected = self._disconnected_addresses()
+            if disconnected:
+                effects.append(Datagram(self._rng.choice(disconnected), self._ping()))
         return effects
 
-    def _lost_addresses(self) -> list[str]:
+    def _disconnected_addresses(self) -> list[str]:
         known = {member.address for member in self._members.values()}
-        unmet = [seed for seed in self._seeds if seed not in known]
-        gone = [self._members[node_id] for node_id in self._not_alive]
-        dead = [member.address for member in gone if member.state is MemberState.DEAD]
-        return unmet + dead
+        unknown_seeds = [seed for seed in self._seeds if seed not in known]
+        not_alive = [self._members[node_id] for node_id in self._not_alive]
+        dead = [member.address for member in not_alive if member.state is MemberState.DEAD]
+        return unknown_seeds + dead
 
     def _next_target(self) -> Member | None:
-        remote_turn = self._round % REMOTE_PROBE_EVERY == 0
-        first = self._pop_target(remote_turn)
-        return first if first is not None else self._pop_target(not remote_turn)
+        is_remote_round = self._round % REMOTE_PROBE_EVERY == 0
+        first = self._pop_target(is_remote_round)
+        return first if first is not None else self._pop_target(not is_remote_round)
 
     def _pop_target(self, remote: bool) -> Member | None:
         queue = self._remote_queue if remote else self._local_queue
@@ -331,7 +340,7 @@
             for member in self._members.values()
             if member.state is MemberState.ALIVE and member.node_id != target.node_id
         ]
-        chosen = self._rng.sample(helpers, min(HELPERS, len(helpers)))
+        chosen = self._rng.sample(helpers, min(INDIRECT_PROBE_HELPERS, len(helpers)))
         request = PingRequest(sequence, self._own, target.address, self._updates(), self.leaving)
         return [Datagram(helper.address, request) for helper in chosen]
 
@@ -348,22 +357,22 @@
                 del self._members[node_id]
                 del self._not_alive[node_id]
                 self._transmits.pop(node_id, None)
-        for sequence, relay in list(self._relays.items()):
+        for sequence, relay in list(self._indirect_probes.items()):
             if relay.expires_at <= now:
-                del self._relays[sequence]
+                del self._indirect_probes[sequence]
 
-    def _relay_probe(self, request: PingRequest, address: str, now: float) -> Datagram:
+    def _probe_for_other(self, request: PingRequest, address: str, now: float) -> Datagram:
         ping = self._ping()
         expires_at = now + self._timing.suspect_after
-        self._relays[ping.sequence] = _Relay(address, request.sequence, expires_at)
+        self._indirect_probes[ping.sequence] = _IndirectProbe(address, request.sequence, expires_at)
         return Datagram(request.target_address, ping)
 
     def _on_ack(self, ack: Ack, now: float) -> list[Datagram]:
-        if ack.sender.node_id not in self._heard:
-            self._heard.add(ack.sender.node_id)
-            self._note_change()
+        if ack.sender.node_id not in self._acknowledged:
+            self._acknowledged.add(ack.sender.node_id)
+            self._mark_changed()
         self._probes.pop(ack.sequence, None)
-        relay = self._relays.pop(ack.sequence, None)
+        relay = self._indirect_probes.pop(ack.sequence, None)
         if relay is None:
             return []
         forwarded = Ack(relay.origin_sequence, ack.sender, self._updates(), self.leaving)
@@ -380,7 +389,7 @@
         limit = TRANSMIT_FACTOR * math.ceil(math.log2(len(self._members) + 2))
         waiting = sorted(self._transmits, key=lambda node_id: self._transmits[node_id])
         chosen = []
-        for node_id in waiting[:UPDATES_PER_MESSAGE]:
+        for node_id in waiting[:MAX_UPDATES_PER_MESSAGE]:
             member = self._own if node_id == self._own.node_id else self._members.get(node_id)
             self._transmits[node_id] += 1
             if member is None or self._transmits[node_id] >= limit:
--- a/src/hillstack/core/node_directory.py
+++ b/src/hillstack/core/node_directory.py
@@ -1,7 +1,8 @@
-"""The nodes of the deployment as the store lists them, and in which order a zone's nodes relay.
+"""The nodes of the deployment as the store lists them, and the order in which a zone's nodes relay.
 
-A node is listed from its first start on, and taken off when its machine is gone for good. One that
-was taken off counts on in shared budgets for a while: other nodes may not have heard of it yet.
+A node is listed from its first start on and is unlisted when its machine is removed permanently. An
+unlisted node still counts in shared budgets for a while, since other nodes may not have received
+the change yet.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from hillstack.core.rendezvous import ranked
 from hillstack.core.store_revision import NO_REVISION, StoreRevision
 
-# A node hears of a change of the list within some seconds, also through an outage of a few; until
-# all have, shares of a budget that all hold together must not grow.
+# Nodes receive a change of the list within some seconds, even through a store outage of a few
+# seconds. Until all nodes have it, no node's share of a shared budget may grow.
 DEPARTED_SECONDS = 20.0
 
 
@@ -22,10 +23,10 @@
     """A node as the store lists it.
 
     Attributes:
-        address: ``IP:PORT`` at which it takes datagrams of its peers.
-        zone: Its zone.
-        revision: Revision of the entry in the store; ``NO_REVISION`` if it is not known.
-        link_megabits: What its network link carries in a second, in Mbit; 0 if it is not known.
+        address: ``IP:PORT`` at which the node receives datagrams from its peers.
+        zone: Zone of the node.
+        revision: Revision of the entry in the store; ``NO_REVISION`` if unknown.
+        link_megabits: Bandwidth of the node's network link in Mbit/s; 0 if unknown.
     """
 
     node_id: str
@@ -35,45 +36,45 @@
     link_megabits: float = 0.0
 
     def is_same_but_revision(self, other: NodeEntry) -> bool:
-        """Return whether another entry says the same, whenever it was written."""
+        """Return whether another entry is equal except for its revision."""
         same_place = (self.address, self.zone) == (other.address, other.zone)
         return same_place and self.link_megabits == other.link_megabits
 
     @property
     def relay_class(self) -> int:
-        """Return how well it can relay: links of a class differ by less than a factor of two."""
+        """Class of the link's bandwidth: links of one class differ by less than a factor of two."""
         return int(math.log2(max(1.0, self.link_megabits)))
 
 
 @dataclass(frozen=True, slots=True)
 class RegionGroup:
-    """The nodes of several zones, which together are a region.
+    """The group of all nodes of a region.
 
     Attributes:
-        region: The region.
-        zones: Its zones.
+        region: Name of the region.
+        zones: Zones of the region.
     """
 
     region: str
     zones: tuple[str, ...]
 
 
-# Nodes that hand things on to one another: those of a zone or of a region, or all for None.
+# A group of nodes that relay to one another: a zone, a region, or all nodes for None.
 NodeGroup = str | RegionGroup | None
 
 
 class NodeDirectory:
-    """All nodes that are listed.
+    """All listed nodes.
 
     Attributes:
-        generation: Rises with each node that comes, moves or goes.
+        generation: Rises when a node is listed, changes its entry, or is unlisted.
     """
 
     def __init__(self) -> None:
         self._nodes: dict[str, NodeEntry] = {}
-        # Nodes that are not listed, with when they last were, or were last heard.
+        # When each unlisted node was last listed, or when a datagram from it last arrived.
         self._unlisted: dict[str, float] = {}
-        self._ranks: dict[NodeGroup, tuple[str, ...]] = {}
+        self._relay_orders: dict[NodeGroup, tuple[str, ...]] = {}
         self._zones: list[str] | None = None
         self.generation = 0
 
@@ -89,7 +90,7 @@
         return list(self._nodes.values())
 
     def zones(self) -> list[str]:
-        """Return the zones that have nodes; not to be changed."""
+        """Return the zones that have nodes; the caller must not modify the list."""
         if self._zones is None:
             self._zones = sorted({node.zone for node in self._nodes.values()})
         return self._zones
@@ -99,7 +100,7 @@
         return [self._nodes[node_id] for node_id in self.relay_order(zone)]
 
     def list_node(self, node: NodeEntry) -> None:
-        """Take over an entry; one that only has a later revision changes nothing for others."""
+        """Add or update an entry; the generation rises only if more than the revision differs."""
         known = self._nodes.get(node.node_id)
         self._nodes[node.node_id] = node
         self._unlisted.pop(node.node_id, None)
@@ -107,7 +108,7 @@
             self._changed()
 
     def unlist(self, node_id: str, now: float) -> bool:
-        """Note that a node was taken off the list; return whether it was on it."""
+        """Remove a node from the list; return whether it was listed."""
         if self._nodes.pop(node_id, None) is None:
             return False
         self._unlisted[node_id] = now
@@ -115,18 +116,19 @@
         return True
 
     def note_heard(self, node_id: str, now: float) -> None:
-        """Note a sign of life of a node, which may have come since the list was last read.
+        """Record a message from a node, which may have been listed after the last read of the list.
 
-        In an outage of the store the first node of a new deployment may know itself alone, while
-        the others know all: without their signs of life it would take the whole of each budget.
+        During a store outage the first node of a new deployment may know only itself, while the
+        others know all nodes. Without their messages it would use the whole of each budget.
         """
         if node_id not in self._nodes:
             self._unlisted[node_id] = now
 
     def sharing_count(self, now: float) -> int:
-        """Return among how many nodes a budget is shared.
+        """Return the number of nodes that share a budget.
 
-        These are the nodes that are listed, and those that were listed or heard until lately.
+        These are the listed nodes, and the unlisted nodes that were listed or sent a message within
+        the last ``DEPARTED_SECONDS``.
         """
         unlisted = self._unlisted
         for node_id in [n for n, at in unlisted.items() if now - at >= DEPARTED_SECONDS]:
@@ -134,18 +136,18 @@
         return max(1, len(self._nodes) + len(unlisted))
 
     def relay_order(self, group: NodeGroup) -> tuple[str, ...]:
-        """Return the nodes of a group in the order in which they are asked to relay.
+        """Return the nodes of a group in the order in which they are chosen as relay.
 
-        Those with the fastest links come first: a relay sends what it takes to each node of its
-        zone. All nodes agree on the order as far as they agree on the list; a node that comes or
-        goes leaves the order of the others as it is.
+        Nodes with the fastest links come first, since a relay sends each message to all nodes of
+        its zone. Nodes with the same list compute the same order. Adding or removing a node does
+        not change the relative order of the others.
         """
-        order = self._ranks.get(group)
+        order = self._relay_orders.get(group)
         if order is None:
             name = group.region if isinstance(group, RegionGroup) else group
-            by_hash = ranked(f"relay of {name}", self._members(group))
-            by_hash.sort(key=lambda node_id: -self._nodes[node_id].relay_class)
-            order = self._ranks[group] = tuple(by_hash)
+            ordered = ranked(f"relay of {name}", self._members(group))
+            ordered.sort(key=lambda node_id: -self._nodes[node_id].relay_class)
+            order = self._relay_orders[group] = tuple(ordered)
         return order
 
     def _members(self, group: NodeGroup) -> list[str]:
@@ -156,5 +158,5 @@
 
     def _changed(self) -> None:
         self.generation += 1
-        self._ranks.clear()
+        self._relay_orders.clear()
         self._zones = None
--- a/src/hillstack/core/order_age.py
+++ b/src/hillstack/core/order_age.py
@@ -1,20 +1,22 @@
-"""How old an order is, as far as this node or the record of its rollout knows."""
+"""Age of a rollout order, as known from this node, its peers and the rollout record."""
 
 from __future__ import annotations
 
 from hillstack.core.software_rollouts import RolloutRecord
 from hillstack.core.store_revision import StoreRevision
 
-# How old an order is taken to be when a node first sees it: one look at the store, and one for new
-# orders.
+# Assumed age of an order when a node first sees it: the interval of one poll of the store plus the
+# interval of one check for new orders.
 HEARD_AFTER_SECONDS = 0.75
 
 
 class OrderAge:
-    """Age of one order. A node that starts later, or hears late, learns it from the record.
+    """Estimates when one order was given.
+
+    A node that starts later, or receives the order late, learns its age from the rollout record.
 
     Args:
-        seen_at: When this node saw it.
+        seen_at: When this node first saw the order, on this node's clock.
     """
 
     def __init__(self, seen_at: float) -> None:
@@ -23,19 +25,19 @@
 
     @property
     def ordered_at(self) -> float:
-        """When the order was given, as far as known, on this node's clock; never moves forward."""
+        """Estimated time of the order on this node's clock; updates only make it earlier."""
         return self._ordered_at
 
     def note_told(self, ordered_at: float) -> None:
-        """Take over when the order was given by the oldest age that peers told.
+        """Apply the time of the order according to the oldest age that peers reported.
 
-        A record tells the age as of its writing, which a node that starts reads some seconds later;
-        nodes that saw the order keep its age.
+        A record contains the age at the time of its writing, and a starting node reads the record
+        some seconds later. Nodes that saw the order itself know its current age.
         """
         self._ordered_at = min(self._ordered_at, ordered_at)
 
     def note(self, record: RolloutRecord, now: float) -> None:
-        """Take over what the latest record of the order says."""
+        """Apply the age in the latest record of the order."""
         if record.revision == self._record_revision:
             return
         self._record_revision = record.revision
--- a/src/hillstack/core/outage.py
+++ b/src/hillstack/core/outage.py
@@ -1,33 +1,33 @@
-"""Whether the store was away, or calls to it failed for other reasons.
+"""Decides whether the store was unavailable, or calls to it failed for other reasons.
 
-After an outage of the store bounds in time begin again, so an outage that was none keeps older
-weights in use for too long. A call that fails shows an outage only if nothing else explains it: a
-store that refuses a call for its rate is there, and a node that is late with its own reading may
-have missed the answer.
+After a store outage, time bounds start again, so an outage detected by mistake allows older weights
+for too long. A failed call is evidence of an outage only if nothing else explains it: a store that
+rejects a call because of a rate limit is available, and a node whose event loop is late may have
+missed the answer.
 """
 
 from __future__ import annotations
 
 
 class OutageEvidence:
-    """What the failed calls since the last answer show.
+    """Collects the failed calls since the last answer of the store.
 
     Args:
-        least_seconds: Time that calls must have failed for.
+        min_seconds: Shortest period of failing calls that counts as an outage.
     """
 
-    def __init__(self, least_seconds: float) -> None:
-        self._least = least_seconds
+    def __init__(self, min_seconds: float) -> None:
+        self._least = min_seconds
         self._since: float | None = None
         self._until = 0.0
 
     def failed(self, now: float, *, is_explained: bool) -> None:
-        """Note a failed call.
+        """Record a failed call.
 
         Args:
             now: Time on the node's clock.
-            is_explained: Whether it may have failed though the store was there. What failed before
-                may have had the same reason, so it no longer counts either.
+            is_explained: Whether the call may have failed although the store was available. Earlier
+                failures may have had the same cause, so they no longer count either.
         """
         if is_explained:
             self._since = None
@@ -37,7 +37,11 @@
         self._until = now
 
     def answered(self) -> float | None:
-        """Note an answer; return until when the store was away at least, None if it was not."""
+        """Record an answer; return until when the store was unavailable, at least.
+
+        Returns:
+            The time of the last failed call; None if there was no outage.
+        """
         since, self._since = self._since, None
         if since is None or self._until - since < self._least:
             return None
--- a/src/hillstack/core/outcome_steps.py
+++ b/src/hillstack/core/outcome_steps.py
@@ -1,4 +1,4 @@
-"""Cumulative outcomes cut into steps of time, and sums of them over the latest seconds."""
+"""Splits cumulative outcome counts into time steps, and sums them over the latest steps."""
 
 from __future__ import annotations
 
@@ -7,56 +7,69 @@
 
 from hillstack.core.rollout_evidence import DELAY_BUCKETS, OutcomeKey, OutcomeTotals
 
-# As long as several looks of a judge: the reports of many nodes come spread over about a second.
+# Several times the interval between evaluations of a judge: the reports of many nodes arrive spread
+# over about a second.
 STEP_SECONDS = 0.5
-NOTHING = OutcomeTotals(0, 0, (0,) * DELAY_BUCKETS)
+NO_OUTCOMES = OutcomeTotals(0, 0, (0,) * DELAY_BUCKETS)
 
-Step = dict[OutcomeKey, OutcomeTotals]
+OutcomeStep = dict[OutcomeKey, OutcomeTotals]
 
 
 class OutcomeSteps:
-    """The latest steps of what all nodes saw.
+    """The outcomes of all nodes in the latest time steps.
 
     Args:
-        memory_steps: Steps that are remembered.
+        memory_steps: Number of latest steps that are stored.
     """
 
     def __init__(self, memory_steps: int) -> None:
-        self._steps: deque[Step] = deque(maxlen=memory_steps)
-        self._before: dict[OutcomeKey, OutcomeTotals] = {}
-        self._cut_at = float("-inf")
+        self._steps: deque[OutcomeStep] = deque(maxlen=memory_steps)
+        self._previous_totals: dict[OutcomeKey, OutcomeTotals] = {}
+        self._step_began_at = float("-inf")
 
     def is_due(self, now: float) -> bool:
-        """Return whether a step is over: totals that are shown earlier are passed over."""
-        return now >= self._cut_at + STEP_SECONDS
+        """Return whether the current step has ended; ``take`` ignores totals until then."""
+        return now >= self._step_began_at + STEP_SECONDS
 
-    def take(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Step | None:
-        """Take over totals; return what is new in them once a step is over, else None."""
+    def take(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> OutcomeStep | None:
+        """Record cumulative totals if a step has ended.
+
+        Returns:
+            The outcomes that were added during the step; None if the step has not ended.
+        """
         if not self.is_due(now):
             return None
-        self._cut_at = now
-        step = {key: _minus(value, self._before.get(key, NOTHING)) for key, value in totals.items()}
+        self._step_began_at = now
+        step = {
+            key: _minus(value, self._previous_totals.get(key, NO_OUTCOMES))
+            for key, value in totals.items()
+        }
         step = {key: value for key, value in step.items() if value.answered > 0}
-        self._before = dict(totals)
+        self._previous_totals = dict(totals)
         self._steps.append(step)
         return step
 
     def seen(self) -> list[OutcomeKey]:
-        """Return all keys that were seen since the order."""
-        return list(self._before)
+        """Return the keys of all outcomes since the order."""
+        return list(self._previous_totals)
 
     def total(
         self, matches: Callable[[OutcomeKey], bool], steps: int | None = None
     ) -> OutcomeTotals:
-        """Return the sum of matching outcomes over so many latest steps; None: since the order."""
+        """Return the sum of the matching outcomes.
+
+        Args:
+            matches: Selects the outcomes.
+            steps: Number of latest steps to sum; None for all outcomes since the order.
+        """
         if steps is None:
-            return _sum([value for key, value in self._before.items() if matches(key)])
+            return _sum([value for key, value in self._previous_totals.items() if matches(key)])
         latest = list(self._steps)[-steps:]
         return _sum([value for step in latest for key, value in step.items() if matches(key)])
 
 
 def _minus(later: OutcomeTotals, earlier: OutcomeTotals) -> OutcomeTotals:
-    """Return what came between two totals; nothing is taken off where a count went back."""
+    """Return the increase from one total to a later one; a count that fell contributes zero."""
     pairs = zip(later.delays, earlier.delays, strict=True)
     return OutcomeTotals(
         max(0, later.answered - earlier.answered),
@@ -67,7 +80,7 @@
 
 def _sum(parts: list[OutcomeTotals]) -> OutcomeTotals:
     if not parts:
-        return NOTHING
+        return NO_OUTCOMES
     return OutcomeTotals(
         sum(part.answered for part in parts),
         sum(part.failed for part in parts),
--- a/src/hillstack/core/own_outcomes.py
+++ b/src/hillstack/core/own_outcomes.py
@@ -1,8 +1,8 @@
-"""What one node saw of the versions of a rollout, as counts that only rise.
+"""Outcomes that one node observed for the versions of a rollout, as counts that only rise.
 
-A connection that breaks is the runner's doing, unless those to runners of several versions broke in
-the same moment: then the node's own network was cut, and none of them counts. Nor does what broke
-at a runner that a request is held to have ended.
+A broken connection counts as a failure of the runner, unless connections to runners of several
+versions broke at the same moment: then the node's own network failed, and none of them counts. A
+connection broken by a runner crash also doesn't count if the crash is attributed to a request.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 )
 from hillstack.messages.rollout_reports import OutcomeCounts
 
-# Connections that a cut ends are noticed within some tenths of a second of each other.
+# Connections broken by a network failure are noticed within some tenths of a second of each other.
 CUT_SECONDS = 0.5
-# A cut ends connections to many runners; two may end beside each other by chance.
-CUT_RUNNERS = 3
-# Broken attempts of which it is open whether a cut broke them; beyond that the oldest counts as its
-# runner's doing.
-MOST_PENDING = 1_000
+# A network failure breaks connections to many runners; two may break together by chance.
+MIN_BROKEN_RUNNERS = 3
+# Greatest number of broken attempts whose cause is undecided. Beyond it the oldest one counts as a
+# failure of its runner.
+MAX_PENDING = 1_000
 # Keeps the logarithm finite; far below the first entry.
-LEAST_SLOWNESS = 1e-6
+MIN_SLOWNESS = 1e-6
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """How an attempt ended through its runner's doing.
+    """Outcome of an attempt that its runner is responsible for.
 
     Attributes:
-        failed: Whether it ended badly.
-        broken: Whether it failed because its connection broke.
-        slowness: Time to the first bytes, or the time waited where none came, over what was
-            expected; None if it is not known.
+        failed: Whether the attempt failed.
+        broken: Whether the attempt failed because its connection broke.
+        slowness: Ratio of the time to the first bytes to the expected time, or of the time waited
+            if no bytes arrived; None if unknown.
     """
 
     key: OutcomeKey
@@ -51,42 +51,42 @@
 
 
 def delay_bucket(slowness: float) -> int:
-    """Return the entry of a delay that is some times as long as expected."""
-    doublings = math.log2(max(slowness, LEAST_SLOWNESS)) + EXPECTED_BUCKET / BUCKETS_PER_DOUBLING
+    """Return the index of the delay bucket for a ratio of actual to expected delay."""
+    doublings = math.log2(max(slowness, MIN_SLOWNESS)) + EXPECTED_BUCKET / BUCKETS_PER_DOUBLING
     place = round(BUCKETS_PER_DOUBLING * doublings)
     return min(DELAY_BUCKETS - 1, max(0, place))
 
 
 class OwnOutcomes:
-    """Counts of one node under one order."""
+    """Outcome counts of one node for one rollout order."""
 
     def __init__(self) -> None:
         self._counters: dict[OutcomeKey, OutcomeCounter] = {}
         self._pending: deque[tuple[AttemptOutcome, float]] = deque()
-        # Broken attempts that were decided already can still show that others were cut.
+        # Broken attempts already decided are still evidence that later ones broke with them.
         self._decided: deque[tuple[AttemptOutcome, float]] = deque()
 
     def add(self, outcome: AttemptOutcome, now: float) -> None:
-        """Note the end of an attempt."""
+        """Record the end of an attempt."""
         if not outcome.broken:
             self._count(outcome)
             return
         self._pending.append((outcome, now))
-        if len(self._pending) > MOST_PENDING:
+        if len(self._pending) > MAX_PENDING:
             self._count(self._pending.popleft()[0])
 
     def settle(self, now: float, excused: Set[str] = frozenset()) -> list[AttemptOutcome]:
-        """Decide on broken attempts whose moment is over; return those that count.
+        """Decide the broken attempts of more than ``CUT_SECONDS`` ago; return those that count.
 
         Args:
             now: Time on the clock of ``add``.
-            excused: Runners that ended through no doing of their own.
+            excused: Runners whose crash is not attributed to their version.
         """
         counted = []
         while self._pending and now - self._pending[0][1] >= CUT_SECONDS:
             outcome, at = self._pending.popleft()
             self._decided.append((outcome, at))
-            if outcome.runner_id not in excused and not self._was_cut(at):
+            if outcome.runner_id not in excused and not self._was_network_failure(at):
                 self._count(outcome)
                 counted.append(outcome)
         while self._decided and now - self._decided[0][1] > 2 * CUT_SECONDS:
@@ -94,7 +94,7 @@
         return counted
 
     def rows(self) -> list[OutcomeCounts]:
-        """Return all counts, for a report."""
+        """Return all counts, to be sent in a report."""
         return [
             OutcomeCounts(
                 key.version,
@@ -107,8 +107,8 @@
             for key, counter in self._counters.items()
         ]
 
-    def _was_cut(self, at: float) -> bool:
-        """Return whether runners of several versions broke off around a moment."""
+    def _was_network_failure(self, at: float) -> bool:
+        """Return whether connections to runners of several versions broke around a time."""
         around = [
             outcome
             for outcome, other_at in (*self._decided, *self._pending)
@@ -116,7 +116,7 @@
         ]
         runners = {outcome.runner_id for outcome in around}
         versions = {outcome.key.version for outcome in around}
-        return len(runners) >= CUT_RUNNERS and len(versions) > 1
+        return len(runners) >= MIN_BROKEN_RUNNERS and len(versions) > 1
 
     def _count(self, outcome: AttemptOutcome) -> None:
         counter = self._counters.setdefault(outcome.key, OutcomeCounter())
--- a/src/hillstack/core/planned_stop.py
+++ b/src/hillstack/core/planned_stop.py
@@ -1,43 +1,44 @@
-"""What a node does at which time of a planned stop.
+"""Timing of a planned stop of a node.
 
 A request that is sent later than ``LATE_REQUEST_SECONDS`` after the signal must be answered in
-full, however long it runs; one that is sent earlier may be cut when the grace period ends. So the
-node refuses new work a little before that time: a request is on its way for a while, and a look at
-the clock comes with a delay.
+full, however long it runs; an earlier request may be cut off when the grace period ends. The node
+therefore refuses new requests shortly before that time: a request takes some time to arrive, and
+the node's timers fire with a delay.
 """
 
 from __future__ import annotations
 
-# Callers find out within that time that a node is not ready.
+# Callers notice within this time that the node is not ready.
 LATE_REQUEST_SECONDS = 3.0
-# Requests that come later would not be finished within the grace of 8 s at the longest timeout.
+# With the longest request timeout, later requests could not finish within the grace period of 8 s.
 ACCEPT_SECONDS = 2.6
-# A connection without a request by then will hardly have one.
+# A connection without a request by this time is unlikely to get one.
 UNUSED_CONNECTION_SECONDS = 3.0
-# Left of the grace for closing connections and handing the duty over: some calls of 0.15 s.
+# Part of the grace period reserved for closing connections and releasing the node's leases: some
+# calls of 0.15 s.
 STOP_MARGIN_SECONDS = 0.7
 
 
 class PlannedStop:
-    """The course of one stop.
+    """The stages of one planned stop.
 
     Args:
-        grace_seconds: Time from the signal to the end of the process by force.
+        grace_seconds: Time from the signal until the process is killed.
     """
 
     def __init__(self, grace_seconds: float) -> None:
         self._grace = grace_seconds
 
     def accepts(self, elapsed: float) -> bool:
-        """Return whether new requests are still taken."""
+        """Return whether new requests are still accepted."""
         return elapsed < min(ACCEPT_SECONDS, self._grace / 2)
 
     def closes_unused(self, elapsed: float) -> bool:
-        """Return whether connections without any request yet are closed too."""
+        """Return whether connections that have not carried a request yet are closed too."""
         return elapsed >= min(UNUSED_CONNECTION_SECONDS, self._grace / 2)
 
     def is_over(self, elapsed: float, active: int) -> bool:
-        """Return whether the process should end now."""
+        """Return whether the process should exit now."""
         if elapsed >= self._grace - STOP_MARGIN_SECONDS:
             return True
         return active == 0 and elapsed >= min(LATE_REQUEST_SECONDS, self._grace / 2)
