--- a/src/hillstack/core/outage.py
+++ b/src/hillstack/core/outage.py
@@ -2,8 +2,8 @@
 
 After a store outage, time bounds start again, so an outage detected by mistake allows older weights
 for too long. A failed call is evidence of an outage only if nothing else explains it: a store that
-rejects a call because of a rate limit is available, and a node whose event loop is late may have
-missed the answer.
+rejects a call because of a rate limit is available, and a node that falls behind with reading its
+own answers may have missed one.
 """
 
 from __future__ import annotations
--- a/src/hillstack/core/retry_budget.py
+++ b/src/hillstack/core/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets: retries may be at most a share of the requests."""
+"""Retry budgets: limit retries to a share of the requests."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class RetryBudget:
-    """A token bucket per tenant, filled by requests and, slowly, by time.
+    """A token bucket per tenant, filled by each request and, at a low rate, over time.
 
     Args:
-        ratio: Tokens gained per request.
-        minimum_per_second: Tokens gained per second, for tenants with few requests.
-        capacity: Most tokens a bucket holds.
+        ratio: Tokens added per request.
+        minimum_per_second: Tokens added per second, for tenants with few requests.
+        capacity: Greatest number of tokens in a bucket.
     """
 
     def __init__(self, ratio: float, minimum_per_second: float, capacity: float = 10.0) -> None:
@@ -27,12 +27,12 @@
         self._buckets: dict[str, _Bucket] = {}
 
     def on_request(self, tenant: str, now: float) -> None:
-        """Note a first attempt."""
+        """Add the tokens that a request's first attempt earns."""
         bucket = self._refill(tenant, now)
         bucket.tokens = min(self._capacity, bucket.tokens + self.ratio)
 
     def try_retry(self, tenant: str, now: float) -> bool:
-        """Take a token for a retry; return whether there was one."""
+        """Take a token for a retry; return whether one was available."""
         bucket = self._refill(tenant, now)
         if bucket.tokens < 1.0:
             return False
--- a/src/hillstack/core/rollout.py
+++ b/src/hillstack/core/rollout.py
@@ -1,4 +1,4 @@
-"""Adoption of bundles: only verified bundles, only higher versions."""
+"""Adoption of configuration bundles: only verified bundles with a higher version are adopted."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class BundleAdopter:
-    """Holds the bundle in force on a node; it never goes back.
+    """Holds the bundle in force on a node; its version never decreases.
 
     Args:
         root: Root keyset from the settings.
-        zone: Zone of the node; bundles that do not name it are refused.
+        zone: Zone of the node; bundles that do not list it are refused.
     """
 
     def __init__(self, root: Keyset, zone: str) -> None:
@@ -38,7 +38,7 @@
 
     @property
     def current(self) -> Adoption | None:
-        """The bundle in force; None before the first."""
+        """The bundle in force; None before the first bundle."""
         return self._current
 
     @property
@@ -50,10 +50,11 @@
         """Adopt a bundle if it is newer and valid.
 
         Returns:
-            Whether it was adopted; False when the version in force is not lower.
+            Whether the bundle was adopted; False if the version in force is equal or higher.
 
         Raises:
-            BundleError: It is invalid, not signed, or does not descend from the one in force.
+            BundleError: The bundle is invalid, not signed by a current keyset, or does not descend
+                from the bundle in force.
         """
         bundle = signed.bundle()
         if bundle.version <= self.version:
--- a/src/hillstack/core/rollout_evidence.py
+++ b/src/hillstack/core/rollout_evidence.py
@@ -1,7 +1,7 @@
-"""What all nodes saw of one rollout: counts that only rise, added up over processes.
+"""Outcomes of one rollout on all nodes: monotonic counters, summed over processes.
 
-A report holds all that one process counted so far, so repeated, late and lost reports change
-nothing. A process that ends leaves its counts behind.
+A report contains the cumulative counts of one process, so repeated, late and lost reports don't
+distort the sums. The counts of a process that has ended still count.
 """
 
 from __future__ import annotations
@@ -13,21 +13,22 @@
 from hillstack.core.software_rollouts import RolloutStage
 from hillstack.messages.rollout_reports import OutcomeCounts, RolloutReport
 
-# Entries of the delays, from a quarter of the expected time to nearly six times as long; what is
-# beyond counts in the first or the last one.
+# Delay buckets, from a quarter of the expected time to nearly six times it. Delays outside of that
+# range count in the first or last bucket.
 DELAY_BUCKETS = 10
 BUCKETS_PER_DOUBLING = 2
-# The entry of answers that took as long as expected.
+# The bucket of answers that took as long as expected.
 EXPECTED_BUCKET = 4
-# Processes whose counts are kept: several times the nodes of the largest deployment, each restarted
-# a few times within a rollout. The counts of further ones are ignored.
+# Greatest number of processes whose counts are stored: several times the nodes of the largest
+# deployment, each restarted a few times within a rollout. Counts of further processes are ignored.
 MOST_PROCESSES = 2_000
-# Kinds of outcomes that are told apart; further ones are ignored.
+# Greatest number of outcome keys; outcomes with further keys are ignored.
 MOST_KEYS = 256
-# A node that was silent for so long is not counted among those that report.
+# A node that has sent no report for this long is not counted as a reporter.
 REPORTER_SECONDS = 30.0
-# A process that has said nothing for so long, while another one of its node speaks, has ended: more
-# than two of the longest pauses between reports (0.8 s), and longer than notices are late.
+# A process that has sent no report for this long, while another process of its node reports, has
+# ended. This is more than twice the longest interval between reports (0.8 s), and longer than
+# notices are delayed.
 PROCESS_SILENT_SECONDS = 2.0
 STAGE_ORDER = {
     RolloutStage.CANARY.value: 0,
@@ -41,11 +42,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeKey:
-    """What outcomes are counted by.
+    """The key by which outcomes are grouped.
 
     Attributes:
         version: Version of the runners' software.
-        busy: Whether the runners had half of their places taken or more.
+        route: Route of the requests.
+        busy: Whether at least half of the runner's request slots were in use.
     """
 
     version: str
@@ -55,13 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeTotals:
-    """Outcomes of one kind, of all nodes.
+    """Outcomes with one key, summed over all nodes.
 
     Attributes:
-        answered: Attempts that ended well or badly through the runner's doing.
-        failed: Those of them that ended badly.
-        delays: How many answers took how long: entry ``i`` counts those whose time to the first
-            bytes was about ``2 ** (i / 2 - 2)`` times what was expected.
+        answered: Attempts that succeeded, or failed because of the runner.
+        failed: Attempts that failed because of the runner.
+        delays: Number of answers per delay bucket. Bucket ``i`` counts the answers whose time to
+            the first bytes was about ``2 ** (i / 2 - 2)`` times the expected time.
     """
 
     answered: int
@@ -71,12 +73,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReporterState:
-    """What a node said last.
+    """State in the latest report of a node.
 
     Attributes:
-        stage: The stage that it follows.
-        old_running: Its attempts that are still at runners of other versions than the target.
-        heard_at: When it said so, on this node's clock.
+        stage: The rollout stage that is in effect on the node.
+        old_running: Number of the node's attempts still running at runners of other versions than
+            the target.
+        heard_at: When the report arrived, on this node's clock.
     """
 
     stage: str
@@ -86,55 +89,55 @@
 
 @dataclass(slots=True)
 class OutcomeCounter:
-    """Outcomes of one kind that can still rise."""
+    """Mutable counts of the outcomes with one key."""
 
     answered: int = 0
     failed: int = 0
     delays: list[int] = field(default_factory=lambda: [0] * DELAY_BUCKETS)
 
     def totals(self) -> OutcomeTotals:
-        """Return the counts as they are now."""
+        """Return the current counts."""
         return OutcomeTotals(self.answered, self.failed, tuple(self.delays))
 
 
 class RolloutEvidence:
-    """What is known of one rollout, from this node and from reports of its peers."""
+    """Evidence about one rollout, from this node and from reports of its peers."""
 
     def __init__(self) -> None:
-        self._told: dict[Process, dict[OutcomeKey, OutcomeCounter]] = {}
+        self._reported: dict[Process, dict[OutcomeKey, OutcomeCounter]] = {}
         self._totals: dict[OutcomeKey, OutcomeCounter] = {}
         self._latest: dict[str, tuple[int, ReporterState]] = {}
-        self._bad = False
-        # When the order was given by the oldest age that anybody told, on this node's clock.
+        self._is_reported_bad = False
+        # Time of the order by the oldest age in any report, on this node's clock.
         self.ordered_at = math.inf
 
     def take(self, node_id: str, incarnation: int, report: RolloutReport, now: float) -> None:
-        """Take over what a process has counted so far.
+        """Merge the report of a process.
 
         Args:
-            node_id: The node that tells.
-            incarnation: Its process.
-            report: What it tells.
+            node_id: The reporting node.
+            incarnation: Incarnation of the reporting process.
+            report: The cumulative counts and the state of the process.
             now: Time on this node's clock.
         """
-        self._bad = self._bad or report.bad
+        self._is_reported_bad = self._is_reported_bad or report.bad
         if report.order_age_ms > 0:
             self.ordered_at = min(self.ordered_at, now - report.order_age_ms / 1000)
         process = (node_id, incarnation)
-        is_new = process not in self._told
-        if is_new and len(self._told) >= MOST_PROCESSES:
+        is_new = process not in self._reported
+        if is_new and len(self._reported) >= MOST_PROCESSES:
             return
-        told = self._told.setdefault(process, {})
+        reported = self._reported.setdefault(process, {})
         for counts in report.outcomes:
-            self._take_counts(told, counts)
-        self._take_state(node_id, incarnation, report, now, is_new)
+            self._merge_counts(reported, counts)
+        self._merge_state(node_id, incarnation, report, now, is_new)
 
     def totals(self) -> dict[OutcomeKey, OutcomeTotals]:
-        """Return all outcomes, by kind."""
+        """Return all outcomes by key."""
         return {key: counter.totals() for key, counter in self._totals.items()}
 
     def reporters(self, now: float) -> dict[str, ReporterState]:
-        """Return what each node that was heard lately said last."""
+        """Return the latest state of each node that reported within ``REPORTER_SECONDS``."""
         return {
             node_id: state
             for node_id, (_, state) in self._latest.items()
@@ -142,45 +145,47 @@
         }
 
     def peer_says_bad(self) -> bool:
-        """Return whether some node has enough evidence that the target version is bad."""
-        return self._bad
+        """Return whether any node reported that the target version is bad."""
+        return self._is_reported_bad
 
-    def _take_counts(self, told: dict[OutcomeKey, OutcomeCounter], counts: OutcomeCounts) -> None:
+    def _merge_counts(
+        self, reported: dict[OutcomeKey, OutcomeCounter], counts: OutcomeCounts
+    ) -> None:
         key = OutcomeKey(counts.version, counts.route, counts.busy)
         total = self._totals.get(key)
         if total is None:
             if len(self._totals) >= MOST_KEYS:
                 return
             total = self._totals[key] = OutcomeCounter()
-        known = told.setdefault(key, OutcomeCounter())
-        total.answered += _rise(known.answered, counts.answered)
-        total.failed += _rise(known.failed, counts.failed)
+        known = reported.setdefault(key, OutcomeCounter())
+        total.answered += _increase(known.answered, counts.answered)
+        total.failed += _increase(known.failed, counts.failed)
         known.answered = max(known.answered, counts.answered)
         known.failed = max(known.failed, counts.failed)
         _raise_delays(known.delays, total.delays, counts.delays)
 
-    def _take_state(
+    def _merge_state(
         self, node_id: str, incarnation: int, report: RolloutReport, now: float, is_new: bool
     ) -> None:
-        """Note what a node follows; a late word of a process, or of one before, changes nothing."""
+        """Store the state in a report, unless it is a late report of this or an earlier process."""
         known = self._latest.get(node_id)
         if known is not None:
             latest, state = known
             is_silent = now - state.heard_at >= PROCESS_SILENT_SECONDS
             if incarnation != latest and not is_new and not is_silent:
                 return
-            goes_back = STAGE_ORDER.get(report.stage, 0) < STAGE_ORDER.get(state.stage, 0)
-            if incarnation == latest and goes_back:
+            is_earlier_stage = STAGE_ORDER.get(report.stage, 0) < STAGE_ORDER.get(state.stage, 0)
+            if incarnation == latest and is_earlier_stage:
                 return
         state = ReporterState(report.stage, report.old_running, now)
         self._latest[node_id] = incarnation, state
 
 
-def _rise(known: int, told: int) -> int:
-    return max(0, told - known)
+def _increase(known: int, reported: int) -> int:
+    return max(0, reported - known)
 
 
-def _raise_delays(known: list[int], total: list[int], told: Sequence[int]) -> None:
-    for place, count in enumerate(told[:DELAY_BUCKETS]):
-        total[place] += _rise(known[place], count)
-        known[place] = max(known[place], count)
+def _raise_delays(known: list[int], total: list[int], reported: Sequence[int]) -> None:
+    for index, count in enumerate(reported[:DELAY_BUCKETS]):
+        total[index] += _increase(known[index], count)
+        known[index] = max(known[index], count)
--- a/src/hillstack/core/rollout_judge.py
+++ b/src/hillstack/core/rollout_judge.py
@@ -1,10 +1,11 @@
-"""Whether the target version of a rollout is good or bad, by what all nodes saw of its answers.
-
-Compared is with the other versions on the same route, under the same load and in the same seconds,
-so that trouble which all versions have counts against none. Bad is said on a sequential test
-(``ChangeScore``) that holds without its worst burst: a runner that crashed or loaded weights makes
-one burst, a bad version goes on. Good is said as late as the order leaves time to shift the traffic
-afterwards, and only with enough good answers on each route.
+"""Judges whether the target version of a rollout is good or bad, by its answers on all nodes.
+
+The target is compared with the other versions on the same route, under the same load and in the
+same seconds, so a problem that affects all versions counts against none. The verdict is bad if a
+sequential test (``ChangeScore``) finds it so even without the worst burst: a runner that crashes or
+loads weights causes one burst of bad answers, while a bad version continues to cause them. The
+verdict good comes as late as possible, when the time left in the order just suffices to shift the
+traffic, and only with enough good answers on each route.
 """
 
 from __future__ import annotations
@@ -19,49 +20,52 @@
 from hillstack.core.rollout_evidence import OutcomeKey, OutcomeTotals
 from hillstack.core.version_baseline import Baseline, baseline_of, slow_count
 
-# Steps (0.5 s each) that one burst fills: after a crash the answers break at once, and all nodes
-# have told of them within about a second.
+# Length of a burst in steps of 0.5 s: after a crash the answers fail at once, and all nodes have
+# reported them within about a second.
 BURST_STEPS = 3
-# Steps that are remembered, 20 s: longer than the longest burst and the doubt after it together.
+# Number of stored steps, 20 s: longer than the longest burst and the recovery after it together.
 MEMORY_STEPS = 40
-# Log of the odds at which a version is called bad: four failures where one in a hundred is usual.
+# Log odds from which a version is bad. Four failures reach it where one answer in a hundred usually
+# fails.
 BAD_SCORE = 10.0
-# What the score must still be without the worst burst: two failures.
+# Log odds that must remain without the worst burst. Two failures reach it.
 BAD_SCORE_WITHOUT_BURST = 5.0
-# With so much evidence against it a version is not called good: more than one failure.
+# Log odds from which a version is not considered good. More than one failure is needed to reach it.
 DOUBT_SCORE = 3.0
-# So many bad answers at once are the sign of a crash, rather than of a version that spoils some:
-# one such burst raises no doubt once so many steps (3 s) have passed since without much failing.
+# A burst of at least ``CRASH_ANSWERS`` bad answers indicates a crash rather than a version that
+# fails some requests. It no longer prevents the verdict good once ``RECOVERY_STEPS`` (3 s) have
+# passed without many further failures.
 CRASH_ANSWERS = 5
 RECOVERY_STEPS = 6
-# A bad version fails or slows down at least so much of its answers, and several times as many as
-# the others (as a ratio of odds).
+# A bad version is assumed to fail or delay at least this share of its answers, and several times as
+# many as the other versions (as an odds ratio).
 BAD_FAILED_SHARE = 0.15
 BAD_SLOW_SHARE = 0.35
 BAD_ODDS_RATIO = 4.0
-# Answers that are needed on each route: a version that breaks a quarter of them shows none bad in 3
-# of 100 cases.
+# Answers required on each route. A version that fails a quarter of its requests has no failure
+# among this many answers in 3 of 100 cases.
 MIN_ANSWERED = 12
-# A route is one that the service has requests for once that many answers were seen on it.
+# Answers on a route, of all versions, from which the service counts as having requests for it.
 ROUTE_ANSWERS = 10
-# From that share of busy answers of the others on, the target must have been seen busy too.
+# Share of busy answers of the other versions from which the target needs answers under load too.
 BUSY_SHARE = 0.3
-# Time that traffic needs to shift: the record's way to all nodes, the answers that the old runners
-# still owe, and the last write.
+# Time reserved for shifting the traffic: the record must reach all nodes, the old runners must
+# finish their requests, and the last record must be written.
 SHIFT_SECONDS = 4.0
-# At most this part of the order's time: a short order still gives two thirds of it to judging.
+# Greatest share of the order's time reserved for shifting; a short order still leaves two thirds of
+# its time for judging.
 SHIFT_SHARE = 1 / 3
-# The group of all answers of the target.
+# Name of the group of all answers of the target.
 ALL = "all"
 
 
 class Verdict(enum.Enum):
-    """What is known of a version.
+    """Verdict on a version.
 
     Attributes:
-        UNDECIDED: Not enough yet.
-        BAD: It must get nothing more.
-        GOOD: It may get everything.
+        UNDECIDED: There is not enough evidence yet.
+        BAD: The version must get no more requests.
+        GOOD: The version may get all requests.
     """
 
     UNDECIDED = "undecided"
@@ -71,10 +75,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutOpinion:
-    """What a node holds of the target version of the order that stands.
+    """A node's verdict on the target version of the current order.
 
     Attributes:
-        reason: What the verdict rests on, for a person.
+        verdict: The verdict.
+        reason: The evidence for the verdict, for operators.
     """
 
     verdict: Verdict
@@ -87,12 +92,12 @@
 def opinion_of(
     judged: RolloutOpinion, *, peer_says_bad: bool, is_condemned: bool
 ) -> RolloutOpinion:
-    """Return the opinion of a judge, unless others have found the version bad already.
+    """Return the judge's opinion, or a bad one if the version was already found bad elsewhere.
 
     Args:
-        judged: What this node's judge says.
-        peer_says_bad: Whether some node has said that the version is bad.
-        is_condemned: Whether this node uses the version no more, whatever its record says.
+        judged: The opinion of this node's judge.
+        peer_says_bad: Whether any node reported that the version is bad.
+        is_condemned: Whether this node has stopped using the version, whatever its record contains.
     """
     if judged.verdict is Verdict.BAD:
         return judged
@@ -105,7 +110,7 @@
 
 
 class Trouble(enum.StrEnum):
-    """What can be wrong with answers."""
+    """The kinds of problems of answers."""
 
     FAILED = "failed"
     SLOW = "slow"
@@ -116,11 +121,12 @@
     """Evidence against a version.
 
     Attributes:
-        group: Which answers: all of them, a route, those under load, or a route under load.
-        answered: Answers of the target in the remembered seconds.
-        bad: Those of them that failed or were slow.
-        expected: How many would have been at the rate of the others.
-        score: Log of the odds against the version.
+        group: Group of answers: all, one route, under load, or one route under load.
+        trouble: Kind of the problem.
+        answered: Answers of the target within the stored steps.
+        bad: Answers of the target that failed or were slow.
+        expected: Number of bad answers expected at the rate of the other versions.
+        score: Log odds against the version.
     """
 
     group: str
@@ -131,7 +137,7 @@
     score: float
 
     def describe(self) -> str:
-        """Return the evidence for a person."""
+        """Return a description of the evidence for operators."""
         return (
             f"{self.group}: {self.bad} of {self.answered} {self.trouble},"
             f" {self.expected:.1f} expected (score {self.score:.1f})"
@@ -142,16 +148,16 @@
     """Judges the target version of one order.
 
     Args:
-        target: The version.
-        ordered_at: When the order was given, in seconds of the clock that ``look`` is called with.
+        target: The target version.
+        ordered_at: When the order was given, on the clock that is passed to ``look``.
         over_seconds: Time within which the rollout should be decided.
     """
 
     def __init__(self, target: str, ordered_at: float, over_seconds: float) -> None:
         self._target = target
         shift = min(SHIFT_SECONDS, SHIFT_SHARE * over_seconds)
-        self._good_after = over_seconds - shift
-        self._good_from = ordered_at + self._good_after
+        self._min_good_age = over_seconds - shift
+        self._good_from = ordered_at + self._min_good_age
         self._steps = OutcomeSteps(MEMORY_STEPS)
         self._scores: dict[tuple[str, Trouble], ChangeScore] = {}
         self._verdict = Verdict.UNDECIDED
@@ -159,25 +165,25 @@
 
     @property
     def verdict(self) -> Verdict:
-        """The verdict of the latest look."""
+        """The latest verdict."""
         return self._verdict
 
     def note_ordered_at(self, ordered_at: float) -> None:
-        """Take over that the order is perhaps older than was known."""
-        self._good_from = min(self._good_from, ordered_at + self._good_after)
+        """Apply a new estimate of when the order was given; only an earlier time has an effect."""
+        self._good_from = min(self._good_from, ordered_at + self._min_good_age)
 
     def opinion(self) -> RolloutOpinion:
-        """Return the verdict of the latest look with its reason."""
+        """Return the latest verdict with its reason."""
         return RolloutOpinion(self._verdict, self._reason)
 
     def is_due(self, now: float) -> bool:
-        """Return whether a look would change anything now: totals needn't be added up before."""
+        """Return whether ``look`` would evaluate totals now; if not, they needn't be summed."""
         return self._verdict is not Verdict.BAD and self._steps.is_due(now)
 
     def look(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
-        """Take over what all nodes saw since the order; return what is known now.
+        """Evaluate the outcomes of all nodes since the order; return the verdict.
 
-        Bad stays bad; good may turn bad while the traffic shifts.
+        A bad verdict is final; a good one may become bad while the traffic shifts.
         """
         if self._verdict is Verdict.BAD:
             return self._verdict
@@ -188,7 +194,7 @@
         return self._verdict
 
     def findings(self) -> list[RolloutFindings]:
-        """Return the evidence against the version, the strongest first."""
+        """Return the evidence against the version, strongest first."""
         found = [
             _findings_of(group, trouble, score)
             for (group, trouble), score in self._scores.items()
@@ -197,7 +203,7 @@
         return sorted(found, key=lambda finding: -finding.score)
 
     def _score(self, step: Mapping[OutcomeKey, OutcomeTotals]) -> None:
-        """Add the answers of a step to the scores of the groups that they belong to."""
+        """Add the answers of a step to the scores of their groups."""
         sums: dict[tuple[str, Trouble], list[ScoredStep]] = {}
         for key, new in step.items():
             if key.version != self._target:
@@ -213,15 +219,15 @@
             score.add(_joined(parts))
         for name, score in self._scores.items():
             if name not in sums:
-                # Time passes for bursts also where nothing was answered.
+                # A step without answers still counts towards the length of a burst.
                 score.add(ScoredStep(0.0, 0, 0, 0.0))
 
     def _decide(self, now: float) -> tuple[Verdict, str]:
         findings = self.findings()
         for finding in findings:
-            if finding.score >= BAD_SCORE and self._goes_on(finding):
+            if finding.score >= BAD_SCORE and self._persists(finding):
                 return Verdict.BAD, finding.describe()
-        missing = self._missing()
+        missing = self._missing_answers()
         if missing:
             return Verdict.UNDECIDED, missing
         for finding in findings:
@@ -229,15 +235,15 @@
                 return Verdict.UNDECIDED, "in doubt: " + finding.describe()
         if now < self._good_from:
             return Verdict.UNDECIDED, "nothing against it so far"
-        return Verdict.GOOD, self._praise()
+        return Verdict.GOOD, self._good_reason()
 
-    def _goes_on(self, finding: RolloutFindings) -> bool:
-        """Return whether there is evidence beside the worst burst."""
+    def _persists(self, finding: RolloutFindings) -> bool:
+        """Return whether there is enough evidence besides the worst burst."""
         score = self._scores[finding.group, finding.trouble]
         return score.score_without_burst() >= BAD_SCORE_WITHOUT_BURST
 
     def _is_in_doubt(self, finding: RolloutFindings) -> bool:
-        """Return whether trouble may be going on, rather than one crash that is over."""
+        """Return whether the problem may persist, rather than being one crash that is over."""
         score = self._scores[finding.group, finding.trouble]
         if score.score < DOUBT_SCORE:
             return False
@@ -248,12 +254,12 @@
             return True
         return score.score_beside(steps_ago) >= DOUBT_SCORE
 
-    def _missing(self) -> str:
-        """Return which answers are too few to call the version good; empty if none are."""
+    def _missing_answers(self) -> str:
+        """Return which answers are too few for the verdict good; empty if there are enough."""
         routes = {key.route for key in self._steps.seen()}
         for route in sorted(routes):
             answered = self._answered(route=route)
-            if self._asked_for(route) and answered < MIN_ANSWERED:
+            if self._has_requests(route) and answered < MIN_ANSWERED:
                 return f"only {answered} answers on route {route}"
         if not self._answered():
             return "no answers yet"
@@ -262,8 +268,8 @@
             return f"only {busy} answers under load"
         return ""
 
-    def _asked_for(self, route: str) -> bool:
-        """Return whether the service has requests for a route, whichever version answers them."""
+    def _has_requests(self, route: str) -> bool:
+        """Return whether the service has requests for a route, counting all versions."""
         return self._steps.total(lambda key: key.route == route).answered >= ROUTE_ANSWERS
 
     def _answered(self, route: str | None = None, busy: bool = False) -> int:
@@ -279,13 +285,13 @@
         busy = self._steps.total(lambda key: key.version != self._target and key.busy).answered
         return busy / others if others else 0.0
 
-    def _praise(self) -> str:
+    def _good_reason(self) -> str:
         totals = self._steps.total(lambda key: key.version == self._target)
         return f"{totals.answered} answers, {totals.failed} failed, on all routes like the others"
 
 
 def _groups(key: OutcomeKey) -> list[str]:
-    """Return the groups that answers belong to."""
+    """Return the groups that answers with a key belong to."""
     groups = [ALL, f"route {key.route}"]
     if key.busy:
         groups += ["under load", f"route {key.route} under load"]
@@ -293,7 +299,7 @@
 
 
 def _scored(new: OutcomeTotals, baseline: Baseline) -> list[tuple[Trouble, ScoredStep]]:
-    """Return what the answers of a step say of each kind of trouble."""
+    """Return the scored answers of a step for each kind of problem."""
     failed = _scored_step(new.answered, new.failed, baseline.failed, BAD_FAILED_SHARE)
     timed = sum(new.delays)
     if baseline.slow_above is None or not timed:
@@ -302,20 +308,20 @@
     return [(Trouble.FAILED, failed), (Trouble.SLOW, slow)]
 
 
-def _scored_step(answered: int, bad: int, usual: float, least: float) -> ScoredStep:
-    """Return some answers with their log likelihood ratio, bad to good.
+def _scored_step(answered: int, bad: int, usual_share: float, min_share: float) -> ScoredStep:
+    """Return answers with their log likelihood ratio, bad version to good version.
 
     Args:
-        answered: Answers.
-        bad: Those of them that failed or were slow.
-        usual: Share that is bad among the other versions.
-        least: Least share of a bad version.
+        answered: Number of answers.
+        bad: Number of answers that failed or were slow.
+        usual_share: Share of bad answers of the other versions.
+        min_share: Smallest assumed share of bad answers of a bad version.
     """
-    odds = BAD_ODDS_RATIO * usual / (1 - usual)
-    share = max(least, odds / (1 + odds))
-    gain = bad * math.log(share / usual)
-    gain += (answered - bad) * math.log((1 - share) / (1 - usual))
-    return ScoredStep(gain, answered, bad, answered * usual)
+    odds = BAD_ODDS_RATIO * usual_share / (1 - usual_share)
+    share = max(min_share, odds / (1 + odds))
+    gain = bad * math.log(share / usual_share)
+    gain += (answered - bad) * math.log((1 - share) / (1 - usual_share))
+    return ScoredStep(gain, answered, bad, answered * usual_share)
 
 
 def _joined(parts: list[ScoredStep]) -> ScoredStep:
--- a/src/hillstack/core/rollout_plan.py
+++ b/src/hillstack/core/rollout_plan.py
@@ -1,6 +1,6 @@
-"""The next stage of a rollout, from what its holder knows.
+"""Decides the next stage of a rollout from the state that its lease holder knows.
 
-Nothing is written here: a step is what the holder should write to the store.
+This module does not write to the store: a step is what the lease holder should write.
 """
 
 from __future__ import annotations
@@ -20,34 +20,35 @@
 )
 from hillstack.core.store_revision import NO_REVISION
 
-# A target without any runner that accepts work: longer than a suspicion or a load of weights lasts,
-# shorter than callers wait.
+# Time without any target runner that accepts work after which the rollout is reverted: longer than
+# a suspicion or a load of weights lasts, shorter than callers wait.
 UNUSABLE_SECONDS = 1.5
-# How long the target must have been alone: runners that a node has not heard of yet, or that the
-# store drops and lists again, are listed within that.
-ALONE_SECONDS = 1.5
-# The target's runners must have this part of the old runners' places: a service that has lost one
-# of two zones gets by with half.
-ENOUGH_SHARE = 0.5
-# The record is written anew when the age in it is so much too low: a new holder knows the age of an
-# order to within that.
-NOTE_AGE_SECONDS = 3.0
-# Before the deadline: two tries of the last write, with a slow store.
+# How long the target must have been the only usable version. Runners that a node does not know yet,
+# or that the store removes and lists again, are listed within this time.
+ONLY_VERSION_SECONDS = 1.5
+# The target's runners must have at least this share of the old runners' places: a service that has
+# lost one of two zones runs with half of its places.
+MIN_PLACES_SHARE = 0.5
+# The record is rewritten when the age in it lags by this much, so that a new lease holder knows the
+# age of the order to within this time.
+AGE_UPDATE_SECONDS = 3.0
+# Time reserved before the deadline: two attempts of the last write to a slow store.
 DECIDE_MARGIN_SECONDS = 1.0
-# At most this part of the order's time: a short order still keeps nine tenths.
+# Greatest share of the order's time reserved before the deadline; a short order still keeps nine
+# tenths of its time.
 DECIDE_MARGIN_SHARE = 0.1
 DECIDED = frozenset({RolloutStage.COMPLETE, RolloutStage.REVERTED})
 
 
 @dataclass(frozen=True, slots=True)
 class Places:
-    """Places for requests at the runners of a service that accept work.
+    """Request slots of a service's runners that accept work.
 
     Attributes:
-        target: At runners of the target version.
-        others: At runners of all other versions.
-        unusable_seconds: How long no runner of the target has accepted work.
-        has_alternative: Whether a runner of another version is listed that may be used.
+        target: Slots at runners of the target version.
+        others: Slots at runners of all other versions.
+        unusable_seconds: How long no runner of the target version has accepted work.
+        has_alternative: Whether a usable runner of another version is listed.
     """
 
     target: int
@@ -58,16 +59,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutView:
-    """What the holder knows of a rollout.
+    """State of a rollout as its lease holder knows it.
 
     Attributes:
-        record: The latest record of the service, of whichever order; None without one.
+        order: The current order.
+        record: The latest record of the service, of any order; None if there is none.
         age_seconds: Age of the order.
-        stage_seconds: How long the record is known; 0 without one.
-        finding: What the verdict rests on.
-        reporters: What each node said last.
-        live_nodes: Nodes that are alive, this one among them.
-        apply_seconds: Time after which a change is in force on nodes that say nothing.
+        stage_seconds: How long this node has known the record; 0 without a record.
+        verdict: The verdict on the target version.
+        finding: The evidence for the verdict.
+        reporters: The latest reported state of each node.
+        live_nodes: Nodes that are alive, including this one.
+        places: Request slots of the service's runners.
+        apply_seconds: Time after which a change is in force even on nodes that send no report.
         passed_over: Targets of earlier orders of the service that were never trusted.
         has_lost_record: Whether a restored store no longer has the record of the order.
     """
@@ -88,11 +92,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutStep:
-    """What should be written.
+    """A record to be written to the store.
 
     Attributes:
-        record: With the revision of the record that it replaces; ``NO_REVISION`` if there is none.
-        news: Whether the stage is another one than the operator was told.
+        record: The record, with the revision of the record that it replaces; ``NO_REVISION`` if
+            there is none.
+        news: Whether the operator must be notified of the stage.
     """
 
     record: RolloutRecord
@@ -100,12 +105,12 @@
 
 
 def is_decided(order: RolloutOrder, record: RolloutRecord | None) -> bool:
-    """Return whether nothing is left to be done for an order."""
+    """Return whether the rollout of an order is complete or reverted."""
     return record is not None and is_of_order(record, order) and record.stage in DECIDED
 
 
 def next_step(view: RolloutView) -> RolloutStep | None:
-    """Return what should be written now; None if nothing."""
+    """Return the step to write now; None if there is none."""
     record = view.record
     if record is None or not is_of_order(record, view.order):
         return _first_step(view)
@@ -113,15 +118,15 @@
         return RolloutStep(_record(view, record.stage, record.reason), news=True)
     match record.stage:
         case RolloutStage.CANARY:
-            return _after_canary(view) or _noted_age(view, record)
+            return _after_canary(view) or _age_update(view, record)
         case RolloutStage.SHIFTING:
-            return _after_shifting(view) or _noted_age(view, record)
+            return _after_shifting(view) or _age_update(view, record)
         case _:
             return None
 
 
 def _first_step(view: RolloutView) -> RolloutStep:
-    """Return the record that an order begins with; the operator is told that it is running."""
+    """Return the first record of an order, which notifies the operator that the rollout runs."""
     if view.record is not None and is_trusted_before(view.order, view.record):
         record = _record(view, RolloutStage.SHIFTING, "trusted by an earlier order")
     else:
@@ -130,39 +135,43 @@
 
 
 def _after_canary(view: RolloutView) -> RolloutStep | None:
-    """Return the step away from the canary stage, if it is time for one."""
+    """Return the step that ends the canary stage; None if the stage continues."""
     if view.verdict is Verdict.BAD:
         return _step(view, RolloutStage.REVERTED, view.finding)
-    if _is_alone(view):
+    if _is_only_usable_version(view):
         return _step(view, RolloutStage.SHIFTING, "no other version may serve")
-    if view.age_seconds >= _decide_by(view.order):
-        return _step(view, RolloutStage.REVERTED, "not trusted in time: " + _obstacle(view))
+    if view.age_seconds >= _decision_deadline(view.order):
+        return _step(
+            view, RolloutStage.REVERTED, "not trusted in time: " + _missing_trust_reason(view)
+        )
     if view.verdict is Verdict.GOOD and _has_enough_places(view.places):
         return _step(view, RolloutStage.SHIFTING, view.finding)
     return None
 
 
-def _decide_by(order: RolloutOrder) -> float:
-    """Return the age in seconds at which a version that is not trusted yet is given up."""
+def _decision_deadline(order: RolloutOrder) -> float:
+    """Return the age of the order at which a target that is not trusted yet is reverted."""
     margin = min(DECIDE_MARGIN_SECONDS, DECIDE_MARGIN_SHARE * order.over_seconds)
     return order.over_seconds - margin
 
 
-def _is_alone(view: RolloutView) -> bool:
-    """Return whether only the target can serve: the operator went back to the version before.
+def _is_only_usable_version(view: RolloutView) -> bool:
+    """Return whether only the target can serve, as when the operator returns to an older version.
 
-    The stage must have lasted for a while: runners that are being listed anew have come by then.
+    The stage must have lasted for ``ONLY_VERSION_SECONDS``, so that runners that are being listed
+    again are known.
     """
     places = view.places
     if places.has_alternative or not places.target:
         return False
-    return view.stage_seconds >= ALONE_SECONDS
+    return view.stage_seconds >= ONLY_VERSION_SECONDS
 
 
 def _after_shifting(view: RolloutView) -> RolloutStep | None:
-    """Return the step away from shifting, if it is time for one.
+    """Return the step that ends the shifting stage; None if the stage continues.
 
-    The deadline reverts nothing here: the version is trusted and has the traffic.
+    The deadline does not revert a rollout in this stage: the version is trusted and gets the
+    traffic.
     """
     if view.verdict is Verdict.BAD:
         return _step(view, RolloutStage.REVERTED, view.finding)
@@ -176,21 +185,21 @@
 def waited_for(view: RolloutView) -> list[str]:
     """Return the nodes that may still use the old runners.
 
-    A node that is alive and says that it doesn't is believed at once. One that is silent follows a
-    change when the time for it has passed, or serves nothing.
+    A live node that reports that it no longer uses them is not waited for. A node without reports
+    applies the change within ``apply_seconds``, or serves nothing.
     """
     has_time_passed = view.stage_seconds >= view.apply_seconds
     silent = set(view.reporters) - view.live_nodes if not has_time_passed else set()
-    waited = {
+    waited_nodes = {
         node_id
         for node_id in view.live_nodes
-        if not _has_left(view.reporters.get(node_id), has_time_passed)
+        if not _has_drained(view.reporters.get(node_id), has_time_passed)
     }
-    return sorted(waited | silent)
+    return sorted(waited_nodes | silent)
 
 
-def _has_left(reporter: ReporterState | None, has_time_passed: bool) -> bool:
-    """Return whether a live node has surely nothing at old runners, now and from now on."""
+def _has_drained(reporter: ReporterState | None, has_time_passed: bool) -> bool:
+    """Return whether a live node certainly has no requests at old runners and will send none."""
     if reporter is None:
         return has_time_passed
     follows = reporter.stage in TRUSTED
@@ -198,12 +207,12 @@
 
 
 def _has_enough_places(places: Places) -> bool:
-    """Return whether the target's runners can take the traffic."""
-    return places.target > 0 and places.target >= ENOUGH_SHARE * places.others
+    """Return whether the target's runners have enough slots for the traffic."""
+    return places.target > 0 and places.target >= MIN_PLACES_SHARE * places.others
 
 
-def _obstacle(view: RolloutView) -> str:
-    """Return why a version was not trusted by the deadline."""
+def _missing_trust_reason(view: RolloutView) -> str:
+    """Return why the target was not trusted by the deadline."""
     if not view.places.target:
         return "no runner of the target accepts work"
     if view.verdict is Verdict.GOOD:
@@ -211,9 +220,12 @@
     return view.finding
 
 
-def _noted_age(view: RolloutView, record: RolloutRecord) -> RolloutStep | None:
-    """Return the same stage with the order's age, for a holder that comes after this one."""
-    if view.age_seconds - record.elapsed_seconds < NOTE_AGE_SECONDS:
+def _age_update(view: RolloutView, record: RolloutRecord) -> RolloutStep | None:
+    """Return a step that only updates the order's age, for a later lease holder.
+
+    None if the age in the record is recent enough.
+    """
+    if view.age_seconds - record.elapsed_seconds < AGE_UPDATE_SECONDS:
         return None
     return RolloutStep(_record(view, record.stage, record.reason), news=False)
 
@@ -237,7 +249,7 @@
 
 
 def _rejected(view: RolloutView, stage: RolloutStage) -> tuple[str, ...]:
-    """Return all versions that must not be used, but for the target of an order that stands."""
+    """Return all versions that must not be used, without the target of the current order."""
     order, before = view.order, view.record
     rejected = set(view.passed_over)
     if before is not None:
--- a/src/hillstack/core/shared_retry_budget.py
+++ b/src/hillstack/core/shared_retry_budget.py
@@ -1,23 +1,23 @@
-"""A retry budget per service that all nodes hold together without asking one another.
+"""A retry budget per service that all nodes share without coordination.
 
-All nodes together may send at most ``ratio`` times the requests plus a fixed slack of further
-attempts in any window. Each node draws on the ratio of its own requests and on an equal part of the
-slack, so the sum over nodes stays within the budget whatever they know of one another.
+In any window, all nodes together may send at most ``ratio`` times the number of requests plus a
+fixed slack as further attempts. Each node may use the ratio of its own requests and an equal part
+of the slack, so the sum over all nodes stays within the budget whatever they know of one another.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-# Parts of the sliding window: what has left it is forgotten a tenth of the window late.
+# Number of parts of the sliding window. Events leave the count up to a tenth of the window late.
 WINDOW_PARTS = 10
-# Part of the budget that is used: the rest is for windows that slide between the parts, and for
-# requests that were counted and never sent.
+# Share of the budget that is used. The rest allows for windows that don't align with the parts, and
+# for requests that were counted but never sent.
 SAFETY_SHARE = 0.8
 
 
 class _SlidingCount:
-    """Counts events over a sliding window, in parts of a tenth."""
+    """Counts events in a sliding window, in parts of a tenth of its length."""
 
     def __init__(self, window_seconds: float) -> None:
         self._part = window_seconds / WINDOW_PARTS
@@ -43,11 +43,11 @@
 
 
 class SharedRetryBudget:
-    """This node's part of the retry budgets of all services.
+    """This node's share of the retry budgets of all services.
 
     Args:
-        ratio: Further attempts allowed for each request.
-        slack: Further attempts allowed in a window beyond the ratio, over all nodes.
+        ratio: Further attempts allowed per request.
+        slack: Further attempts allowed per window in addition, over all nodes.
         window_seconds: Length of the window.
     """
 
@@ -60,11 +60,11 @@
         self._retries: dict[str, _SlidingCount] = {}
 
     def set_node_count(self, count: int) -> None:
-        """Note how many nodes share the slack."""
+        """Set the number of nodes that share the slack."""
         self._node_count = max(1, count)
 
     def on_request(self, service: str, now: float) -> None:
-        """Note a request for a service."""
+        """Count a request for a service."""
         self._counter(self._requests, service).add(now)
 
     def allowed(self, service: str, now: float) -> float:
@@ -75,7 +75,7 @@
         return allowance * SAFETY_SHARE - used
 
     def try_retry(self, service: str, now: float) -> bool:
-        """Take one further attempt from the budget; return whether there was one."""
+        """Take one further attempt from the budget; return whether one was available."""
         if self.allowed(service, now) < 1.0:
             return False
         self._counter(self._retries, service).add(now)
--- a/src/hillstack/core/store_era.py
+++ b/src/hillstack/core/store_era.py
@@ -1,7 +1,7 @@
-"""Which era the store is in, as far as this node has heard.
+"""Tracks the store's era, which rises with each restore of the store from a backup.
 
-Each answer of the store names the era. One that crosses the restore on its way, or a list that may
-be old, names an earlier one than is known: what it says is of a time that the store has lost.
+Each answer of the store contains the era. An answer that was under way during the restore, or a
+stale list, contains an earlier era than the known one: its content was lost in the restore.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 
 
 class StoreEra:
-    """The latest era of the store that this node has heard of.
+    """The latest era of the store that is known to this node.
 
     Attributes:
-        current: The era; 0 until somebody names one, and where nobody does.
+        current: The era; 0 until the store or a peer has reported one.
     """
 
     def __init__(self) -> None:
         self.current = 0
         self._is_known = False
-        self._fell_to: int | None = None
+        self._decreased_to: int | None = None
         self._on_new: list[Callable[[str], None]] = []
-        self._on_fallen: list[Callable[[], None]] = []
+        self._on_decreased: list[Callable[[], None]] = []
 
     def handle_new(self, handler: Callable[[str], None]) -> None:
-        """Call a handler with who named a new era, but for the first one that is named."""
+        """Register a handler that is called with the source of each new era except the first."""
         self._on_new.append(handler)
 
     def handle_fallen(self, handler: Callable[[], None]) -> None:
-        """Call a handler once for each lower era that the store names in new answers."""
-        self._on_fallen.append(handler)
+        """Register a handler that is called when new answers of the store contain a lower era."""
+        self._on_decreased.append(handler)
 
     def hear(self, era: int, source: str) -> None:
-        """Take over an era that a peer or the store names.
+        """Apply an era that a peer or the store reported.
 
         Args:
             era: The era.
-            source: Who names it: ``STORE`` or a peer.
+            source: The source of the era: ``STORE`` or a peer.
         """
         was_known, self._is_known = self._is_known, True
         if era <= self.current:
@@ -54,12 +54,12 @@
             handler(source)
 
     def of_answer(self, told: int | None, asked_in: int, *, may_be_old: bool) -> int | None:
-        """Return the era that an answer of the store is of; None if that has ended.
+        """Return the era of an answer of the store; None if that era has ended.
 
         Args:
-            told: The era that it names; None if it names none.
-            asked_in: The era that was known when it was asked for.
-            may_be_old: Whether it may be of a time before it was asked for.
+            told: The era in the answer; None if the answer contains none.
+            asked_in: The known era when the request was sent.
+            may_be_old: Whether the answer may show a state from before the request was sent.
         """
         if told is None:
             return self.current if asked_in == self.current else None
@@ -68,14 +68,14 @@
             return told
         if may_be_old or asked_in < self.current:
             return None
-        self._note_fallen(told)
+        self._report_decreased(told)
         return self.current
 
-    def _note_fallen(self, told: int) -> None:
-        """Note that the store itself names a lower era than before, which it never should."""
-        if told == self._fell_to:
+    def _report_decreased(self, told: int) -> None:
+        """Report that the store's era decreased, which must never happen."""
+        if told == self._decreased_to:
             return
-        self._fell_to = told
+        self._decreased_to = told
         logger.error("store era fell", extra={"era": told, "before": self.current})
-        for handler in self._on_fallen:
+        for handler in self._on_decreased:
             handler()
--- a/src/hillstack/core/store_proofs.py
+++ b/src/hillstack/core/store_proofs.py
@@ -1,11 +1,11 @@
-"""Up to which revision the store had come at which moments, as far as this node can prove it.
+"""Proofs of the store's revision at given times, from which the age of a change is derived.
 
-A change was acknowledged after each moment at which the store's revision was below the change's.
-That holds whatever a node has heard or missed of the changes between, so a change that comes to
-light late, as after a gap in the history, is not taken for one that was just made.
+A change was acknowledged after every time at which the store's revision was lower than the
+change's. This holds even if the node missed changes in between, so a change that is discovered
+late, as after a gap in the history, is not mistaken for one that was just made.
 
-Across a restore numbers compare as well: the copy holds the first changes of the store that was
-lost under the numbers that they had there, and all later changes get higher ones.
+Revision numbers also compare across a restore: the backup contains the earlier changes of the lost
+store under their original numbers, and all later changes get higher numbers.
 """
 
 from __future__ import annotations
@@ -15,35 +15,36 @@
 
 from hillstack.core.store_revision import StoreRevision
 
-# Longer than any version of weights takes to be due (12 s and less on the deployments seen): what
-# came to light later than that is due at once anyway.
-KEPT_SECONDS = 30.0
+# Longer than the grace of weights versions, which is at most 12 s on known deployments. A change
+# discovered later than that is due at once anyway.
+RETENTION_SECONDS = 30.0
 
 
 class StoreProofs:
-    """Pairs of a moment and a revision that the store had not passed by then."""
+    """Pairs of a revision and a time by which the store had not passed that revision."""
 
     def __init__(self) -> None:
         self._proofs: deque[tuple[StoreRevision, float]] = deque()
 
     def note(self, revision: StoreRevision, proved_at: float) -> None:
-        """Note an answer of the store, or of a peer that passes one on.
+        """Record an answer of the store, received directly or forwarded by a peer.
 
         Args:
-            revision: The revision that the answer tells.
-            proved_at: When it was asked for. It may have gone up by the time of the answer.
+            revision: The store's revision in the answer.
+            proved_at: When the request was sent; the revision then was at most ``revision``.
         """
         if self._proofs and proved_at <= self._proofs[-1][1]:
             return
         while self._proofs and revision <= self._proofs[-1][0]:
-            # Within an era the revision never falls: at the earlier moment it was no higher either.
+            # The revision never decreases within an era, so it was no higher at the earlier time.
+            # The new proof therefore replaces the earlier one.
             self._proofs.pop()
         self._proofs.append((revision, proved_at))
-        while proved_at - self._proofs[0][1] > KEPT_SECONDS:
+        while proved_at - self._proofs[0][1] > RETENTION_SECONDS:
             self._proofs.popleft()
 
     def latest_before(self, revision: StoreRevision) -> float:
-        """Return the last moment that lies before a change; minus infinity if none is known.
+        """Return the latest time proved to precede a change; minus infinity if there is none.
 
         Args:
             revision: The revision of the change.
@@ -54,5 +55,5 @@
         return -math.inf
 
     def earliest_era(self) -> int | None:
-        """Return the era of the oldest proof that is kept; None without any."""
+        """Return the era of the oldest stored proof; None if there are no proofs."""
         return self._proofs[0][0].era if self._proofs else None
--- a/src/hillstack/core/store_revision.py
+++ b/src/hillstack/core/store_revision.py
@@ -1,8 +1,8 @@
-"""Where a change stands in the order of all that the platform's store says.
+"""Position of a change in the order of all changes of the platform's store.
 
-A store that was restored from an older copy gives its revisions out again, so a number alone names
-no change and says nothing of which of two is the later one. Its era, which rises with each restore,
-goes before the number.
+A store that was restored from a backup assigns revision numbers again that it had assigned before.
+A number alone therefore neither identifies a change nor orders two changes. The store's era, which
+rises with each restore, is compared first.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 
 class StoreRevision(NamedTuple):
-    """A revision of the store; the later of two is the greater one.
+    """A revision of the store; later revisions compare greater.
 
     Attributes:
-        era: How often the store had been restored; 0 where it does not say.
-        number: The store's own revision.
+        era: Number of restores of the store; 0 if the store does not report it.
+        number: Revision number assigned by the store.
     """
 
     era: int
@@ -25,5 +25,5 @@
         return f"{self.era}/{self.number}"
 
 
-# Before every change: that of an item which does not exist.
+# Precedes every change; the revision of an item that does not exist.
 NO_REVISION = StoreRevision(0, 0)
--- a/src/hillstack/core/tenant_limits.py
+++ b/src/hillstack/core/tenant_limits.py
@@ -1,4 +1,4 @@
-"""What a tenant may send in a time, over all nodes together, and how far that may be passed."""
+"""Rate limits of tenants over all nodes, and by how much their sum may exceed them."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class LimitUnit(enum.StrEnum):
-    """What a limit counts.
+    """Unit in which a limit counts.
 
     Attributes:
-        REQUESTS: Each request as one.
-        TOKENS: The tokens of the prompt and the most that may be generated.
+        REQUESTS: Each request counts as one.
+        TOKENS: A request counts as its prompt tokens plus its limit of generated tokens.
     """
 
     REQUESTS = "requests"
@@ -23,10 +23,10 @@
     """The limit of one tenant: a token bucket that all nodes share.
 
     Attributes:
-        rate: What the bucket gains in a second, in its unit.
-        burst: What the bucket holds at most, in its unit.
-        unit: What is counted.
-        plain_cost: Tokens that a request without a size counts as; only where tokens are counted.
+        rate: Refill rate of the bucket per second, in its unit.
+        burst: Capacity of the bucket, in its unit.
+        unit: The unit.
+        plain_cost: Cost of a request without a known size; used only with the unit ``TOKENS``.
     """
 
     rate: float
@@ -35,10 +35,11 @@
     plain_cost: float = 1.0
 
     def cost(self, tokens: int | None) -> float:
-        """Return what a request counts as.
+        """Return the cost of a request in the unit of the limit.
 
         Args:
-            tokens: Tokens of its prompt and the most that it may generate; None if it names none.
+            tokens: Prompt tokens plus the limit of generated tokens; None if the request does not
+                contain them.
         """
         if self.unit is LimitUnit.REQUESTS:
             return 1.0
@@ -47,12 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitTolerance:
-    """How far the sum over all nodes may pass a limit, as the operator sets it.
+    """By how much the sum over all nodes may exceed a limit, as configured by the operator.
 
     Attributes:
-        window_seconds: Length of the window in which use is counted.
-        overshoot: Part of what a limit allows in a window that may come on top of it.
-        slack: What may come on top of that, in the unit of the limit.
+        window_seconds: Length of the window in which usage is counted.
+        overshoot: Allowed excess as a fraction of what the limit allows in a window.
+        slack: Allowed excess in addition to ``overshoot``, in the unit of the limit.
     """
 
     window_seconds: float = 10.0
@@ -60,11 +61,11 @@
     slack: float = 0.0
 
     def allowed(self, limit: TenantLimit) -> float:
-        """Return what may be used in a window at the most, in the unit of the limit."""
+        """Return the greatest usage allowed in a window, in the unit of the limit."""
         return self._nominal(limit) * (1.0 + self.overshoot) + self.slack
 
     def margin(self, limit: TenantLimit) -> float:
-        """Return by how much the use in a window may pass the limit itself."""
+        """Return by how much the usage in a window may exceed the limit, in its unit."""
         return self._nominal(limit) * self.overshoot + self.slack
 
     def _nominal(self, limit: TenantLimit) -> float:
--- a/tests/fleet/test_rollout_plan.py
+++ b/tests/fleet/test_rollout_plan.py
@@ -9,10 +9,10 @@
 from hillstack.core.rollout_evidence import ReporterState
 from hillstack.core.rollout_judge import Verdict
 from hillstack.core.rollout_plan import (
-    ALONE_SECONDS,
+    ONLY_VERSION_SECONDS,
     DECIDE_MARGIN_SECONDS,
-    ENOUGH_SHARE,
-    NOTE_AGE_SECONDS,
+    MIN_PLACES_SHARE,
+    AGE_UPDATE_SECONDS,
     UNUSABLE_SECONDS,
     Places,
     RolloutView,
@@ -21,7 +21,7 @@
     waited_for,
 )
 from hillstack.core.software_rollouts import (
-    MOST_LEFT_VERSIONS,
+    MAX_UNTRUSTED_VERSIONS,
     RolloutOrder,
     RolloutRecord,
     RolloutStage,
@@ -89,7 +89,7 @@
 
 
 def test_a_good_version_with_too_few_places_waits() -> None:
-    too_few = Places(int(24 * ENOUGH_SHARE) - 1, 24)
+    too_few = Places(int(24 * MIN_PLACES_SHARE) - 1, 24)
     assert next_step(replace(VIEW, verdict=Verdict.GOOD, places=too_few)) is None
 
 
@@ -109,8 +109,8 @@
 
 def test_a_version_that_alone_may_serve_gets_the_traffic_after_a_while() -> None:
     alone = replace(VIEW, places=Places(24, 0, has_alternative=False))
-    assert next_step(replace(alone, stage_seconds=ALONE_SECONDS / 2)) is None
-    assert next_stage(replace(alone, stage_seconds=ALONE_SECONDS)) is RolloutStage.SHIFTING
+    assert next_step(replace(alone, stage_seconds=ONLY_VERSION_SECONDS / 2)) is None
+    assert next_stage(replace(alone, stage_seconds=ONLY_VERSION_SECONDS)) is RolloutStage.SHIFTING
 
 
 def test_old_runners_that_are_only_out_of_reach_are_an_alternative() -> None:
@@ -187,10 +187,10 @@
 
 
 def test_the_age_of_an_order_is_noted_now_and_then() -> None:
-    step = next_step(replace(VIEW, age_seconds=CANARY.elapsed_seconds + NOTE_AGE_SECONDS))
+    step = next_step(replace(VIEW, age_seconds=CANARY.elapsed_seconds + AGE_UPDATE_SECONDS))
     assert step is not None and not step.news
     assert step.record.stage is RolloutStage.CANARY
-    assert step.record.elapsed_seconds == CANARY.elapsed_seconds + NOTE_AGE_SECONDS
+    assert step.record.elapsed_seconds == CANARY.elapsed_seconds + AGE_UPDATE_SECONDS
 
 
 def test_a_target_left_undecided_is_rejected_with_all_before_it() -> None:
@@ -320,13 +320,13 @@
 
 def test_versions_that_were_left_behind_are_bounded() -> None:
     rollouts = SoftwareRollouts()
-    for number in range(MOST_LEFT_VERSIONS + 2):
+    for number in range(MAX_UNTRUSTED_VERSIONS + 2):
         rollouts.take_order(replace(ORDER, target=f"v{number}", revision=rev(2 * number + 1)))
         rollouts.withdraw("app", rev(2 * number + 2))
     left = rollouts.left_undecided("app")
-    assert len(left) == MOST_LEFT_VERSIONS
-    assert "v0" not in left and f"v{MOST_LEFT_VERSIONS + 1}" in left
-    for number in range(MOST_LEFT_VERSIONS + 2):
+    assert len(left) == MAX_UNTRUSTED_VERSIONS
+    assert "v0" not in left and f"v{MAX_UNTRUSTED_VERSIONS + 1}" in left
+    for number in range(MAX_UNTRUSTED_VERSIONS + 2):
         rollouts.take_order(replace(ORDER, service=f"app-{number}"))
         rollouts.withdraw(f"app-{number}", rev(6))
     assert not rollouts.left_undecided("app")
