--- a/src/hillstack/core/token_buckets.py
+++ b/src/hillstack/core/token_buckets.py
@@ -1,14 +1,14 @@
-"""The token buckets that a node holds for itself and for the nodes that bring their shares to it.
+"""The token buckets that a node holds for itself and for the nodes that contribute time to it.
 
-A limit is kept over all nodes by conservation, not by agreement. The time of every node is worth
-an equal part of each bucket's refill. A node hands its time to one holder, and counts it as gone
-before it says so; a holder turns the time into tokens, and leases or transfers them. A message that
-is lost destroys what it carried, and nothing ever makes any anew. So all holders together give out
-no more than the limit allows, whoever they are, whatever they believe of one another, and whoever
-is cut off, paused or started again.
+Limits over all nodes are enforced by conservation instead of consensus. The time of each node is
+worth an equal part of the refill of each bucket. A node contributes its time to one holder, and
+deducts it before it sends the message. A holder converts the time into tokens, and leases or
+transfers them. A lost message destroys the time or tokens in it, and nothing ever creates them
+again. So all holders together grant no more than the limit allows, whichever nodes they are,
+whatever they know of one another, and whichever nodes are partitioned, paused or restarted.
 
-What that costs: while a part of the nodes is gone, their part of the refill is missing. A tenant is
-sure of the part of its rate that the living nodes hold.
+The cost of this design: while some nodes have failed, their part of the refill is missing. A tenant
+is guaranteed only the part of its rate that the live nodes contribute.
 """
 
 from __future__ import annotations
@@ -20,41 +20,41 @@
 
 from hillstack.core.tenant_limits import LimitTolerance, TenantLimit
 
-# A node hands over its time every half a second: after two that were lost it no longer counts.
+# A node contributes its time every half a second. After two lost messages it no longer counts.
 CONTRIBUTOR_SECONDS = 1.5
-# How often the contributors are counted anew: some ten times within the time above.
+# Interval between counts of the contributors: about ten counts within the time above.
 RECOUNT_SECONDS = 0.15
-# Part of the margin that buckets hold beyond the burst: a burst of 29,000 tokens in three zones is
-# one prompt of 9,190 in each, and requests come in another order than they were sent.
-EXTRA_SHARE = 0.3
-# Part of the margin that all nodes together bring with their start. Nobody knows what was used
-# before a restart of all nodes; without anything, all would be refused until the rate has filled
-# some. Two such restarts in a window take nine tenths of the margin, of which the two seconds
-# without any node give back four tenths or more (at the limits seen, from 29,000 tokens/s on).
+# Share of the margin by which buckets exceed the burst. A burst of 29,000 tokens in three zones is
+# one prompt of 9,190 tokens in each, and requests arrive in another order than they were sent.
+OVERFILL_SHARE = 0.3
+# Share of the margin that all nodes together contribute when they start. After a restart of all
+# nodes the earlier usage is unknown, and without initial tokens all requests would be refused until
+# the buckets have refilled. Two such restarts in a window use nine tenths of the margin; the two
+# seconds without any node give back four tenths or more, for limits from 29,000 tokens/s on.
 START_SHARE = 0.45
-# Part of a bucket that may be leased for requests that are still to come. Leased tokens count as
-# part of the bucket's fill, so they add nothing to what the worst window holds; but until they are
-# returned, others can't use them.
+# Share of a bucket that may be leased ahead for future requests. Leased tokens count as part of the
+# bucket's level, so they don't raise the usage in the worst window; but other nodes can't use them
+# until they are returned.
 LEASE_SHARE = 0.35
-# Above this fill a bucket leases for requests to come; below, only for those that are there.
+# Fill level above which a bucket leases ahead; below it, tokens go to waiting requests only.
 LEASE_FILL = 0.5
-# For each rank below the most urgent one, a bucket must hold so much of a request's cost on top of
-# it. So the last tokens go to urgent and to small requests, of which they serve more: with costs of
-# 900 and 9,000 tokens one refused long prompt leaves room for ten urgent questions.
+# Additional share of a request's cost that a bucket must hold per rank below the most urgent one.
+# The last tokens thus go to urgent and to small requests, of which they serve more: with costs of
+# 900 and 9,000 tokens, one refused long prompt leaves room for ten urgent requests.
 RESERVE_OF_RANK = 0.5
-# No caller is told to come back sooner: the way to it and back, and some work.
-LEAST_WAIT_SECONDS = 0.05
-# What a holder keeps back when another asks it for tokens: its own use for so long, some ten times
-# the way there and back between zones.
-KEEP_BACK_SECONDS = 0.1
-# Over this time the use of a bucket is averaged: long against the pauses between requests of a busy
-# tenant, short against the second in which one may begin to send ten times as much.
-USE_SECONDS = 0.5
+# Shortest wait returned to a caller: a round trip to the caller and some processing.
+MIN_WAIT_SECONDS = 0.05
+# A holder that another one asks for tokens retains its own usage of this time, about ten round
+# trips between zones.
+RETAINED_USAGE_SECONDS = 0.1
+# Averaging time of a bucket's usage: long compared with the gaps between requests of a busy tenant,
+# short compared with the second within which a tenant may begin to send ten times as much.
+USAGE_WINDOW_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class _Lease:
-    """Tokens that a node was leased, and when."""
+    """Tokens leased to a node, and the time of the lease."""
 
     tokens: float
     leased_at: float
@@ -65,15 +65,15 @@
     """One tenant's bucket.
 
     Attributes:
-        level: Tokens in it.
-        refilled_at: Refill time up to which it is filled.
-        started_at: Until when it has been given what nodes brought with their start.
-        capacity: What it could hold when it was filled.
-        leases: Tokens that each node was leased last for requests to come.
-        leased: Their sum.
-        use: Tokens given out a second.
-        used_at: Until when the use is averaged.
-        room_at: When there is room again for the last request that was refused.
+        level: Tokens in the bucket.
+        refilled_at: Value of the refill time up to which the bucket is refilled.
+        started_at: Time up to which the contributions of starting nodes are included.
+        capacity: Capacity at the latest refill.
+        leases: The latest lease of each node for future requests.
+        leased: Sum of the leased tokens.
+        use: Average usage in tokens per second.
+        used_at: Time up to which the usage is averaged.
+        room_at: When the bucket will have room for the latest refused request.
     """
 
     level: float = 0.0
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class _Contributor:
-    """A node that hands its time over: its process, its last message, and when that came."""
+    """A node that contributes time: its process, and the number and arrival of its last message."""
 
     incarnation: int
     number: int
@@ -98,15 +98,15 @@
 
 @dataclass(slots=True)
 class TokenBuckets:
-    """Buckets of all tenants whose limits are asked for here.
+    """The buckets of all tenants whose limits this node enforces as a holder.
 
     Attributes:
-        tolerance: How far limits may be passed.
-        lease_seconds: How long a lease lasts.
-        start_share: Part of the margin that all nodes together bring with their start.
-        is_whole: Whether a request is let pass only where all of its cost is there. A bucket then
-            gives out no more than it holds, however many holders there are; it may need tokens of
-            other holders for each request.
+        tolerance: By how much limits may be exceeded.
+        lease_seconds: Duration of a lease.
+        start_share: Share of the margin that all nodes together contribute when they start.
+        is_whole: Whether a request is admitted only if the bucket covers its whole cost. A bucket
+            then never grants more than it holds, however many holders there are, but it may need
+            tokens of other holders for each request.
     """
 
     tolerance: LimitTolerance
@@ -122,7 +122,7 @@
     _buckets: dict[str, _Bucket] = field(default_factory=dict)
 
     def is_repeated(self, node_id: str, incarnation: int, number: int) -> bool:
-        """Return whether a node's message came before, or one that was sent after it."""
+        """Return whether this message of a node, or a later one, has already arrived."""
         known = self._contributors.get(node_id)
         if known is None or known.incarnation != incarnation:
             return False
@@ -139,16 +139,16 @@
         *,
         is_first: bool = False,
     ) -> None:
-        """Take over the time of a node.
+        """Add time that a node contributes.
 
         Args:
-            node_id: The node.
-            incarnation: Its process.
-            number: Number of its message, rising.
-            seconds: Its time since it last handed some over to anybody.
-            node_count: Nodes that share the limits.
+            node_id: The contributing node.
+            incarnation: Incarnation of the node's process.
+            number: Sequence number of the message.
+            seconds: Time since the node's last contribution to any holder.
+            node_count: Number of nodes that share the limits.
             now: Time on this node's clock.
-            is_first: Whether its process has handed over none before.
+            is_first: Whether this is the first contribution of the node's process.
         """
         known = self._contributors.get(node_id)
         self._contributors[node_id] = _Contributor(incarnation, number, now)
@@ -161,37 +161,37 @@
         self._recount(now)
 
     def share(self) -> float:
-        """Return the part of all nodes that hand their time to this one."""
+        """Return the fraction of all nodes that contribute their time to this one."""
         return self._share
 
     def take(self, tenant: str, limit: TenantLimit, cost: float, rank: int, now: float) -> bool:
-        """Take a request's cost out of a bucket; return whether it was there.
+        """Take a request's cost from a bucket; return whether the bucket had enough tokens.
 
-        A request that costs more than a bucket holds takes all of a full one, and the rest of what
-        comes next.
+        A request that costs more than the capacity empties a full bucket and leaves its level
+        negative, so that later refills cover the rest.
         """
-        bucket = self._filled(tenant, limit, now)
+        bucket = self._refilled(tenant, limit, now)
         if bucket.level <= 0 or bucket.level < self._needed(limit, cost, rank):
             return False
         bucket.level -= cost
-        self._note_use(bucket, cost, now)
+        self._record_usage(bucket, cost, now)
         return True
 
     def missing(self, tenant: str, limit: TenantLimit, cost: float, rank: int, now: float) -> float:
-        """Return how many tokens to ask other holders for, where a bucket lacks some for a cost.
+        """Return the number of tokens to request from other holders for a cost; 0 if none.
 
-        It is some more than is lacking: the next requests would ask again.
+        The number exceeds the missing tokens by the expected usage of the next requests.
         """
-        bucket = self._filled(tenant, limit, now)
+        bucket = self._refilled(tenant, limit, now)
         lacking = max(0.0, self._with_reserve(cost, rank) - bucket.level)
-        return lacking + self._use(bucket, now) * KEEP_BACK_SECONDS if lacking > 0 else 0.0
+        return lacking + self._usage(bucket, now) * RETAINED_USAGE_SECONDS if lacking > 0 else 0.0
 
     def lease(
         self, tenant: str, limit: TenantLimit, node_id: str, wanted: float, now: float
     ) -> float:
-        """Return tokens for requests of a node that are still to come, as many as can be spared."""
-        bucket = self._filled(tenant, limit, now)
-        self._end_leases(bucket, now)
+        """Lease spare tokens to a node for future requests; return their number."""
+        bucket = self._refilled(tenant, limit, now)
+        self._expire_leases(bucket, now)
         capacity = self._capacity(limit)
         room = LEASE_SHARE * capacity - bucket.leased
         spare = bucket.level - LEASE_FILL * capacity
@@ -205,48 +205,51 @@
         return leased
 
     def give(self, tenant: str, limit: TenantLimit, wanted: float, now: float) -> float:
-        """Return tokens for another holder: what is not needed here at once."""
-        bucket = self._filled(tenant, limit, now)
-        kept_back = self._use(bucket, now) * KEEP_BACK_SECONDS
-        given = max(0.0, min(wanted, bucket.level - kept_back))
+        """Transfer tokens to another holder; return their number.
+
+        Tokens for the bucket's own usage of the next ``RETAINED_USAGE_SECONDS`` are retained.
+        """
+        bucket = self._refilled(tenant, limit, now)
+        retained = self._usage(bucket, now) * RETAINED_USAGE_SECONDS
+        given = max(0.0, min(wanted, bucket.level - retained))
         bucket.level -= given
         return given
 
     def put_back(
         self, tenant: str, limit: TenantLimit, node_id: str, tokens: float, now: float
     ) -> None:
-        """Take over what a node has not used of its lease: it has none any more."""
-        bucket = self._filled(tenant, limit, now)
+        """End a node's lease and add its unused tokens to the bucket."""
+        bucket = self._refilled(tenant, limit, now)
         lease = bucket.leases.pop(node_id, None)
         if lease is not None:
             bucket.leased -= lease.tokens
-            self._note_use(bucket, max(0.0, lease.tokens - tokens), now)
+            self._record_usage(bucket, max(0.0, lease.tokens - tokens), now)
         bucket.level += tokens
 
     def receive(self, tenant: str, limit: TenantLimit, tokens: float, now: float) -> None:
-        """Take over tokens that another holder gave."""
-        self._filled(tenant, limit, now).level += tokens
+        """Add tokens that another holder transferred."""
+        self._refilled(tenant, limit, now).level += tokens
 
     def wait_seconds(
         self, tenant: str, limit: TenantLimit, cost: float, rank: int, now: float
     ) -> float:
-        """Return after how long a request that was refused finds room.
+        """Return the time after which a refused request should be retried.
 
-        Each refused request is given its own place, one after another at the rate of the limit, so
-        that those who were refused together do not return together.
+        Refused requests are scheduled one after another at the rate of the limit, so that requests
+        refused together are not retried together.
         """
-        bucket = self._filled(tenant, limit, now)
+        bucket = self._refilled(tenant, limit, now)
         rate = limit.rate * self._share
         window = self.tolerance.window_seconds
         if rate <= 0:
             return window
         lacking = max(0.0, self._needed(limit, cost, rank) - bucket.level) / rate
-        soonest = now + max(LEAST_WAIT_SECONDS, lacking)
+        soonest = now + max(MIN_WAIT_SECONDS, lacking)
         bucket.room_at = min(max(bucket.room_at + cost / rate, soonest), now + window)
         return bucket.room_at - now
 
     def expire(self, limit_of: Callable[[str], TenantLimit | None], now: float) -> None:
-        """Forget nodes that hand nothing over, and buckets that are full again and nobody uses."""
+        """Remove nodes that no longer contribute, and unused buckets that are full again."""
         for node_id in [n for n, c in self._contributors.items() if not self._counts(c, now)]:
             del self._contributors[node_id]
         while self._starts and now - self._starts[0][0] > self.tolerance.window_seconds:
@@ -255,10 +258,11 @@
             if now - bucket.used_at <= self.tolerance.window_seconds:
                 continue
             limit = limit_of(tenant)
-            # One that is made anew is filled by all the time since this process began: it is full.
+            # If a removed bucket is created again later, the refill time since the start of this
+            # process fills it.
             if limit is not None:
-                self._end_leases(bucket, now)
-            if limit is None or self._filled(tenant, limit, now).level >= self._capacity(limit):
+                self._expire_leases(bucket, now)
+            if limit is None or self._refilled(tenant, limit, now).level >= self._capacity(limit):
                 del self._buckets[tenant]
 
     def levels(self) -> dict[str, float]:
@@ -276,7 +280,7 @@
         self._share = min(1.0, count / self._node_count)
 
     def _needed(self, limit: TenantLimit, cost: float, rank: int) -> float:
-        """Return what a bucket must hold for a request."""
+        """Return the level that a bucket must have to admit a request."""
         needed = min(self._with_reserve(cost, rank), self._capacity(limit))
         return max(cost, needed) if self.is_whole else needed
 
@@ -284,24 +288,24 @@
         return cost * (1.0 + RESERVE_OF_RANK * max(0, rank))
 
     def _capacity(self, limit: TenantLimit) -> float:
-        return self._share * (limit.burst + EXTRA_SHARE * self.tolerance.margin(limit))
+        return self._share * (limit.burst + OVERFILL_SHARE * self.tolerance.margin(limit))
 
-    def _filled(self, tenant: str, limit: TenantLimit, now: float) -> _Bucket:
-        """Return a tenant's bucket, filled up to now.
+    def _refilled(self, tenant: str, limit: TenantLimit, now: float) -> _Bucket:
+        """Return a tenant's bucket, refilled up to now.
 
-        What it may hold follows the limit, and the nodes that hand over their time now: a holder
-        that was paused or left must not keep what the next one fills anew.
+        The capacity follows the limit and the number of current contributors. A holder that was
+        paused or lost its contributors must not retain tokens that the next holder refills too.
         """
         self._recount(now)
         bucket = self._buckets.get(tenant)
         if bucket is None:
-            began = now - self.tolerance.window_seconds
-            bucket = self._buckets[tenant] = _Bucket(started_at=began, used_at=now)
+            window_start = now - self.tolerance.window_seconds
+            bucket = self._buckets[tenant] = _Bucket(started_at=window_start, used_at=now)
         gained = limit.rate * (self._refill_time - bucket.refilled_at)
         bucket.refilled_at = self._refill_time
         capacity = self._capacity(limit)
         filled = min(capacity - bucket.leased, bucket.level + gained)
-        # Tokens that another holder gave for a request may lie above what is filled.
+        # Tokens transferred by another holder for a request may exceed the capacity.
         is_reduced = capacity < bucket.capacity
         bucket.level = filled if is_reduced else max(filled, bucket.level)
         bucket.capacity = capacity
@@ -311,8 +315,8 @@
             bucket.started_at = self._starts[-1][0]
         return bucket
 
-    def _end_leases(self, bucket: _Bucket, now: float) -> None:
-        """Forget leases that have lapsed."""
+    def _expire_leases(self, bucket: _Bucket, now: float) -> None:
+        """Remove expired leases."""
         ended = [
             node_id
             for node_id, lease in bucket.leases.items()
@@ -321,10 +325,10 @@
         for node_id in ended:
             bucket.leased -= bucket.leases.pop(node_id).tokens
 
-    def _use(self, bucket: _Bucket, now: float) -> float:
+    def _usage(self, bucket: _Bucket, now: float) -> float:
         elapsed = max(0.0, now - bucket.used_at)
-        return bucket.use / (1.0 + elapsed / USE_SECONDS)
+        return bucket.use / (1.0 + elapsed / USAGE_WINDOW_SECONDS)
 
-    def _note_use(self, bucket: _Bucket, tokens: float, now: float) -> None:
-        bucket.use = self._use(bucket, now) + tokens / USE_SECONDS
+    def _record_usage(self, bucket: _Bucket, tokens: float, now: float) -> None:
+        bucket.use = self._usage(bucket, now) + tokens / USAGE_WINDOW_SECONDS
         bucket.used_at = now
--- a/src/hillstack/core/token_leases.py
+++ b/src/hillstack/core/token_leases.py
@@ -1,32 +1,32 @@
-"""What one node has of tenants' limits: its own time, and the tokens that are leased to it."""
+"""One node's part of tenants' limits: the time that it contributes and the tokens leased to it."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Time that a node hands over at once at the most: somewhat more than lies between two of its
-# messages. What is older is lost: time that all nodes have not handed over yet comes on top of the
-# bursts in the worst window, here six tenths of a second of each limit's rate.
+# Most time that a node contributes at once: slightly more than the interval between its messages.
+# Older time is lost. Time that nodes have not contributed yet adds to the bursts in the worst
+# window, here six tenths of a second of each limit's rate.
 MAX_HANDED_SECONDS = 0.6
-# Over this time a node's use is averaged; about the time between two renewals.
-USE_SECONDS = 0.5
-# Leased ahead is what the node uses in so long: two renewals.
-AHEAD_SECONDS = 1.0
-# Below this use, in requests of the last size a second, nothing is leased ahead: a request waits
-# for one exchange of some milliseconds instead.
-LEAST_REQUESTS_PER_SECOND = 0.25
+# Averaging time of a node's usage, about the interval between two renewals.
+USAGE_WINDOW_SECONDS = 0.5
+# A node leases tokens ahead for its usage of this time, two renewals.
+LEASE_AHEAD_SECONDS = 1.0
+# Usage below which nothing is leased ahead, in requests of the last cost per second. A request then
+# waits for one exchange of some milliseconds instead.
+MIN_REQUESTS_PER_SECOND = 0.25
 
 
 @dataclass(slots=True)
 class _Lease:
-    """Tokens of one tenant.
+    """Tokens of one tenant leased to this node.
 
     Attributes:
-        tokens: How many are left.
-        ends_at: When they lapse.
-        use: Tokens used a second.
-        used_at: Until when the use is averaged.
-        last_cost: What the last request cost.
+        tokens: Number of unused tokens.
+        ends_at: When the tokens expire.
+        use: Average usage in tokens per second.
+        used_at: Time up to which the usage is averaged.
+        last_cost: Cost of the last request.
     """
 
     tokens: float = 0.0
@@ -37,61 +37,61 @@
 
 
 class TokenLeases:
-    """Tokens and time of one node.
+    """Leased tokens and uncontributed time of one node.
 
     Args:
-        now: Time on the node's clock: time before it is not the node's to hand over.
+        now: Time on the node's clock. Earlier time is never contributed.
     """
 
     def __init__(self, now: float) -> None:
-        self._handed_until = now
+        self._contributed_until = now
         self._leases: dict[str, _Lease] = {}
 
     def hand_over(self, now: float) -> float:
-        """Return the node's time since it last handed some over, which is gone from now on."""
-        seconds = min(MAX_HANDED_SECONDS, max(0.0, now - self._handed_until))
-        self._handed_until = now
+        """Return the time since the last contribution, and start counting from zero."""
+        seconds = min(MAX_HANDED_SECONDS, max(0.0, now - self._contributed_until))
+        self._contributed_until = now
         return seconds
 
     def spend(self, tenant: str, cost: float, now: float) -> bool:
-        """Use up tokens for a request; return whether there were enough."""
+        """Use tokens for a request; return whether there were enough."""
         lease = self._valid(tenant, now)
-        self._note_use(lease, cost, now)
+        self._record_usage(lease, cost, now)
         if lease.tokens < cost:
             return False
         lease.tokens -= cost
         return True
 
     def add(self, tenant: str, tokens: float, ends_at: float, now: float) -> None:
-        """Take over tokens that were leased; those that are there already last as long."""
+        """Add leased tokens; all tokens of the tenant expire at the earlier of both times."""
         lease = self._valid(tenant, now)
         lease.ends_at = min(lease.ends_at, ends_at) if lease.tokens > 0 else ends_at
         lease.tokens += tokens
 
     def take_out(self, tenant: str, now: float) -> float:
-        """Return all tokens of a tenant, which are no longer this node's from now on."""
+        """Remove and return all tokens of a tenant."""
         lease = self._valid(tenant, now)
         tokens, lease.tokens = lease.tokens, 0.0
         return tokens
 
     def wanted(self, tenant: str, now: float) -> float:
-        """Return the tokens that the node is likely to use until the lease is renewed."""
+        """Return the number of tokens that the node is expected to use until the next renewal."""
         lease = self._valid(tenant, now)
-        use = self._use(lease, now)
-        if lease.last_cost <= 0 or use < LEAST_REQUESTS_PER_SECOND * lease.last_cost:
+        use = self._usage(lease, now)
+        if lease.last_cost <= 0 or use < MIN_REQUESTS_PER_SECOND * lease.last_cost:
             return 0.0
-        return max(use * AHEAD_SECONDS, lease.last_cost)
+        return max(use * LEASE_AHEAD_SECONDS, lease.last_cost)
 
     def is_low(self, tenant: str, now: float) -> bool:
-        """Return whether the next requests are likely to find too little."""
+        """Return whether the tokens are unlikely to suffice for the next requests."""
         return self._valid(tenant, now).tokens < 0.5 * self.wanted(tenant, now)
 
     def tenants(self) -> list[str]:
-        """Return the tenants that this node has served lately."""
+        """Return the tenants that this node has tokens for or served lately."""
         return list(self._leases)
 
     def expire(self, now: float) -> None:
-        """Forget tenants that have no tokens here and send nothing any more."""
+        """Remove tenants that have no tokens here and no recent usage."""
         for tenant in self.tenants():
             if self._valid(tenant, now).tokens <= 0 and self.wanted(tenant, now) <= 0:
                 del self._leases[tenant]
@@ -104,10 +104,10 @@
             lease.tokens = 0.0
         return lease
 
-    def _use(self, lease: _Lease, now: float) -> float:
-        return lease.use / (1.0 + max(0.0, now - lease.used_at) / USE_SECONDS)
+    def _usage(self, lease: _Lease, now: float) -> float:
+        return lease.use / (1.0 + max(0.0, now - lease.used_at) / USAGE_WINDOW_SECONDS)
 
-    def _note_use(self, lease: _Lease, cost: float, now: float) -> None:
-        lease.use = self._use(lease, now) + cost / USE_SECONDS
+    def _record_usage(self, lease: _Lease, cost: float, now: float) -> None:
+        lease.use = self._usage(lease, now) + cost / USAGE_WINDOW_SECONDS
         lease.used_at = now
         lease.last_cost = cost
--- a/src/hillstack/core/version_baseline.py
+++ b/src/hillstack/core/version_baseline.py
@@ -1,4 +1,4 @@
-"""What may be expected of a version on a route: what the other versions did in the same seconds."""
+"""Baseline for a version on a route: the outcomes of the other versions in the same seconds."""
 
 from __future__ import annotations
 
@@ -14,40 +14,43 @@
     OutcomeTotals,
 )
 
-# Steps of 0.5 s over which the others are looked at: as long as a burst, and several times as long.
-# The worse of both counts, since trouble of the whole service reaches the versions at slightly
-# different times.
+# Numbers of steps of 0.5 s over which the other versions are evaluated: as long as a burst, and
+# several times as long. The worse of both rates is used, since a problem of the whole service
+# affects the versions at slightly different times.
 SHORT_STEPS = 3
 LONG_STEPS = 10
-# From fewer answers no rate is taken.
+# Fewest answers from which a rate is computed.
 MIN_COMPARED = 20
 MIN_COMPARED_SHORT = 10
-# A rate starts from the least one, as if that had been seen in so many answers: few answers say
-# little.
+# Weight of the prior in a rate: the least rate counts as if observed in this many answers, so that
+# few answers don't change the rate much.
 PRIOR_ANSWERS = 10.0
-# One of a hundred answers fails in an ordinary deployment while runners end and start.
-LEAST_FAILED = 0.01
-# Where the others have too few answers in the same seconds, trouble of the service can't be told
-# from that of the version.
-LEAST_FAILED_ALONE = 0.05
-# The same for answers that are slow.
-LEAST_SLOW = 0.02
-# Answers are slow that took clearly longer than all but that share of the others'.
+# Least failure rate: one of a hundred answers fails in an ordinary deployment while runners stop
+# and start.
+MIN_FAILED_RATE = 0.01
+# Least failure rate if the other versions have too few answers in the same seconds: a problem of
+# the service then can't be distinguished from one of the version.
+MIN_FAILED_RATE_ALONE = 0.05
+# Least rate of slow answers.
+MIN_SLOW_RATE = 0.02
+# An answer is slow if it took clearly longer than all but this share of the other versions'
+# answers.
 SLOW_SHARE = 0.1
-# What clearly means, in entries of the delays (1.4 times each): a version that is a fifth slower,
-# as one with cold caches, is not bad.
+# Delay buckets (a factor of 1.4 each) by which an answer is clearly slower. A version that is a
+# fifth slower, for example because its caches are cold, is not bad.
 CLEAR_BUCKETS = 1
-# Entries, 1.4 times as slow: added where the others were not seen under the same load.
+# Additional delay buckets, a factor of 1.4, if the other versions were not observed under the same
+# load.
 UNLIKE_BUCKETS = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Baseline:
-    """What the other versions did.
+    """Rates of the other versions.
 
     Attributes:
         failed: Share of answers that failed.
-        slow_above: Answers in later entries of the delays are slow; None if no answer can be.
+        slow_above: Last delay bucket whose answers are not slow; None if no answer counts as slow.
         slow: Share of answers that were slow.
     """
 
@@ -57,26 +60,26 @@
 
 
 def baseline_of(steps: OutcomeSteps, target: str, route: str, busy: bool) -> Baseline | None:
-    """Return what the others did on a route under a load; None if nothing is known of them.
+    """Return the baseline for a route and load; None if there are too few answers to compare with.
 
-    While the traffic shifts the target carries what all did together: that it is slower than they
-    were says nothing.
+    While the traffic shifts, the target carries the load of all other versions, so being slower
+    than they were is no evidence against it.
     """
-    baseline = _compared(steps, target, route, busy)
+    baseline = _closest_baseline(steps, target, route, busy)
     if baseline is None or not _carries_most(steps, target):
         return baseline
     return replace(baseline, slow_above=None)
 
 
 def _carries_most(steps: OutcomeSteps, target: str) -> bool:
-    """Return whether the target answers more than all others do."""
+    """Return whether the target answers more requests than all other versions together."""
     own = steps.total(lambda key: key.version == target, SHORT_STEPS)
     others = steps.total(lambda key: key.version != target, SHORT_STEPS)
     return own.answered > others.answered
 
 
-def _compared(steps: OutcomeSteps, target: str, route: str, busy: bool) -> Baseline | None:
-    """Return what the others did, under conditions as like the target's as have been seen."""
+def _closest_baseline(steps: OutcomeSteps, target: str, route: str, busy: bool) -> Baseline | None:
+    """Return the baseline from the observations that best match the target's conditions."""
 
     def is_same(key: OutcomeKey) -> bool:
         return key.version != target and key.route == route and key.busy == busy
@@ -90,7 +93,7 @@
     for matches, extra_buckets in ((is_same, 0), (is_same_route, UNLIKE_BUCKETS)):
         latest = steps.total(matches, LONG_STEPS)
         if latest.answered >= MIN_COMPARED:
-            return _baseline(steps, matches, latest, extra_buckets)
+            return _recent_baseline(steps, matches, latest, extra_buckets)
     for matches in (is_same_route, is_other):
         known = steps.total(matches)
         if known.answered >= MIN_COMPARED:
@@ -98,7 +101,7 @@
     return None
 
 
-def _baseline(
+def _recent_baseline(
     steps: OutcomeSteps,
     matches: Callable[[OutcomeKey], bool],
     latest: OutcomeTotals,
@@ -111,17 +114,17 @@
         samples.append(short)
     failed = max(_failed_rate(sample) for sample in samples)
     slow = max(_slow_rate(sample, above) for sample in samples)
-    return Baseline(max(LEAST_FAILED, failed), above, max(LEAST_SLOW, slow))
+    return Baseline(max(MIN_FAILED_RATE, failed), above, max(MIN_SLOW_RATE, slow))
 
 
 def _older_baseline(known: OutcomeTotals) -> Baseline:
     above = _slow_above(known, UNLIKE_BUCKETS)
-    slow = max(LEAST_SLOW, _slow_rate(known, above))
-    return Baseline(max(LEAST_FAILED_ALONE, _failed_rate(known)), above, slow)
+    slow = max(MIN_SLOW_RATE, _slow_rate(known, above))
+    return Baseline(max(MIN_FAILED_RATE_ALONE, _failed_rate(known)), above, slow)
 
 
 def _slow_above(totals: OutcomeTotals, extra_buckets: int) -> int | None:
-    """Return the entry beyond which answers count as slow; None if no entry lies beyond it."""
+    """Return the delay bucket above which answers count as slow; None if it is the last one."""
     timed = sum(totals.delays)
     allowed = math.floor(SLOW_SHARE * timed)
     beyond = 0
@@ -134,14 +137,14 @@
 
 
 def slow_count(totals: OutcomeTotals, above: int | None) -> int:
-    """Return how many answers were slow."""
+    """Return the number of slow answers."""
     return sum(totals.delays[above + 1 :]) if above is not None else 0
 
 
 def _failed_rate(totals: OutcomeTotals) -> float:
-    return (totals.failed + LEAST_FAILED * PRIOR_ANSWERS) / (totals.answered + PRIOR_ANSWERS)
+    return (totals.failed + MIN_FAILED_RATE * PRIOR_ANSWERS) / (totals.answered + PRIOR_ANSWERS)
 
 
 def _slow_rate(totals: OutcomeTotals, above: int | None) -> float:
     timed = sum(totals.delays)
-    return (slow_count(totals, above) + LEAST_SLOW * PRIOR_ANSWERS) / (timed + PRIOR_ANSWERS)
+    return (slow_count(totals, above) + MIN_SLOW_RATE * PRIOR_ANSWERS) / (timed + PRIOR_ANSWERS)
--- a/src/hillstack/core/version_exposure.py
+++ b/src/hillstack/core/version_exposure.py
@@ -1,13 +1,13 @@
-"""How much of a service's traffic a node may send to a version that is not trusted yet.
+"""Limits how much of a service's traffic a node sends to a version that is not trusted yet.
 
-Each node pays for its own sends: with a share of the requests that it took for the service since it
-saw the order, and with its part of the slack. A right to send arises only at the node that has the
-request and is used there or never, so the sum over all nodes keeps the bound whatever they know of
-one another: cut off, paused, started anew, or all at once.
+Each node has its own allowance: a share of the requests that it received for the service since it
+saw the order, and its part of the slack. The allowance is earned and used on the same node, never
+transferred. The sum over all nodes therefore stays within the bound whatever the nodes know of one
+another, also while they are partitioned, paused, restarted, or all of these at once.
 
-Rare routes get more than their share of the canaries: a request is taken with a probability that
-falls with the square root of how common its route is. What common routes leave is kept for the next
-request, so the whole exposure is used all the same.
+Rare routes get more than their share of the canary requests: a request is selected with a
+probability that falls with the square root of how common its route is. Allowance that common routes
+don't use remains for later requests, so the whole exposure is still used.
 """
 
 from __future__ import annotations
@@ -17,36 +17,40 @@
 
 from hillstack.core.store_revision import StoreRevision
 
-# Part of the share that is used: the rest is for requests that were counted and that callers sent
-# again to another node.
+# Fraction of the share that is used. The rest allows for requests that were counted here and that
+# callers retried at another node.
 SHARE_SAFETY = 0.95
-# Part of the slack that is used: the rest is for nodes that have started and that others do not
-# know yet when they divide it.
+# Fraction of the slack that is used. The rest allows for started nodes that other nodes don't know
+# yet when they divide the slack.
 SLACK_SAFETY = 0.8
-# The slack is not used for so long after the order was seen: by then the nodes that started shortly
-# before the order are known.
+# The slack is not used until this time after the order was seen. By then the nodes that started
+# shortly before the order are known.
 SLACK_SETTLE_SECONDS = 1.0
-# Where all canaries together do not make one runner as busy as the others, they are sent in bursts:
-# one every so many seconds, several within the time in which a rollout is decided (some 12 s).
+# If all canary requests together can't make one runner as busy as the others, they are sent in
+# bursts with this period. Several bursts fit into the time in which a rollout is decided (about
+# 12 s).
 BURST_PERIOD_SECONDS = 3.0
-# The shortest part of a period in which canaries are sent: nodes see an order within half a second
-# of each other, and their bursts must meet.
-LEAST_BURST_PART = 0.25
-# From so many unused sends on a request of any route is taken: rare routes alone would leave much
-# of the exposure unused.
+# Shortest fraction of a period in which canary requests are sent. Nodes see an order within half a
+# second of each other, and their bursts must overlap.
+MIN_BURST_PART = 0.25
+# Unused sends from which requests of any route are selected. Selecting by route alone would leave
+# much of the exposure unused.
 ANY_ROUTE_FROM_SENDS = 2.0
 
 
 @dataclass(slots=True)
 class _Account:
-    """What one node took and sent under one order.
+    """Requests received and sends made by one node under one order.
 
     Attributes:
-        revision: That names the order.
+        revision: Revision that identifies the order.
         opened_at: When this node saw the order.
-        earns_until: The order's deadline: requests that come later earn no sends.
+        earns_until: The order's deadline; later requests earn no sends.
         has_slack: Whether this process may use its part of the slack.
-        node_count: Most nodes that were known to share the slack.
+        node_count: Greatest known number of nodes that share the slack.
+        requests: Requests received.
+        sends: Requests sent to the untrusted version.
+        by_route: Requests received, by route.
     """
 
     revision: StoreRevision
@@ -63,8 +67,8 @@
     """This node's part of the exposure of the target versions of all services.
 
     Args:
-        share: Part of a service's requests that an untrusted version may get.
-        slack: Requests that it may get beyond that, over all nodes.
+        share: Fraction of a service's requests that an untrusted version may get.
+        slack: Requests that an untrusted version may get in addition, over all nodes.
     """
 
     def __init__(self, share: float, slack: float) -> None:
@@ -74,7 +78,7 @@
         self._accounts: dict[str, _Account] = {}
 
     def set_node_count(self, count: int) -> None:
-        """Note how many nodes share the slack; a part that was given never grows."""
+        """Set the number of nodes that share the slack; an open account's slack never grows."""
         self._node_count = max(1, count)
         for account in self._accounts.values():
             account.node_count = max(account.node_count, self._node_count)
@@ -87,18 +91,18 @@
         not_before: float,
         now: float,
     ) -> None:
-        """Begin the account of an order.
+        """Open the account of an order.
 
-        A process that finds an order when it starts knows neither its age nor what its predecessor
-        sent: it sends nothing to an untrusted version.
+        A process that finds an order when it starts knows neither the age of the order nor how much
+        the previous process of the node sent. It sends nothing to an untrusted version.
 
         Args:
             service: The service.
-            revision: That names the order.
+            revision: Revision that identifies the order.
             over_seconds: Time from the order to its deadline.
             not_before: Earliest time at which the order can have been given; minus infinity if
-                that is not known.
-            now: When it was seen, on the node's clock.
+                unknown.
+            now: When the order was seen, on the node's clock.
         """
         known = self._accounts.get(service)
         if known is not None and known.revision >= revision:
@@ -109,7 +113,7 @@
         self._accounts[service] = account
 
     def on_request(self, service: str, route: str, arrived_at: float) -> None:
-        """Note a request for a service, once, by when it came."""
+        """Count a request for a service, once per request, by its time of arrival."""
         account = self._accounts.get(service)
         if account is None or not account.opened_at <= arrived_at <= account.earns_until:
             return
@@ -120,34 +124,34 @@
         """Return whether a request may go to the untrusted version.
 
         Args:
-            service: Its service.
-            route: Its route.
-            draw: Random number from 0 up to 1; 0 if no other version takes the request.
+            service: The request's service.
+            route: The request's route.
+            draw: Random number in [0, 1); 0 if no other version can serve the request.
             now: Time on the node's clock.
         """
         left = self.left(service, now)
         if left < 1.0:
             return False
-        return left >= ANY_ROUTE_FROM_SENDS or draw < self._chance(service, route)
+        return left >= ANY_ROUTE_FROM_SENDS or draw < self._selection_probability(service, route)
 
     def is_burst(self, service: str, part: float, now: float) -> bool:
-        """Return whether canaries are sent now, if they are for a part of the time only.
+        """Return whether canary requests are sent now, if they are sent in bursts.
 
         Args:
             service: The service.
-            part: Part of the time in which canaries are sent, with the exposure that the whole time
-                earns; from 1 on they are sent all the time.
+            part: Fraction of the time in which canary requests are sent, using the exposure that
+                the whole time earns; with 1 or more they are sent all the time.
             now: Time on the node's clock.
         """
         account = self._accounts.get(service)
         if account is None:
             return False
-        # The first burst begins when the slack can be used.
+        # The first burst begins as soon as the slack may be used.
         since = now - account.opened_at - SLACK_SETTLE_SECONDS
-        return since % BURST_PERIOD_SECONDS < max(part, LEAST_BURST_PART) * BURST_PERIOD_SECONDS
+        return since % BURST_PERIOD_SECONDS < max(part, MIN_BURST_PART) * BURST_PERIOD_SECONDS
 
     def on_send(self, service: str) -> int:
-        """Note a send to the untrusted version, a refused one too; return how many that makes."""
+        """Count a send to the untrusted version, even if refused; return the number of sends."""
         account = self._accounts.get(service)
         if account is None:
             return 0
@@ -155,7 +159,7 @@
         return account.sends
 
     def left(self, service: str, now: float) -> float:
-        """Return how many requests may still be sent to the untrusted version; 0 without order."""
+        """Return how many more requests the untrusted version may get; 0 without an order."""
         account = self._accounts.get(service)
         if account is None:
             return 0.0
@@ -164,8 +168,8 @@
             allowance += self._slack * SLACK_SAFETY / account.node_count
         return allowance - account.sends
 
-    def _chance(self, service: str, route: str) -> float:
-        """Return with which probability a request of a route is taken while there is exposure."""
+    def _selection_probability(self, service: str, route: str) -> float:
+        """Return the probability of selecting a request of a route while exposure is left."""
         seen = self._accounts[service].by_route
         if not seen:
             return 1.0
--- a/src/hillstack/core/weights.py
+++ b/src/hillstack/core/weights.py
@@ -1,4 +1,4 @@
-"""Which engines should load which weights next."""
+"""Decides which engines load which weights version next."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """An engine and the weights version that it should load."""
+    """An order to an engine to load a weights version."""
 
     engine_id: str
     address: str
@@ -21,10 +21,11 @@
 def next_orders(
     bundle: Bundle, fleet: Fleet, in_progress: Collection[str], now: float
 ) -> list[LoadOrder]:
-    """Return the orders to give now.
+    """Return the load orders to send now.
 
-    Engines whose weights are not those of the bundle are reloaded, the least loaded first, not
-    more at once than the pool allows, and never all of a pool while it has more than one.
+    Engines whose weights version differs from the bundle's are reloaded, least loaded first. No
+    more engines reload at once than the pool allows, and never all engines of a pool that has
+    several.
     """
     orders = []
     for model in bundle.models:
--- a/src/hillstack/core/weights_rollout.py
+++ b/src/hillstack/core/weights_rollout.py
@@ -1,9 +1,9 @@
-"""Which runners load the newest weights next.
+"""Decides which runners load the newest weights next.
 
-A load takes a runner out of use for about a second and pauses the streams that run there; they go
-on under the new weights. Loads are paced so that all runners are done before requests must not
-begin on the older weights any more, and so that enough of the runners that are alive serve on. A
-version that is named meanwhile replaces the one before for all runners that have not begun to load.
+A load takes a runner out of use for about a second and pauses its streams, which continue under the
+new weights. Loads are paced so that all runners finish before the deadline from which no request
+may begin on older weights, and so that enough live runners continue to serve. If another version is
+announced meanwhile, it replaces the earlier one for all runners that have not begun to load.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 from hillstack.core.runner_pool import Runner
 from hillstack.core.weights_versions import WeightsVersions
 
-# A version named right after another replaces it for runners that have not begun; 0.1 and 0.3 s
-# made no difference (docs/DECISIONS.md, round 5).
+# A version announced right after another one replaces it for runners that have not begun to load.
+# 0.1 s and 0.3 s made no difference (docs/DECISIONS.md, round 5).
 START_DELAY_SECONDS = 0.1
-# Two loads and their waits: later than that a runner may be too old for use.
+# A load is urgent this long before the runner's deadline: two loads and their waits.
 URGENT_SECONDS = 2.0
-# At most so many of the runners alive load at once: chosen; the pace mostly asks for fewer.
+# Greatest share of the live runners that load at once; the pace usually requires fewer.
 CONCURRENT_SHARE = 0.4
 URGENT_SHARE = 1 / 2
-# A load that fails once is repeated within that time.
+# Time reserved before the deadline, in which a load that failed once can be repeated.
 PACE_SAFETY_SECONDS = 1.2
-# Keeps the pace finite when the time is over.
+# Keeps the pace finite after the deadline.
 MIN_PACE_SECONDS = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutView:
-    """What a decision is based on.
+    """State on which a decision is based.
 
     Attributes:
         runners: All runners of the services that serve the model.
-        loading: Runners that load.
-        resting: Runners that were not reached just now, and are tried again later.
-        load_seconds: Time that a runner is out of use for a load, as seen lately.
+        loading: Identifiers of runners that are loading.
+        resting: Identifiers of runners that were unreachable lately; they are retried later.
+        load_seconds: Recent duration for which a load takes a runner out of use.
         now: Time on the node's clock.
     """
 
@@ -49,11 +49,11 @@
 
 
 class RolloutPlan:
-    """The plan for one model.
+    """Plans the loads of one model's weights.
 
     Args:
         model: The model.
-        versions: The versions that were named.
+        versions: The announced versions.
     """
 
     def __init__(self, model: str, versions: WeightsVersions) -> None:
@@ -70,7 +70,7 @@
         return due[: max(0, self._room(staying, waiting, view))]
 
     def _room(self, staying: Sequence[Runner], waiting: Sequence[Runner], view: RolloutView) -> int:
-        """Return how many more may load now, so that enough of those alive serve on."""
+        """Return how many more runners may load now, so that enough live runners still serve."""
         alive = [runner for runner in staying if view.now >= runner.suspected_until]
         loading = sum(1 for runner in alive if runner.runner_id in view.loading)
         urgent = any(self._is_urgent(runner, view.now) for runner in waiting)
@@ -79,7 +79,7 @@
         return min(most, self._pace(waiting, loading, view)) - loading
 
     def _pace(self, waiting: Sequence[Runner], loading: int, view: RolloutView) -> int:
-        """Return how many must load at a time to be done before the first deadline."""
+        """Return how many runners must load at a time to finish before the first deadline."""
         first = min((self._deadline(runner) for runner in waiting), default=math.inf)
         left = max(MIN_PACE_SECONDS, first - view.now - PACE_SAFETY_SECONDS)
         return max(1, math.ceil((len(waiting) + loading) * view.load_seconds / left - 0.1))
--- a/src/hillstack/core/weights_versions.py
+++ b/src/hillstack/core/weights_versions.py
@@ -1,12 +1,13 @@
-"""Which version of a model's weights a request may still begin on.
-
-Each version that is named must be the oldest in use a bounded time after its announcement was
-acknowledged. A node knows the announcement only up to an interval: it was not there when the last
-answer before was asked for. The earlier end counts. It may be taken for later only on proof: a
-node's own answers, or a peer's answer to its own question, which counts from when that was sent. A
-word that comes unasked is late by its way, which nobody knows. Counted from its arrival and told
-on, it moved the bound of 69 nodes by 0.9 s a second where words took 0.05 to 0.6 s, so that older
-weights were used without end.
+"""Decides on which versions of a model's weights a request may still begin.
+
+A bounded time after the announcement of a version was acknowledged, no request may begin on an
+older version. A node knows the time of the acknowledgement only as an interval: the announcement
+was not in the store when the previous answer of the store was requested. The bound counts from the
+start of that interval. The start may be moved later only on proof: an answer of the store to this
+node, or a peer's answer to a question of this node, either counted from when the question was sent.
+An unsolicited message is no proof, since its delay is unknown. When such messages counted from
+their arrival and were forwarded, they moved the bound on 69 nodes by 0.9 s per second with message
+delays of 0.05 to 0.6 s, so that older weights stayed in use indefinitely.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 
 
 class BoundCause(enum.StrEnum):
-    """What the bound of a version was last set or moved by.
+    """Cause of the latest change of a version's bound.
 
     Attributes:
-        NAMED: The version was named: nothing has moved it since.
-        START: It was named before this node could be held to a bound.
-        PEER: A peer knows better when it was named.
-        OUTAGE: The store was away.
+        NAMED: The version was announced; the bound has not moved since.
+        START: The version was announced before this node was subject to a bound.
+        PEER: A peer proved a later time of the announcement.
+        OUTAGE: The store was unavailable.
     """
 
     NAMED = "named"
@@ -36,17 +37,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """A version that was named.
+    """An announced version.
 
     Attributes:
         version: The version.
-        acknowledged_after: It was acknowledged no earlier than that: the latest such time that was
-            proved to this node.
-        not_before: The bound counts for this node from there on; later than ``acknowledged_after``
-            after an outage, and for a node that has just started. Never told to others.
-        told_by: Who knows ``acknowledged_after``: this node by its own looks, or a peer.
-        cause: What ``not_before`` was last set or moved by.
-        revision: Of the store's item that names it; a peer needs it to say when that was.
+        acknowledged_after: Latest time proved to this node to precede the acknowledgement of the
+            announcement.
+        not_before: Time from which the bound counts on this node; later than
+            ``acknowledged_after`` after an outage, and on a node that has just started. It is never
+            sent to other nodes.
+        told_by: Source of ``acknowledged_after``: empty for this node's own reads of the store, or
+            a peer.
+        cause: Cause of the latest change of ``not_before``.
+        revision: Revision of the store's item that announces the version; a peer needs it to
+            determine the time of the announcement.
     """
 
     version: int
@@ -59,10 +63,13 @@
 
 @dataclass(frozen=True, slots=True)
 class NamedVersion:
-    """A version of a model's weights that was acknowledged no earlier than a time.
+    """A version of a model's weights with the time that precedes its acknowledgement.
 
     Attributes:
-        revision: Of the store's item that names it.
+        model: The model.
+        version: The version.
+        acknowledged_after: Latest time proved to precede the acknowledgement.
+        revision: Revision of the store's item that announces the version.
     """
 
     model: str
@@ -73,12 +80,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundMove:
-    """The bound of a version that moved.
+    """A change of a version's bound.
 
     Attributes:
         model: The model.
-        announcement: The version, as it is known now.
-        seconds: How much later runners with older weights may be used.
+        announcement: The announcement after the change.
+        seconds: By how much longer runners with older weights may be used.
     """
 
     model: str
@@ -87,10 +94,10 @@
 
 
 class WeightsVersions:
-    """The versions named for each model.
+    """The announced versions of each model.
 
     Args:
-        grace_seconds: Time after an announcement until which older versions may be used.
+        grace_seconds: Time after an announcement during which older versions may be used.
     """
 
     def __init__(self, grace_seconds: float) -> None:
@@ -98,12 +105,12 @@
         self._announced: dict[str, list[Announcement]] = {}
 
     def announce(self, model: str, announcement: Announcement) -> bool:
-        """Note a version; return whether it is newer than all known ones.
+        """Add a version; return whether it is newer than all known versions.
 
         Args:
             model: The model.
-            announcement: The version. Its bound counts from when it was acknowledged at the
-                earliest, whatever ``not_before`` says.
+            announcement: The version. Its bound counts from ``not_before``, but no earlier than
+                from ``acknowledged_after``.
         """
         known = self._announced.setdefault(model, [])
         if known and known[-1].version >= announcement.version:
@@ -115,14 +122,14 @@
         return True
 
     def narrow(self, named: NamedVersion, told_by: str = "") -> list[BoundMove]:
-        """Take over that a version was named no earlier than a time, where that says more.
+        """Apply a proof that a version was announced no earlier than a time, if that is later.
 
         Args:
-            named: The version, and a time that is proved: see the module.
-            told_by: Who knows it.
+            named: The version and the proved time (see the module's description).
+            told_by: Source of the proof.
 
         Returns:
-            The bounds that have moved.
+            The bounds that moved.
         """
         known = self._announced.get(named.model, [])
         after = [_narrowed(entry, named, told_by) for entry in known]
@@ -130,7 +137,7 @@
         return _moves(named.model, known, after)
 
     def recent(self, now: float) -> list[NamedVersion]:
-        """Return the versions that were named so lately that older ones may still be in use."""
+        """Return the versions announced so recently that older ones may still be in use."""
         return [
             NamedVersion(model, entry.version, entry.acknowledged_after, entry.revision)
             for model, known in self._announced.items()
@@ -139,7 +146,7 @@
         ]
 
     def lacks_naming(self, now: float) -> bool:
-        """Return whether a version is not due yet of which nothing is known when it was named."""
+        """Return whether the time of announcement is unknown for any version not yet in effect."""
         return any(
             entry.acknowledged_after == -math.inf and now < entry.not_before + self.grace
             for known in self._announced.values()
@@ -147,14 +154,14 @@
         )
 
     def announcements(self, model: str) -> list[Announcement]:
-        """Return the versions named for a model, oldest first."""
+        """Return the announced versions of a model, oldest first."""
         return list(self._announced.get(model, ()))
 
     def restart(self, not_before: float) -> list[BoundMove]:
-        """Count the grace of all versions from a time on: it counts only in stable stretches.
+        """Restart the grace period of all versions at a time, such as the end of a store outage.
 
         Returns:
-            The bounds that have moved.
+            The bounds that moved.
         """
         moves: list[BoundMove] = []
         for model, known in self._announced.items():
@@ -164,12 +171,12 @@
         return moves
 
     def newest(self, model: str) -> int:
-        """Return the newest version, 0 when none is known."""
+        """Return the newest version; 0 if none is known."""
         known = self._announced.get(model)
         return known[-1].version if known else 0
 
     def oldest_allowed(self, model: str, begins_at: float) -> int:
-        """Return the oldest version on which a request may begin at a time."""
+        """Return the oldest version on which a request may begin at the given time."""
         allowed = 0
         for announcement in self._announced.get(model, ()):
             if begins_at < announcement.not_before + self.grace:
@@ -178,34 +185,38 @@
         return allowed
 
     def named_after(self, model: str, version: int) -> float:
-        """Return when the next version above ``version`` was named; infinite when none was."""
+        """Return from when the bound of the next version above ``version`` counts.
+
+        The result is infinite if there is no later version.
+        """
         following = self.superseding(model, version)
         return following.not_before if following is not None else math.inf
 
     def superseded_at(self, model: str, version: int) -> float:
-        """Return when a version above ``version`` was first named; infinite when none was.
+        """Return when the next version above ``version`` was announced, at the earliest.
 
-        Unlike ``named_after`` it does not move when bounds begin again after an outage.
+        The result is infinite if there is no later version. Unlike the result of ``named_after`` it
+        does not move when bounds restart after an outage.
         """
         following = self.superseding(model, version)
         return following.acknowledged_after if following is not None else math.inf
 
     def deadline(self, model: str, version: int) -> float:
-        """Return when runners older than the next version above ``version`` must not be used."""
+        """Return when runners with ``version`` must no longer be used."""
         return self.named_after(model, version) + self.grace
 
     def superseding(self, model: str, version: int) -> Announcement | None:
-        """Return the first version above ``version`` that was named, or None."""
+        """Return the next announced version above ``version``, or None."""
         announced = self._announced.get(model, ())
         return next((entry for entry in announced if entry.version > version), None)
 
     def models(self) -> list[str]:
-        """Return the models for which versions were named."""
+        """Return the models with announced versions."""
         return list(self._announced)
 
 
 def _narrowed(entry: Announcement, named: NamedVersion, told_by: str) -> Announcement:
-    """Return an announcement with what is proved of it, or of an earlier version."""
+    """Return an announcement updated by a proof for its version or an earlier one."""
     after = named.acknowledged_after
     if entry.version < named.version or after <= entry.acknowledged_after:
         return entry
@@ -214,7 +225,7 @@
 
 
 def _counting_from(entry: Announcement, not_before: float, cause: BoundCause) -> Announcement:
-    """Return an announcement whose bound counts from a time on, if that is later."""
+    """Return an announcement whose bound counts from ``not_before``, if that is later."""
     if not_before <= entry.not_before:
         return entry
     return replace(entry, not_before=not_before, cause=cause)
--- a/tests/fleet/test_rollout_plan.py
+++ b/tests/fleet/test_rollout_plan.py
@@ -9,10 +9,10 @@
 from hillstack.core.rollout_evidence import ReporterState
 from hillstack.core.rollout_judge import Verdict
 from hillstack.core.rollout_plan import (
-    ONLY_VERSION_SECONDS,
+    AGE_UPDATE_SECONDS,
     DECIDE_MARGIN_SECONDS,
     MIN_PLACES_SHARE,
-    AGE_UPDATE_SECONDS,
+    ONLY_VERSION_SECONDS,
     UNUSABLE_SECONDS,
     Places,
     RolloutView,
--- a/tests/fleet/test_tenant_limits.py
+++ b/tests/fleet/test_tenant_limits.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from hillstack.core.tenant_limits import LimitTolerance, LimitUnit, TenantLimit
-from hillstack.core.token_buckets import EXTRA_SHARE, TokenBuckets
+from hillstack.core.token_buckets import OVERFILL_SHARE, TokenBuckets
 from hillstack.core.token_leases import MAX_HANDED_SECONDS, TokenLeases
 
 TENANT = "tenant-1"
@@ -128,7 +128,7 @@
     taken = 0
     while buckets.take(TENANT, LIMIT, 10.0, 0, 40.0):
         taken += 10
-    assert taken <= LIMIT.burst + EXTRA_SHARE * TOLERANCE.margin(LIMIT)
+    assert taken <= LIMIT.burst + OVERFILL_SHARE * TOLERANCE.margin(LIMIT)
 
 
 def test_those_who_are_refused_together_do_not_return_together() -> None:
@@ -155,7 +155,7 @@
     taken = leased
     while buckets.take(TENANT, LIMIT, 10.0, 0, 20.5):
         taken += 10
-    assert taken <= LIMIT.burst + EXTRA_SHARE * TOLERANCE.margin(LIMIT)
+    assert taken <= LIMIT.burst + OVERFILL_SHARE * TOLERANCE.margin(LIMIT)
 
 
 def test_what_is_returned_can_be_leased_again() -> None:
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -385,7 +385,7 @@
     Mutation(
         "nodes with slow links relay as well",
         "core/node_directory.py",
-        "by_hash.sort(key=lambda node_id: -self._nodes[node_id].relay_class)",
+        "ordered.sort(key=lambda node_id: -self._nodes[node_id].relay_class)",
         "pass",
     ),
     Mutation(
@@ -397,7 +397,7 @@
     Mutation(
         "silent relays are relied on",
         "core/relay_choice.py",
-        "if now - max(since, self._heard_at.get(node_id, since)) < SILENT_SECONDS:",
+        "if now - max(since, self._received_at.get(node_id, since)) < SILENT_SECONDS:",
         "if True:",
     ),
     Mutation(
@@ -433,14 +433,14 @@
     Mutation(
         "a node's time is handed over again",
         "core/token_leases.py",
-        "self._handed_until = now\n        return seconds",
+        "self._contributed_until = now\n        return seconds",
         "return seconds",
     ),
     Mutation(
         "a paused node brings all of its pause",
         "core/token_leases.py",
-        "min(MAX_HANDED_SECONDS, max(0.0, now - self._handed_until))",
-        "now - self._handed_until",
+        "min(MAX_HANDED_SECONDS, max(0.0, now - self._contributed_until))",
+        "now - self._contributed_until",
     ),
     Mutation(
         "leased tokens last for ever",
