--- a/src/hillstack/core/weights_versions.py
+++ b/src/hillstack/core/weights_versions.py
@@ -46,8 +46,7 @@
         not_before: Time from which the bound counts on this node; later than
             ``acknowledged_after`` after an outage, and on a node that has just started. It is never
             sent to other nodes.
-        told_by: Source of ``acknowledged_after``: empty for this node's own reads of the store, or
-            a peer.
+        told_by: Source of ``acknowledged_after``: the store, or the peer that proved it.
         cause: Cause of the latest change of ``not_before``.
         revision: Revision of the store's item that announces the version; a peer needs it to
             determine the time of the announcement.
--- a/tests/fleet/fixed_look_judge.py
+++ b/tests/fleet/fixed_look_judge.py
@@ -1,7 +1,7 @@
-"""The way of judging that was weighed against the sequential test.
+"""A judge with fixed evaluations, as a comparison for the sequential test.
 
-Fixed looks a second apart; failures by Fisher's exact test against the other versions, over the
-latest seconds and since the order; delays by the ratio of medians.
+It evaluates once a second. Failures are compared with those of the other versions by Fisher's exact
+test, over the latest seconds and since the order; delays are compared by the ratio of medians.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from hillstack.core.rollout_evidence import OutcomeKey, OutcomeTotals
 from hillstack.core.rollout_judge import MIN_ANSWERED, ROUTE_ANSWERS, SHIFT_SECONDS, Verdict
 
-LOOK_STEPS = 2
+STEPS_PER_EVALUATION = 2
 WINDOWS = (6, None)
-# Some 12 looks at 2 windows of up to 8 groups: one wrong verdict in fifty good rollouts.
-BAD_CHANCE = 1e-4
-DOUBT_CHANCE = 0.01
+# About 12 evaluations of 2 windows and up to 8 groups: one wrong verdict in fifty good rollouts.
+BAD_PROBABILITY = 1e-4
+DOUBT_PROBABILITY = 0.01
 # Three powers of the square root of two: 2.8 times the median of the others.
 BAD_MEDIAN_BUCKETS = 3
 MIN_MEDIAN_ANSWERS = 8
@@ -26,24 +26,26 @@
 
 
 class FixedLookJudge:
-    """Judges by fixed looks."""
+    """Judges by evaluations at fixed intervals."""
 
     def __init__(self, target: str, ordered_at: float, over_seconds: float) -> None:
         self._target = target
         self._good_from = ordered_at + over_seconds - SHIFT_SECONDS
         self._steps = OutcomeSteps(40)
-        self._looks = 0
+        self._evaluations = 0
 
     def look(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
         if self._steps.take(totals, now) is None:
             return Verdict.UNDECIDED
-        self._looks += 1
-        if self._looks % LOOK_STEPS:
+        self._evaluations += 1
+        if self._evaluations % STEPS_PER_EVALUATION:
             return Verdict.UNDECIDED
-        worst = min(self._chance(group, window) for group in self._groups() for window in WINDOWS)
-        if worst < BAD_CHANCE or any(self._is_slow(group) for group in self._groups()):
+        worst = min(
+            self._probability(group, window) for group in self._groups() for window in WINDOWS
+        )
+        if worst < BAD_PROBABILITY or any(self._is_slow(group) for group in self._groups()):
             return Verdict.BAD
-        if worst < DOUBT_CHANCE or now < self._good_from or self._is_missing():
+        if worst < DOUBT_PROBABILITY or now < self._good_from or self._is_missing():
             return Verdict.UNDECIDED
         return Verdict.GOOD
 
@@ -59,9 +61,9 @@
         others = self._steps.total(lambda key: key.version != self._target and group(key), window)
         return own, others
 
-    def _chance(self, group: Matches, window: int | None) -> float:
+    def _probability(self, group: Matches, window: int | None) -> float:
         own, others = self._sides(group, window)
-        return fisher_chance(own.failed, own.answered, others.failed, others.answered)
+        return fisher_probability(own.failed, own.answered, others.failed, others.answered)
 
     def _is_slow(self, group: Matches) -> bool:
         own, others = self._sides(group, WINDOWS[0])
@@ -78,7 +80,7 @@
 
 
 def median(delays: tuple[int, ...]) -> int:
-    """Return the entry that the middle answer lies in."""
+    """Return the index of the delay bucket that contains the median answer."""
     half = sum(delays) / 2
     seen = 0
     for entry, count in enumerate(delays):
@@ -88,16 +90,16 @@
     return 0
 
 
-def fisher_chance(bad: int, answered: int, others_bad: int, others_answered: int) -> float:
-    """Return the chance of so many bad answers or more if both sides are alike."""
+def fisher_probability(bad: int, answered: int, others_bad: int, others_answered: int) -> float:
+    """Return the probability of at least this many bad answers if both sides are alike."""
     if not bad or not answered:
         return 1.0
-    everyone, spoiled = answered + others_answered, bad + others_bad
-    whole = _choose(everyone, answered)
+    all_answered, all_bad = answered + others_answered, bad + others_bad
+    whole = _choose(all_answered, answered)
     return sum(
-        math.exp(_choose(spoiled, k) + _choose(everyone - spoiled, answered - k) - whole)
-        for k in range(bad, min(answered, spoiled) + 1)
-        if answered - k <= everyone - spoiled
+        math.exp(_choose(all_bad, k) + _choose(all_answered - all_bad, answered - k) - whole)
+        for k in range(bad, min(answered, all_bad) + 1)
+        if answered - k <= all_answered - all_bad
     )
 
 
--- a/tests/fleet/rollout_draws.py
+++ b/tests/fleet/rollout_draws.py
@@ -1,4 +1,4 @@
-"""Rollouts drawn at random in virtual time, and what a judge sees of them."""
+"""Random rollouts in virtual time, with the outcomes that a judge receives."""
 
 from __future__ import annotations
 
@@ -17,39 +17,39 @@
 RARE_RATE = 20.0
 OLD, NEW = "v1", "v2"
 RATES = (60.0, 120.0, 240.0)
-# Counts of a node reach the judge with its next heartbeat but one at the latest.
-TOLD_SECONDS = (0.1, 1.0)
+# Delay of a node's counts on their way to the judge: at most two heartbeats.
+REPORT_DELAY_SECONDS = (0.1, 1.0)
 CRASH_ATTEMPTS = 8
 CRASH_SECONDS = 0.4
 LOAD_SECONDS = 0.8
 
 
 class Judge(Protocol):
-    """Whatever judges the target version."""
+    """Interface of a judge of the target version."""
 
     def look(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict: ...
 
 
 @dataclass(frozen=True)
 class Fault:
-    """What is wrong with the target version.
+    """A fault of the target version.
 
     Attributes:
-        share: Part of the answers that it spoils.
-        slower: How many times longer they take; 0 if they fail.
-        since: Seconds after the order from which on it does.
-        rare: Only on the rarest route.
-        busy: Only at runners under load.
+        share: Fraction of the answers that the fault affects.
+        slower: Factor by which affected answers are slower; 0 if they fail.
+        start: Time after the order from which the fault occurs, in seconds.
+        rare: Whether the fault affects only the rarest route.
+        busy: Whether the fault affects only runners under load.
     """
 
     share: float
     slower: float = 0.0
-    since: float = 0.0
+    start: float = 0.0
     rare: bool = False
     busy: bool = False
 
     def spoils(self, key: OutcomeKey, at: float, rng: Random) -> bool:
-        if key.version != NEW or at < self.since:
+        if key.version != NEW or at < self.start:
             return False
         if (self.rare and key.route != "rare") or (self.busy and not key.busy):
             return False
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class Troubles:
-    """What else happens, by seconds after the order."""
+    """Problems that the target version does not cause; times are in seconds after the order."""
 
     background: float = 0.0
     colder: float = 1.0
@@ -77,11 +77,12 @@
 
 @dataclass(frozen=True)
 class Played:
-    """How a judge did.
+    """Result of a judge on one rollout.
 
     Attributes:
-        decided_at: Seconds after the order.
-        spoiled: Bad answers of the target until then, told or not.
+        verdict: The verdict.
+        decided_at: Time of the verdict, in seconds after the order.
+        spoiled: Answers that the fault affected until then, reported or not.
     """
 
     verdict: Verdict
@@ -98,25 +99,25 @@
         self.troubles = troubles
         self.rate = rate
         self.busy_share = self.rng.choice([0.0, 0.2, 0.6]) if not (fault and fault.busy) else 0.5
-        self.told: list[tuple[float, OutcomeKey, bool, int | None]] = []
+        self.reports: list[tuple[float, OutcomeKey, bool, int | None]] = []
         self.spoiled: list[float] = []
         self._draw()
 
     def play(self, judge: Judge) -> Played:
-        """Show a judge what is told, until it decides or the order is over."""
+        """Pass the reported outcomes to a judge until it decides or the order's time is over."""
         totals: dict[OutcomeKey, Counts] = {}
-        told = iter(sorted(self.told, key=lambda line: line[0]))
-        line = next(told, None)
+        reports = iter(sorted(self.reports, key=lambda report: report[0]))
+        report = next(reports, None)
         now = 0.0
         while now < OVER_SECONDS:
-            while line is not None and line[0] <= now:
-                _, key, failed, bucket = line
+            while report is not None and report[0] <= now:
+                _, key, failed, bucket = report
                 counts = totals.setdefault(key, Counts())
                 counts.answered += 1
                 counts.failed += failed
                 if bucket is not None:
                     counts.delays[bucket] += 1
-                line = next(told, None)
+                report = next(reports, None)
             seen = {
                 k: OutcomeTotals(c.answered, c.failed, tuple(c.delays)) for k, c in totals.items()
             }
@@ -136,7 +137,7 @@
             if crash is not None:
                 for _ in range(CRASH_ATTEMPTS):
                     when = crash + CRASH_SECONDS * self.rng.random()
-                    self._tell(when, OutcomeKey(version, self._route(), False), True, None)
+                    self._report(when, OutcomeKey(version, self._route(), False), True, None)
 
     def _route(self) -> str:
         if self.rng.random() < RARE_RATE / self.rate:
@@ -153,22 +154,22 @@
         if troubles.overload and troubles.overload[0] <= at < troubles.overload[1]:
             delay *= 2.5
             failed = failed or rng.random() < 0.25
-        for loading, since in troubles.loads:
-            if loading == version and since <= at < since + LOAD_SECONDS and rng.random() < 0.5:
+        for loading, start in troubles.loads:
+            if loading == version and start <= at < start + LOAD_SECONDS and rng.random() < 0.5:
                 delay *= 4
         if self.fault is not None and self.fault.spoils(key, at, rng):
             self.spoiled.append(at)
             failed = failed or not self.fault.slower
             delay *= self.fault.slower or 1.0
         bucket = min(DELAY_BUCKETS - 1, max(0, round(2 * (math.log2(delay) + 2))))
-        self._tell(at + 0.05 * delay, key, failed, None if failed else bucket)
+        self._report(at + 0.05 * delay, key, failed, None if failed else bucket)
 
-    def _tell(self, at: float, key: OutcomeKey, failed: bool, bucket: int | None) -> None:
-        self.told.append((at + self.rng.uniform(*TOLD_SECONDS), key, failed, bucket))
+    def _report(self, at: float, key: OutcomeKey, failed: bool, bucket: int | None) -> None:
+        self.reports.append((at + self.rng.uniform(*REPORT_DELAY_SECONDS), key, failed, bucket))
 
 
 def good_rollout(seed: int) -> DrawnRollout:
-    """Draw a good version beside some other trouble."""
+    """Draw a rollout of a good version, with or without other problems."""
     rng = Random(seed * 7 + 1)
     troubles = rng.choice(
         [
@@ -185,12 +186,12 @@
 
 
 def bad_rollout(seed: int) -> DrawnRollout:
-    """Draw a bad version: how much, how, since when and where."""
+    """Draw a rollout of a version with a random fault."""
     rng = Random(seed * 7 + 2)
     fault = Fault(
         share=rng.choice([0.25, 0.5, 0.9]),
         slower=rng.choice([0.0, 0.0, 4.0, 6.0]),
-        since=rng.choice([0.0, 0.0, 4.0]),
+        start=rng.choice([0.0, 0.0, 4.0]),
         rare=rng.random() < 0.25,
         busy=rng.random() < 0.25,
     )
@@ -201,7 +202,7 @@
 def play_many(
     draw: Callable[[int], DrawnRollout], make_judge: Callable[[], Judge], seeds: range
 ) -> list[tuple[DrawnRollout, Played]]:
-    """Draw and play a rollout for each seed."""
+    """Draw a rollout for each seed and judge it."""
     played = []
     for seed in seeds:
         rollout = draw(seed)
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -1,4 +1,4 @@
-"""Decisions of a fleet's node: routes, splits, budgets, freshness, versions, part beliefs."""
+"""Decision logic of a fleet node: routes, splits, budgets, freshness, versions, part index."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     assert make_table(make_route(prefix="/a/")).match(host, path) is None
 
 
-def test_the_shortest_pause_of_a_service_counts() -> None:
+def test_the_shortest_gap_of_a_service_counts() -> None:
     table = make_table(make_route(RouteKind.STREAM, prefix="/s/", service=ENGINES))
     assert table.shortest_gap(ENGINES) == 0.5
     assert table.shortest_gap("other") == math.inf
@@ -88,12 +88,12 @@
         elif budget.try_retry("s", now):
             retries.append(now)
         recent = sum(1 for at in retries if at > now - window)
-        # Requests count over the window and the part of a window before it.
+        # Requests count in the window and in the two parts before it.
         asked = sum(1 for at in requests if at > now - 1.2 * window)
         assert recent <= ratio * asked + slack
 
 
-def test_a_lone_node_may_use_all_the_slack_but_not_more() -> None:
+def test_a_single_node_may_use_all_the_slack_but_not_more() -> None:
     budget = SharedRetryBudget(0.0, 10.0, 10.0)
     granted = sum(1 for _ in range(50) if budget.try_retry("s", 1.0))
     assert 1 <= granted <= 10
@@ -111,7 +111,7 @@
     assert freshness.proved_at() == 10.0
 
 
-def test_versions_only_rise_and_bind_after_their_grace() -> None:
+def test_versions_only_increase_and_take_effect_after_the_grace_period() -> None:
     versions = WeightsVersions(7.6)
     assert versions.announce("m", Announcement(2, 1.0))
     assert not versions.announce("m", Announcement(1, 2.0))
@@ -136,7 +136,7 @@
     assert index.matched_tokens("unknown", "s", [a]) == 0
 
 
-def test_least_recently_used_parts_are_believed_gone_first() -> None:
+def test_least_recently_used_parts_are_evicted_first() -> None:
     index = PartIndex()
     index.set_capacity("h", 250)
     parts = [PromptPart(name, 100) for name in "abc"]
@@ -164,7 +164,7 @@
         assert total <= 200
 
 
-def test_peers_narrow_when_a_version_was_named_but_never_widen_it() -> None:
+def test_reports_of_peers_narrow_the_time_of_an_announcement_but_never_widen_it() -> None:
     versions = WeightsVersions(7.6)
     versions.announce("m", Announcement(2, 1.0))
     versions.announce("m", Announcement(4, 5.0))
@@ -197,7 +197,7 @@
         return
     left = max(0.0, waiting - retry_after)
     assert left + own_work <= max(target, own_work) + 1e-9
-    # Nor is it told to come back later than needed.
+    # The wait is not longer than needed either.
     assert retry_after == MIN_RETRY_SECONDS or left == pytest.approx(max(0.0, target - own_work))
 
 
@@ -208,16 +208,17 @@
     assert MIN_RETRY_SECONDS <= retry_after <= MAX_RETRY_SECONDS
 
 
-def test_a_request_that_a_stopping_node_takes_was_not_sent_late() -> None:
-    # Found by a hunt (Tampere trouble-2, seed 738602782240): sent 3.003 s after the signal, taken
-    # since the node looked at its clock each 50 ms, and cut after 4.1 s.
+def test_a_request_that_a_stopping_node_accepts_was_not_sent_late() -> None:
+    # Guards against a late request that is accepted and then cut off. It was sent 3.003 s after the
+    # signal, accepted because the node checked its clock only every 50 ms, and cut off after 4.1 s
+    # (Tampere trouble-2, seed 738602782240).
     stop = PlannedStop(8.0)
     assert stop.accepts(2.5)
     assert not stop.accepts(LATE_REQUEST_SECONDS - 0.3)
     assert ACCEPT_SECONDS + 0.05 + 0.3 < LATE_REQUEST_SECONDS
 
 
-def test_a_stop_ends_when_nothing_is_left_and_before_it_is_forced() -> None:
+def test_a_stop_ends_when_no_request_is_left_and_before_the_process_is_killed() -> None:
     stop = PlannedStop(8.0)
     assert not stop.is_over(1.0, active=0)
     assert stop.is_over(LATE_REQUEST_SECONDS, active=0)
@@ -238,17 +239,17 @@
         ("900", "58", 58),
     ],
 )
-def test_the_callers_estimate_says_how_much_will_be_generated(
+def test_the_callers_hint_determines_the_expected_output_length(
     usage: str, hint: str, expected: int
 ) -> None:
-    # kuitu-varaus-large: the most is 955 tokens where 58 come; all prompts passed for long streams,
-    # and all nodes gathered them on the same few runners.
+    # In kuitu-varaus-large the limit is 955 tokens where 58 are generated. Without the hint all
+    # requests counted as long streams, and all nodes placed them on the same few runners.
     shape = parse_shape("5c1e07a2:800,91bd3f06:100", usage, hint)
     assert shape is not None
     assert (shape.output_tokens, shape.prompt_tokens) == (expected, 900)
 
 
-def test_an_answer_is_overdue_after_twice_what_hardly_any_takes() -> None:
+def test_an_answer_is_overdue_after_a_multiple_of_a_high_percentile() -> None:
     durations = AnswerDurations()
     assert durations.overdue_seconds() == UNKNOWN_SECONDS
     for number in range(KEPT_ANSWERS):
@@ -256,7 +257,7 @@
     assert durations.overdue_seconds() == pytest.approx(OVERDUE_FACTOR * 0.3)
 
 
-def test_what_is_overdue_follows_work_that_becomes_longer_or_shorter() -> None:
+def test_the_overdue_time_follows_durations_that_become_longer_or_shorter() -> None:
     durations = AnswerDurations()
     for seconds in (1.5, 0.01):
         for _ in range(KEPT_ANSWERS):
@@ -265,24 +266,25 @@
         assert durations.overdue_seconds() == pytest.approx(expected)
 
 
-looks_at_the_store = st.lists(
+reads_of_the_store = st.lists(
     st.tuples(st.integers(0, 3), st.floats(0.0, 2.0), st.floats(0.0, 5.0)), max_size=40
 )
 
 
-@given(looks_at_the_store)
+@given(reads_of_the_store)
 def test_a_change_was_made_after_each_moment_that_is_proved_to_lie_before_it(
-    looks: list[tuple[int, float, float]],
+    reads: list[tuple[int, float, float]],
 ) -> None:
     proofs = StoreProofs()
     now, revision = 0.0, 5
     made_at: dict[int, float] = {}
-    for changes, pause, took in looks:
+    for changes, pause, took in reads:
         now += pause
         for _ in range(changes):
             revision += 1
             made_at[revision] = now
-        # Asked a while ago, beside others perhaps; the answer tells the revision of its own moment.
+        # The request was sent ``took`` seconds ago, perhaps with others in flight; the answer
+        # contains the revision at the time of the answer.
         proofs.note(rev(revision), now - took)
         for made, at in made_at.items():
             assert proofs.latest_before(rev(made)) <= at
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -1,4 +1,4 @@
-"""The rollout of weights: who loads when, and what is closed for long streams before."""
+"""The rollout of weights: which runners load the new weights, and when."""
 
 from __future__ import annotations
 
@@ -39,19 +39,20 @@
     return RolloutView(runners, loading, resting, LOAD, now)
 
 
-def test_nothing_happens_while_all_are_up_to_date() -> None:
+def test_no_runner_loads_while_all_are_up_to_date() -> None:
     plan, _ = make_plan()
     assert plan.next_loads(view(make_runners(6, weights=2), 5.0)) == []
 
 
-def test_nothing_happens_right_after_a_version_was_named() -> None:
+def test_no_runner_loads_right_after_a_version_was_announced() -> None:
     plan, _ = make_plan()
     assert plan.next_loads(view(make_runners(6), START_DELAY_SECONDS / 2)) == []
 
 
-def test_runners_load_while_their_streams_run_those_with_the_fewest_first() -> None:
-    # Tampere trouble-2: waiting for streams of up to 10 s held runners back, and a load that had to
-    # begin then kept its runner out of use for 3 to 5 s; streams go on under the new weights now.
+def test_runners_load_while_streams_run_and_the_least_loaded_runner_comes_first() -> None:
+    # In Tampere trouble-2, waiting for streams of up to 10 s delayed the loads, and a load that
+    # then had to begin kept its runner out of use for 3 to 5 s. Streams now continue under the new
+    # weights.
     plan, _ = make_plan()
     runners = make_runners(6)
     for runner in runners:
@@ -61,7 +62,7 @@
     assert loads[0] is runners[4] and len(loads) == 2
 
 
-def test_the_pace_is_what_the_deadline_asks_for() -> None:
+def test_the_pace_follows_from_the_deadline() -> None:
     plan, _ = make_plan()
     runners = make_runners(6)
     assert len(plan.next_loads(view(runners, 1.0))) == 2
@@ -71,7 +72,7 @@
     assert plan.next_loads(view(runners, 1.0, {"i-0"})) == []
 
 
-def test_no_more_load_than_the_share_allows() -> None:
+def test_no_more_runners_load_than_the_share_allows() -> None:
     plan, _ = make_plan()
     runners = make_runners(6)
     assert len(plan.next_loads(view(runners, 4.0))) == 2
@@ -88,13 +89,14 @@
     assert len(loads) == 1 and loads[0] not in runners[:2]
 
 
-def test_runners_past_their_deadline_load_by_halves() -> None:
-    # All at once takes longer than two halves, and nothing is served meanwhile (incident in Lagos).
+def test_half_of_the_runners_past_their_deadline_load_at_once() -> None:
+    # Loading all at once takes longer than loading two halves, and no runner serves meanwhile, as
+    # seen in the Lagos incident.
     plan, _ = make_plan()
     assert len(plan.next_loads(view(make_runners(6), GRACE))) == 3
 
 
-def test_leaving_and_resting_runners_are_left_alone() -> None:
+def test_leaving_and_resting_runners_do_not_load() -> None:
     plan, _ = make_plan()
     runners = make_runners(3)
     runners[0].leaving = True
--- a/tests/fleet/test_rollout_judge.py
+++ b/tests/fleet/test_rollout_judge.py
@@ -1,4 +1,4 @@
-"""The judge of a rollout's target version: one trouble a test, and how often it is wrong."""
+"""The judge of a rollout's target version: single faults, and how often its verdict is wrong."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def steady(key: OutcomeKey, rate: float, at: float, failed: float = 0.0) -> OutcomeTotals:
-    """Return what a steady rate of answers comes to."""
+    """Return the totals of a steady rate of answers."""
     answered = int(rate * at)
     delays = [0] * DELAY_BUCKETS
     delays[4] = answered
@@ -56,7 +56,7 @@
 def look_until(
     judge: RolloutJudge, seconds: float, rates: dict[OutcomeKey, float], failing: str = ""
 ) -> Verdict:
-    """Show a judge steady rates, with all answers of a version failing or none."""
+    """Pass steady rates to a judge; all answers of the version ``failing`` fail."""
     now = 0.0
     verdict = Verdict.UNDECIDED
     while now <= seconds and verdict is Verdict.UNDECIDED:
@@ -93,7 +93,7 @@
     "fault",
     [
         Fault(share=0.5),
-        Fault(share=0.5, since=4.0),
+        Fault(share=0.5, start=4.0),
         Fault(share=0.5, slower=4.0),
         Fault(share=0.7, slower=3.0),
         Fault(share=0.9, rare=True),
@@ -136,26 +136,26 @@
         "weights loaded",
     ],
 )
-def test_trouble_of_another_cause_is_not_held_against_a_version(troubles: Troubles) -> None:
+def test_problems_of_other_causes_do_not_count_against_a_version(troubles: Troubles) -> None:
     for seed in range(8):
         assert play(seed, None, troubles).verdict is not Verdict.BAD, seed
 
 
-def test_a_version_is_not_trusted_while_a_route_that_has_requests_was_not_seen() -> None:
+def test_a_version_is_not_trusted_without_answers_on_a_route_that_has_requests() -> None:
     judge = make_judge()
     rates = {OLD_CELL: 54.0, NEW_CELL: 6.0, OLD_RARE: 18.0, NEW_RARE: 0.5}
     assert look_until(judge, OVER_SECONDS, rates) is Verdict.UNDECIDED
     assert "route rare" in judge.opinion().reason
 
 
-def test_a_version_is_not_trusted_before_it_was_busy_where_the_others_are() -> None:
+def test_a_version_is_not_trusted_without_answers_under_load_if_the_others_are_busy() -> None:
     judge = make_judge()
     rates = {OLD_CELL: 20.0, OLD_BUSY: 34.0, NEW_CELL: 6.0}
     assert look_until(judge, OVER_SECONDS, rates) is Verdict.UNDECIDED
     assert "under load" in judge.opinion().reason
 
 
-def test_without_any_answer_nothing_is_said() -> None:
+def test_without_answers_the_verdict_is_undecided() -> None:
     judge = make_judge()
     assert look_until(judge, OVER_SECONDS, {}) is Verdict.UNDECIDED
     assert judge.opinion().reason == "no answers yet"
@@ -167,7 +167,7 @@
     assert look_until(judge, OVER_SECONDS, rates) is Verdict.UNDECIDED
 
 
-def test_a_version_that_was_trusted_can_still_turn_out_bad() -> None:
+def test_a_trusted_version_can_still_become_bad() -> None:
     judge = make_judge()
     rates = {OLD_CELL: 54.0, NEW_CELL: 6.0}
     assert look_until(judge, OVER_SECONDS - SHIFT_SECONDS + 0.5, rates) is Verdict.GOOD
@@ -184,22 +184,22 @@
     assert verdict is Verdict.BAD
 
 
-def test_a_version_that_carries_all_alone_is_not_bad_for_being_slower() -> None:
+def test_a_version_that_carries_all_traffic_is_not_bad_for_being_slower() -> None:
     judge = make_judge()
     shifted_at = OVER_SECONDS - SHIFT_SECONDS + 0.5
     look_until(judge, shifted_at, {OLD_CELL: 54.0, NEW_CELL: 6.0})
     for look in range(1, 40):
         slow = 15 * look
-        # What the old runners owe comes in for a while.
-        owed = min(3 * look, 20)
+        # The old runners finish their remaining requests.
+        remaining = min(3 * look, 20)
         totals = {
-            OLD_CELL: steady(OLD_CELL, 54.0, shifted_at + owed / 54.0),
+            OLD_CELL: steady(OLD_CELL, 54.0, shifted_at + remaining / 54.0),
             NEW_CELL: OutcomeTotals(50 + slow, 0, (0, 0, 0, 0, 50, 0, 0, 0, slow, 0)),
         }
         assert judge.look(totals, shifted_at + 0.25 * look) is not Verdict.BAD
 
 
-def test_bad_stays_bad() -> None:
+def test_a_bad_verdict_is_final() -> None:
     judge = make_judge()
     rates = {OLD_CELL: 54.0, NEW_CELL: 6.0}
     assert look_until(judge, 8.0, rates, failing=NEW) is Verdict.BAD
@@ -207,7 +207,7 @@
     assert judge.look(good, 20.0) is Verdict.BAD
 
 
-def test_the_reason_names_route_trouble_and_figures() -> None:
+def test_the_reason_contains_the_problem_and_the_figures() -> None:
     judge = make_judge()
     look_until(judge, 8.0, {OLD_CELL: 54.0, NEW_CELL: 6.0}, failing=NEW)
     finding = judge.findings()[0]
@@ -228,25 +228,30 @@
 
 
 def verdicts(played: list[tuple[DrawnRollout, Played]]) -> Counter[Verdict]:
-    return Counter(how.verdict for _, how in played)
+    return Counter(result.verdict for _, result in played)
 
 
-def test_good_versions_beside_other_trouble_are_seldom_reverted() -> None:
+def test_good_versions_are_rarely_reverted_because_of_other_problems() -> None:
     found = verdicts(play_many(good_rollout, make_judge, SEEDS))
     assert found[Verdict.BAD] <= 0.01 * len(SEEDS)
     assert found[Verdict.GOOD] >= 0.93 * len(SEEDS)
 
 
-def test_bad_versions_are_seldom_trusted() -> None:
+def test_bad_versions_are_rarely_trusted() -> None:
     played = play_many(bad_rollout, make_judge, SEEDS)
     assert verdicts(played)[Verdict.GOOD] <= 0.1 * len(SEEDS)
-    # Of some versions the nodes have seen almost nothing bad yet.
-    seen = [how for _, how in played if how.verdict is Verdict.GOOD and how.spoiled >= 5]
+    # Some bad versions had almost no bad answers before the verdict; they don't count here.
+    seen = [
+        result for _, result in played if result.verdict is Verdict.GOOD and result.spoiled >= 5
+    ]
     assert len(seen) <= 0.02 * len(SEEDS)
 
 
 def test_a_version_is_found_bad_long_before_it_must_be_closed() -> None:
-    """It must get nothing 5 s after its 50th bad answer; two are left for the nodes to hear."""
+    """A bad version must get no requests from 5 s after its 50th bad answer on.
+
+    Two of these seconds are reserved for the verdict to reach all nodes.
+    """
     rollouts = [DrawnRollout(seed, Fault(share=1.0), Troubles(), 240.0) for seed in range(5)]
     rollouts += [bad_rollout(seed) for seed in SEEDS]
     late = []
@@ -259,7 +264,7 @@
     assert max(late) <= 3.0
 
 
-def test_the_sequential_test_is_wrong_less_often_than_fixed_looks() -> None:
+def test_the_sequential_test_is_wrong_less_often_than_fixed_evaluations() -> None:
     chosen = verdicts(play_many(good_rollout, make_judge, COMPARED_SEEDS))
     fixed = verdicts(play_many(good_rollout, make_fixed, COMPARED_SEEDS))
     assert chosen[Verdict.BAD] < fixed[Verdict.BAD]
@@ -268,7 +273,7 @@
     assert chosen[Verdict.GOOD] < fixed[Verdict.GOOD]
 
 
-def test_totals_are_asked_for_once_a_step() -> None:
+def test_totals_are_evaluated_once_per_step() -> None:
     judge = make_judge()
     asked = []
     for tenth in range(50):
--- a/tests/fleet/test_rollout_plan.py
+++ b/tests/fleet/test_rollout_plan.py
@@ -1,4 +1,4 @@
-"""The next stage of a rollout, by what its holder knows."""
+"""The next stage of a rollout, decided from the state that its lease holder knows."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 ORDER = RolloutOrder("app", "v2", OVER_SECONDS, rev(5))
 CANARY = RolloutRecord("app", "v2", rev(5), RolloutStage.CANARY, "ordered", (), rev(6), 5.0)
 SHIFTING = replace(CANARY, stage=RolloutStage.SHIFTING)
-FOLLOWS = ReporterState("shifting", 0, 0.0)
+SHIFTED = ReporterState("shifting", 0, 0.0)
 VIEW = RolloutView(
     order=ORDER,
     record=CANARY,
@@ -44,12 +44,12 @@
     stage_seconds=1.0,
     verdict=Verdict.UNDECIDED,
     finding="nothing against it so far",
-    reporters={"node-1": FOLLOWS, "node-2": FOLLOWS},
+    reporters={"node-1": SHIFTED, "node-2": SHIFTED},
     live_nodes={"node-1", "node-2"},
     places=Places(24, 24),
     apply_seconds=APPLY_SECONDS,
 )
-SHIFTS = replace(VIEW, record=SHIFTING)
+SHIFTING_VIEW = replace(VIEW, record=SHIFTING)
 
 
 def next_stage(view: RolloutView) -> RolloutStage | None:
@@ -63,7 +63,7 @@
     assert step.record.stage is RolloutStage.CANARY and step.record.revision == NO_REVISION
 
 
-def test_a_record_of_another_order_says_nothing_of_this_one() -> None:
+def test_a_record_of_another_order_does_not_apply() -> None:
     complete = replace(CANARY, order_revision=rev(3), stage=RolloutStage.COMPLETE, target="v1")
     step = next_step(replace(VIEW, record=complete, verdict=Verdict.BAD))
     assert step is not None
@@ -82,7 +82,7 @@
     assert step.record.rejected == ("v2",) and step.record.reason == "9 of 12 failed"
 
 
-def test_a_good_version_gets_the_traffic_without_news_to_the_operator() -> None:
+def test_a_good_version_gets_the_traffic_without_notifying_the_operator() -> None:
     step = next_step(replace(VIEW, verdict=Verdict.GOOD))
     assert step is not None and not step.news
     assert step.record.stage is RolloutStage.SHIFTING
@@ -107,26 +107,26 @@
     assert next_step(replace(VIEW, order=short, age_seconds=1.7, record=CANARY)) is None
 
 
-def test_a_version_that_alone_may_serve_gets_the_traffic_after_a_while() -> None:
+def test_the_only_usable_version_gets_the_traffic_after_a_while() -> None:
     alone = replace(VIEW, places=Places(24, 0, has_alternative=False))
     assert next_step(replace(alone, stage_seconds=ONLY_VERSION_SECONDS / 2)) is None
     assert next_stage(replace(alone, stage_seconds=ONLY_VERSION_SECONDS)) is RolloutStage.SHIFTING
 
 
-def test_old_runners_that_are_only_out_of_reach_are_an_alternative() -> None:
+def test_unreachable_old_runners_are_an_alternative() -> None:
     view = replace(VIEW, places=Places(24, 0, has_alternative=True), stage_seconds=9.0)
     assert next_step(view) is None
 
 
 def test_a_rollout_is_complete_once_all_nodes_have_shifted() -> None:
-    step = next_step(SHIFTS)
+    step = next_step(SHIFTING_VIEW)
     assert step is not None and step.news
     assert step.record.stage is RolloutStage.COMPLETE
 
 
 def test_the_deadline_does_not_revert_a_version_that_has_the_traffic() -> None:
-    busy = {"node-1": FOLLOWS, "node-2": ReporterState("shifting", 3, 0.0)}
-    late = replace(SHIFTS, age_seconds=OVER_SECONDS + 1.0, reporters=busy)
+    busy = {"node-1": SHIFTED, "node-2": ReporterState("shifting", 3, 0.0)}
+    late = replace(SHIFTING_VIEW, age_seconds=OVER_SECONDS + 1.0, reporters=busy)
     step = next_step(replace(late, record=replace(SHIFTING, elapsed_seconds=OVER_SECONDS)))
     assert step is None
 
@@ -143,57 +143,57 @@
 def test_a_live_node_that_may_use_old_runners_is_waited_for(
     reporter: ReporterState | None,
 ) -> None:
-    reporters = {"node-1": FOLLOWS} | ({"node-2": reporter} if reporter is not None else {})
-    view = replace(SHIFTS, reporters=reporters)
+    reporters = {"node-1": SHIFTED} | ({"node-2": reporter} if reporter is not None else {})
+    view = replace(SHIFTING_VIEW, reporters=reporters)
     assert waited_for(view) == ["node-2"]
     assert next_step(view) is None
 
 
-def test_a_node_that_says_nothing_is_waited_for_as_long_as_a_change_takes() -> None:
-    view = replace(SHIFTS, reporters={"node-1": FOLLOWS}, stage_seconds=APPLY_SECONDS)
+def test_a_live_node_without_reports_is_waited_for_until_the_change_is_in_force() -> None:
+    view = replace(SHIFTING_VIEW, reporters={"node-1": SHIFTED}, stage_seconds=APPLY_SECONDS)
     assert next_stage(view) is RolloutStage.COMPLETE
 
 
-def test_a_node_that_is_no_longer_heard_is_waited_for_as_long_as_a_change_takes() -> None:
-    view = replace(SHIFTS, live_nodes={"node-1"})
+def test_a_node_that_stopped_reporting_is_waited_for_until_the_change_is_in_force() -> None:
+    view = replace(SHIFTING_VIEW, live_nodes={"node-1"})
     assert waited_for(view) == ["node-2"]
     assert waited_for(replace(view, stage_seconds=APPLY_SECONDS)) == []
 
 
 def test_attempts_at_old_runners_are_waited_for_however_long() -> None:
-    busy = {"node-1": FOLLOWS, "node-2": ReporterState("shifting", 1, 0.0)}
-    view = replace(SHIFTS, reporters=busy, stage_seconds=10 * APPLY_SECONDS)
+    busy = {"node-1": SHIFTED, "node-2": ReporterState("shifting", 1, 0.0)}
+    view = replace(SHIFTING_VIEW, reporters=busy, stage_seconds=10 * APPLY_SECONDS)
     assert waited_for(view) == ["node-2"]
 
 
 def test_a_version_that_turns_bad_under_the_traffic_is_reverted() -> None:
-    assert next_stage(replace(SHIFTS, verdict=Verdict.BAD)) is RolloutStage.REVERTED
+    assert next_stage(replace(SHIFTING_VIEW, verdict=Verdict.BAD)) is RolloutStage.REVERTED
 
 
-def test_a_target_that_nobody_can_use_is_reverted_while_traffic_shifts() -> None:
+def test_a_target_without_usable_runners_is_reverted_while_traffic_shifts() -> None:
     gone = Places(0, 24, unusable_seconds=UNUSABLE_SECONDS)
-    assert next_stage(replace(SHIFTS, places=gone)) is RolloutStage.REVERTED
+    assert next_stage(replace(SHIFTING_VIEW, places=gone)) is RolloutStage.REVERTED
 
 
-def test_a_target_that_is_out_for_a_moment_is_waited_for() -> None:
-    assert next_step(replace(SHIFTS, places=Places(0, 24, unusable_seconds=0.3))) is None
+def test_a_target_that_is_briefly_unusable_is_not_reverted() -> None:
+    assert next_step(replace(SHIFTING_VIEW, places=Places(0, 24, unusable_seconds=0.3))) is None
 
 
 @pytest.mark.parametrize("stage", [RolloutStage.COMPLETE, RolloutStage.REVERTED])
-def test_a_decided_rollout_is_left_alone(stage: RolloutStage) -> None:
+def test_a_decided_rollout_has_no_next_step(stage: RolloutStage) -> None:
     record = replace(CANARY, stage=stage)
     assert is_decided(ORDER, record)
     assert next_step(replace(VIEW, record=record, verdict=Verdict.BAD, age_seconds=99.0)) is None
 
 
-def test_the_age_of_an_order_is_noted_now_and_then() -> None:
+def test_the_age_of_an_order_is_updated_in_the_record() -> None:
     step = next_step(replace(VIEW, age_seconds=CANARY.elapsed_seconds + AGE_UPDATE_SECONDS))
     assert step is not None and not step.news
     assert step.record.stage is RolloutStage.CANARY
     assert step.record.elapsed_seconds == CANARY.elapsed_seconds + AGE_UPDATE_SECONDS
 
 
-def test_a_target_left_undecided_is_rejected_with_all_before_it() -> None:
+def test_an_undecided_target_is_rejected_with_all_earlier_rejected_versions() -> None:
     before = replace(CANARY, order_revision=rev(3), target="v1a", rejected=("v0",))
     step = next_step(replace(VIEW, record=before, passed_over=frozenset({"v1b"})))
     assert step is not None
@@ -212,7 +212,7 @@
     assert step is not None and step.record.rejected == ()
 
 
-def test_a_complete_rollout_is_not_closed_by_a_late_word() -> None:
+def test_a_late_report_does_not_close_the_target_of_a_complete_rollout() -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
     rollouts.take_record(replace(CANARY, stage=RolloutStage.COMPLETE))
@@ -220,7 +220,7 @@
     assert rollouts.stage("app") is RolloutStage.COMPLETE
 
 
-def test_a_condemned_version_is_closed_whatever_the_record_says() -> None:
+def test_a_condemned_version_is_closed_although_its_record_trusts_it() -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
     rollouts.take_record(SHIFTING)
@@ -228,7 +228,7 @@
     assert rollouts.stage("app") is RolloutStage.REVERTED
 
 
-def test_a_version_that_has_the_traffic_already_is_not_tried_anew() -> None:
+def test_a_version_that_already_has_the_traffic_skips_the_canary_stage() -> None:
     before = replace(SHIFTING, order_revision=rev(3), stage=RolloutStage.COMPLETE)
     step = next_step(replace(VIEW, record=before))
     assert step is not None and step.news
@@ -239,14 +239,14 @@
     assert rollouts.access("app", "v2") is VersionAccess.OPEN
 
 
-def test_a_version_that_was_reverted_is_tried_anew_by_the_next_order() -> None:
+def test_a_reverted_version_is_a_canary_again_under_the_next_order() -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
     rollouts.take_record(replace(CANARY, order_revision=rev(3), stage=RolloutStage.REVERTED))
     assert rollouts.access("app", "v2") is VersionAccess.CANARY
 
 
-def test_an_order_that_replaced_another_says_nothing_of_its_condemnation() -> None:
+def test_a_condemnation_does_not_apply_to_a_later_order() -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(replace(ORDER, revision=rev(3)))
     rollouts.condemn("app", rev(3))
@@ -261,7 +261,7 @@
         (RolloutStage.COMPLETE, RolloutStage.SHIFTING),
     ],
 )
-def test_a_version_ordered_again_is_closed_when_it_is_bad_unless_it_is_alone(
+def test_a_bad_version_ordered_again_is_closed_unless_the_old_runners_may_have_stopped(
     before: RolloutStage, stage: RolloutStage
 ) -> None:
     rollouts = SoftwareRollouts()
@@ -289,7 +289,7 @@
     assert not rollouts.may_finish_shift("app", "v2")
 
 
-def test_a_target_that_was_condemned_while_shifting_stays_closed_when_its_order_goes() -> None:
+def test_a_target_condemned_while_shifting_stays_closed_when_its_order_is_withdrawn() -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
     rollouts.take_record(SHIFTING)
@@ -298,7 +298,7 @@
     assert rollouts.access("app", "v2") is VersionAccess.CLOSED
 
 
-def test_a_target_that_was_trusted_is_open_when_its_order_goes() -> None:
+def test_a_trusted_target_is_open_when_its_order_is_withdrawn() -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
     rollouts.take_record(SHIFTING)
@@ -306,7 +306,7 @@
     assert rollouts.access("app", "v2") is VersionAccess.OPEN
 
 
-def test_a_version_that_was_left_behind_is_tried_anew_and_open_once_trusted() -> None:
+def test_an_untrusted_target_is_a_canary_when_ordered_again_and_open_once_trusted() -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
     rollouts.withdraw("app", rev(6))
@@ -318,7 +318,7 @@
     assert rollouts.access("app", "v2") is VersionAccess.OPEN
 
 
-def test_versions_that_were_left_behind_are_bounded() -> None:
+def test_the_number_of_stored_untrusted_targets_is_bounded() -> None:
     rollouts = SoftwareRollouts()
     for number in range(MAX_UNTRUSTED_VERSIONS + 2):
         rollouts.take_order(replace(ORDER, target=f"v{number}", revision=rev(2 * number + 1)))
--- a/tests/fleet/test_tenant_limits.py
+++ b/tests/fleet/test_tenant_limits.py
@@ -1,4 +1,4 @@
-"""Token buckets and leases: what must never be passed, whatever is asked in which order."""
+"""Token buckets and leases: limits that hold for any sequence of operations."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def contribute(buckets: TokenBuckets, seconds: float, now: float, number: int = 1) -> None:
-    """Let all nodes hand over their time."""
+    """Let all nodes contribute their time."""
     for node in range(NODES):
         buckets.contribute(f"node-{node}", 1, number, seconds, NODES, now)
 
@@ -43,12 +43,12 @@
     assert TenantLimit(10.0, 5.0).cost(1_540) == 1
 
 
-def test_what_a_window_allows() -> None:
+def test_usage_allowed_in_a_window() -> None:
     assert math.isclose(TOLERANCE.allowed(LIMIT), 9_000 * 1.1 + 4_000)
     assert math.isclose(TOLERANCE.margin(LIMIT), 900 + 4_000)
 
 
-def test_buckets_without_the_time_of_any_node_give_nothing() -> None:
+def test_buckets_without_contributed_time_grant_nothing() -> None:
     buckets = make_buckets()
     assert not buckets.take(TENANT, LIMIT, 1.0, 0, 100.0)
     assert buckets.lease(TENANT, LIMIT, "node-1", 1.0, 100.0) == 0
@@ -69,7 +69,7 @@
     assert 400 <= refilled <= 500
 
 
-def test_the_part_of_nodes_that_are_gone_is_missing() -> None:
+def test_the_refill_of_failed_nodes_is_missing() -> None:
     buckets = make_buckets()
     for number in range(20):
         buckets.contribute("node-1", 1, number, 0.5, NODES, number / 2)
@@ -79,24 +79,24 @@
     refilled = 0
     while buckets.take(TENANT, LIMIT, 10.0, 0, 10.5):
         refilled += 10
-    # An eighth of what the rate gives in a second, and less than one request that was left over.
+    # An eighth of the refill of one second, plus a remainder smaller than one request.
     assert 110 <= refilled <= 135
 
 
-def test_a_holder_that_was_left_keeps_no_tokens() -> None:
+def test_a_holder_without_contributors_retains_no_tokens() -> None:
     buckets = full_buckets(now=20.0)
     assert not buckets.take(TENANT, LIMIT, 100.0, 0, 25.0)
     assert buckets.give(TENANT, LIMIT, 100.0, 25.0) == 0
 
 
-def test_a_request_that_exceeds_the_bucket_takes_a_full_one_and_what_comes_next() -> None:
+def test_a_request_that_exceeds_the_capacity_empties_a_full_bucket_and_uses_later_refills() -> None:
     buckets = full_buckets()
     assert buckets.take(TENANT, LIMIT, 4_000.0, 0, 20.0)
     contribute(buckets, 0.5, 20.5, number=2)
     assert not buckets.take(TENANT, LIMIT, 1.0, 0, 20.5)
 
 
-def test_the_last_tokens_are_kept_for_urgent_and_small_requests() -> None:
+def test_the_last_tokens_are_reserved_for_urgent_and_small_requests() -> None:
     buckets = full_buckets()
     while buckets.take(TENANT, LIMIT, 200.0, 1, 20.0):
         pass
@@ -106,7 +106,7 @@
     assert buckets.take(TENANT, LIMIT, 20.0, 0, 20.0)
 
 
-def test_each_start_of_a_node_brings_its_part_once() -> None:
+def test_each_start_of_a_node_contributes_its_initial_tokens_once() -> None:
     buckets = make_buckets()
     for node in range(NODES):
         buckets.contribute(f"node-{node}", 1, 1, 0.0, NODES, 20.0, is_first=True)
@@ -118,7 +118,7 @@
     assert not buckets.take(TENANT, LIMIT, 10.0, 0, 20.1)
 
 
-def test_a_bucket_that_was_forgotten_brings_no_start_again() -> None:
+def test_a_removed_bucket_gets_no_initial_tokens_again() -> None:
     buckets = make_buckets()
     for node in range(NODES):
         buckets.contribute(f"node-{node}", 1, 1, 9.0, NODES, 20.0, is_first=True)
@@ -131,7 +131,7 @@
     assert taken <= LIMIT.burst + OVERFILL_SHARE * TOLERANCE.margin(LIMIT)
 
 
-def test_those_who_are_refused_together_do_not_return_together() -> None:
+def test_requests_refused_together_are_not_retried_together() -> None:
     buckets = full_buckets()
     while buckets.take(TENANT, LIMIT, 100.0, 0, 20.0):
         pass
@@ -147,7 +147,7 @@
     assert max(waits) <= TOLERANCE.window_seconds
 
 
-def test_leases_are_part_of_the_fill() -> None:
+def test_leased_tokens_count_towards_the_capacity() -> None:
     buckets = full_buckets()
     leased = buckets.lease(TENANT, LIMIT, "node-1", 1e9, 20.0)
     assert leased > 0
@@ -158,7 +158,7 @@
     assert taken <= LIMIT.burst + OVERFILL_SHARE * TOLERANCE.margin(LIMIT)
 
 
-def test_what_is_returned_can_be_leased_again() -> None:
+def test_returned_tokens_can_be_leased_again() -> None:
     buckets = full_buckets()
     first = buckets.lease(TENANT, LIMIT, "node-1", 1e9, 20.0)
     assert buckets.lease(TENANT, LIMIT, "node-2", 1e9, 20.0) == 0
@@ -166,7 +166,7 @@
     assert math.isclose(buckets.lease(TENANT, LIMIT, "node-2", 1e9, 20.1), first)
 
 
-def test_a_lowered_limit_binds_at_once() -> None:
+def test_a_lowered_limit_takes_effect_at_once() -> None:
     tolerance = LimitTolerance(8.0, 0.1, 0.0)
     buckets = make_buckets(tolerance)
     contribute(buckets, 10.0, 20.0)
@@ -178,7 +178,7 @@
     assert taken <= lower.burst + tolerance.margin(lower)
 
 
-def test_a_repeated_message_is_known() -> None:
+def test_a_repeated_message_is_recognized() -> None:
     buckets = make_buckets()
     buckets.contribute("node-1", 5, 3, 0.5, NODES, 0.0)
     assert buckets.is_repeated("node-1", 5, 3)
@@ -187,7 +187,7 @@
     assert not buckets.is_repeated("node-1", 6, 1)
 
 
-def test_idle_buckets_are_forgotten() -> None:
+def test_idle_buckets_are_removed() -> None:
     buckets = full_buckets()
     assert buckets.take(TENANT, LIMIT, 100.0, 0, 20.0)
     contribute(buckets, 0.5, 40.0, number=2)
@@ -195,28 +195,28 @@
     assert buckets.levels() == {}
 
 
-def test_a_node_that_was_paused_does_not_bring_its_pause() -> None:
+def test_a_node_does_not_contribute_the_time_of_a_pause() -> None:
     leases = TokenLeases(0.0)
     assert leases.hand_over(0.4) == 0.4
     assert leases.hand_over(9.0) == MAX_HANDED_SECONDS
     assert leases.hand_over(9.0) == 0
 
 
-def test_leased_tokens_lapse() -> None:
+def test_leased_tokens_expire() -> None:
     leases = TokenLeases(0.0)
     leases.add(TENANT, 100.0, 1.2, 0.0)
     assert leases.spend(TENANT, 60.0, 1.1)
     assert not leases.spend(TENANT, 40.0, 1.2)
 
 
-def test_tokens_that_are_taken_out_are_no_longer_there() -> None:
+def test_tokens_that_are_taken_out_can_not_be_spent() -> None:
     leases = TokenLeases(0.0)
     leases.add(TENANT, 100.0, 1.2, 0.0)
     assert leases.take_out(TENANT, 0.1) == 100
     assert not leases.spend(TENANT, 1.0, 0.1)
 
 
-def test_a_tenant_that_sends_much_is_leased_ahead_and_one_that_sends_nothing_is_not() -> None:
+def test_tokens_are_leased_ahead_for_a_busy_tenant_and_not_for_an_idle_one() -> None:
     leases = TokenLeases(0.0)
     for number in range(10):
         leases.spend(TENANT, 50.0, number / 10)
@@ -227,9 +227,9 @@
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Nodes hand time to any holder, lose messages, restart and move tokens about.
+    """Nodes contribute time to any holder, lose messages, restart and transfer tokens.
 
-    Whatever is done, no window may hold more than is allowed.
+    After any sequence of operations, the usage in each window stays within what is allowed.
     """
 
     @initialize()
@@ -243,7 +243,7 @@
         self.ran: deque[tuple[float, float]] = deque()
         self.total = 0.0
 
-    def note_ran(self, cost: float) -> None:
+    def record_use(self, cost: float) -> None:
         self.ran.append((self.now, cost))
         self.total += cost
 
@@ -267,7 +267,7 @@
 
     @rule(seconds=st.integers(1, 12))
     def hand_over_in_turn(self, seconds: int) -> None:
-        """All nodes hand their time to the first holder, as on a calm day."""
+        """All nodes contribute their time to the first holder, as in normal operation."""
         for _ in range(2 * seconds):
             self.now += 0.5
             for node in range(NODES):
@@ -288,16 +288,16 @@
     @rule(holder=st.integers(0, 2), cost=st.floats(10.0, 500.0), rank=st.integers(0, 2))
     def drain(self, holder: int, cost: float, rank: int) -> None:
         while self.holders[holder].take(TENANT, LIMIT, cost, rank, self.now):
-            self.note_ran(cost)
+            self.record_use(cost)
 
     @rule(node=st.integers(0, NODES - 1), cost=st.floats(1.0, 300.0))
     def spend(self, node: int, cost: float) -> None:
         while self.nodes[node].spend(TENANT, cost, self.now):
-            self.note_ran(cost)
+            self.record_use(cost)
 
     @rule()
     def restart_all(self) -> None:
-        """All processes are killed, at most twice in a window, and are back a second later."""
+        """Kill all processes, at most twice in a window, and start them again a second later."""
         while self.restarts and self.now - self.restarts[0] > TOLERANCE.window_seconds:
             self.restarts.popleft()
         if len(self.restarts) >= 2:
--- a/tests/fleet/test_version_exposure.py
+++ b/tests/fleet/test_version_exposure.py
@@ -1,4 +1,4 @@
-"""What a node may send to a version that is not trusted yet."""
+"""Limits on the requests that a node sends to a version that is not trusted yet."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     assert exposure.on_send(SERVICE) == 0
 
 
-def test_own_requests_pay_for_their_share() -> None:
+def test_a_nodes_requests_earn_their_share_of_sends() -> None:
     exposure = opened()
     take(exposure, 1_000)
     assert send_all(exposure, 1.0) == int(0.1 * SHARE_SAFETY * 1_000)
@@ -62,7 +62,7 @@
     assert send_all(exposure, SETTLED) == int(50.0 * SLACK_SAFETY / 4)
 
 
-def test_a_part_of_a_slot_of_slack_is_kept_until_requests_fill_it_up() -> None:
+def test_a_fraction_of_a_send_is_retained_until_requests_complete_it() -> None:
     exposure = opened(slack=50.0, nodes=64)
     assert send_all(exposure, SETTLED) == 0
     take(exposure, 4)
@@ -74,13 +74,13 @@
     assert send_all(exposure, SETTLED / 2) == 0
 
 
-def test_the_part_of_the_slack_does_not_grow_when_nodes_go() -> None:
+def test_the_part_of_the_slack_does_not_grow_when_nodes_leave() -> None:
     exposure = opened(slack=50.0, nodes=50)
     exposure.set_node_count(1)
     assert send_all(exposure, SETTLED) == 0
 
 
-def test_the_part_of_the_slack_shrinks_when_nodes_come() -> None:
+def test_the_part_of_the_slack_shrinks_when_nodes_join() -> None:
     exposure = opened(slack=50.0)
     exposure.set_node_count(4)
     assert send_all(exposure, SETTLED) == 10
@@ -92,19 +92,19 @@
     assert send_all(exposure, SETTLED) == 0
 
 
-def test_requests_from_before_the_order_pay_for_nothing() -> None:
+def test_requests_from_before_the_order_earn_no_sends() -> None:
     exposure = opened()
     take(exposure, 1_000, at=-0.1)
     assert send_all(exposure, 1.0) == 0
 
 
-def test_requests_beyond_the_deadline_pay_for_nothing() -> None:
+def test_requests_after_the_deadline_earn_no_sends() -> None:
     exposure = opened()
     take(exposure, 1_000, at=12.1)
     assert send_all(exposure, 12.1) == 0
 
 
-def test_what_was_earned_may_be_sent_beyond_the_deadline() -> None:
+def test_earned_sends_may_be_used_after_the_deadline() -> None:
     exposure = opened()
     take(exposure, 1_000)
     assert send_all(exposure, 20.0) == 95
@@ -116,7 +116,7 @@
     assert send_all(exposure, 4.1) == 0
 
 
-def test_a_send_that_was_refused_counts() -> None:
+def test_a_refused_send_counts() -> None:
     exposure = opened()
     take(exposure, 100)
     for _ in range(9):
@@ -124,7 +124,7 @@
     assert not exposure.admits(SERVICE, ROUTE, 0.0, 1.0)
 
 
-def test_a_later_order_begins_anew() -> None:
+def test_a_later_order_opens_a_new_account() -> None:
     exposure = opened()
     take(exposure, 100)
     exposure.on_send(SERVICE)
@@ -132,21 +132,21 @@
     assert exposure.left(SERVICE, 2.0) == 0
 
 
-def test_the_same_order_once_more_changes_nothing() -> None:
+def test_opening_the_same_order_again_has_no_effect() -> None:
     exposure = opened()
     take(exposure, 100)
     exposure.open(SERVICE, rev(5), 12.0, 1.0, 1.0)
     assert exposure.left(SERVICE, 1.0) == pytest.approx(9.5)
 
 
-def test_services_have_accounts_of_their_own() -> None:
+def test_services_have_separate_accounts() -> None:
     exposure = opened()
     take(exposure, 100)
     assert exposure.left("other", 1.0) == 0
 
 
 def play_routes(rates: dict[str, float], seconds: float, nodes: int) -> tuple[Counter[str], int]:
-    """Return canaries by route and all requests, of nodes that share the rates."""
+    """Simulate nodes that share the rates; return canary sends by route and all requests."""
     rng = Random(3)
     canaries: Counter[str] = Counter()
     requests = 0
@@ -166,7 +166,7 @@
     return canaries, requests
 
 
-def test_a_rare_route_gets_more_than_its_share_and_nothing_is_left() -> None:
+def test_a_rare_route_gets_more_than_its_share_and_most_of_the_exposure_is_used() -> None:
     canaries, requests = play_routes({"often": 200.0, "rare": 20.0, "other": 20.0}, 12.0, 64)
     allowed = 0.1 * requests + 50
     assert 0.7 * allowed < canaries.total() <= allowed
@@ -182,7 +182,7 @@
     assert bursts[0]
 
 
-def test_a_version_beside_others_is_held_back_for_a_while() -> None:
+def test_a_version_listed_after_another_is_held_back_for_a_while() -> None:
     arrivals = VersionArrivals()
     arrivals.listed(SERVICE, "v1", 0.0, at_start=True)
     arrivals.listed(SERVICE, "v2", 1.0, at_start=False)
@@ -197,14 +197,14 @@
     assert not arrivals.any_held(0.0)
 
 
-def test_versions_that_are_there_at_the_start_are_not_held_back() -> None:
+def test_versions_listed_at_the_start_are_not_held_back() -> None:
     arrivals = VersionArrivals()
     arrivals.listed(SERVICE, "v1", 0.0, at_start=True)
     arrivals.listed(SERVICE, "v2", 0.0, at_start=True)
     assert not arrivals.any_held(0.0)
 
 
-def test_a_version_that_comes_again_is_not_held_back() -> None:
+def test_a_version_that_is_listed_again_is_not_held_back() -> None:
     arrivals = VersionArrivals()
     for version, at in (("v1", 0.0), ("v2", 1.0), ("v1", 20.0), ("v2", 30.0)):
         arrivals.listed(SERVICE, version, at, at_start=False)
--- a/tests/fleet/test_weights_bound.py
+++ b/tests/fleet/test_weights_bound.py
@@ -1,20 +1,14 @@
-"""Until when runners with older weights are used, where words between nodes are late.
+"""The bound until which runners with older weights are used, with delayed messages between nodes.
 
-Seen: on 69 nodes, requests began on older weights more than 12 s after newer ones were named. All
-nodes were well, and neither the store nor a link was disturbed.
+Guards against a bound that moves with message delays: on 69 healthy nodes, with the store and all
+links working, requests began on older weights more than 12 s after newer ones were announced. Each
+node reported how long ago the version was announced. The receivers counted that age from the
+arrival of the message, adopted the latest time, and reported it in turn, once a second. The bound
+grew with each repetition, so runners loaded late and were used until then.
 
-How it came about: a rollout is paced so that the last runner loads shortly before the moment from
-which older weights must not be used. Nodes took that moment to be some seconds later than it was,
-all of them alike, so runners loaded late and were used until then.
-
-Cause: nodes told each other how long ago a version was named. Who heard it counted from when the
-word came, which is later by the word's way, took the latest time that it heard, and told that on as
-its own. So the time that all took for the naming grew with each repetition, once a second.
-
-What proved it: in the test below nothing is late but the words, and the bound moved by 0.9 s each
-second where they take 0.05 to 0.6 s. With real processes on a busy machine 210,257 moves of a bound
-were logged in 40 s, each by a peer's word, none by anything else; once the bound of all 69 nodes
-lay 0.4 to 0.7 s too late.
+With message delays of 0.05 to 0.6 s the bound moved by 0.9 s per second. With real processes on a
+busy machine 210,257 moves were logged in 40 s, all caused by messages of peers; the bound of all 69
+nodes was once 0.4 to 0.7 s too late.
 """
 
 from __future__ import annotations
@@ -29,28 +23,28 @@
 ZONES = 4
 SETTLE_SECONDS = 6.0
 UNJUDGED_SECONDS = 2.6
-# How much earlier than it was a version may be taken to be named: a look of the node that watches
-# the store, and the wait for that look's answer.
+# By how much the estimated time of an announcement may be too early: the poll interval of the node
+# that watches the store, and the wait for the answer of that poll.
 EARLY_SECONDS = 2 * INTERVAL_SECONDS
 
 
-def name_weights(network: NodeNetwork, version: int) -> float:
-    """Name a version; return when."""
+def announce_weights(network: NodeNetwork, version: int) -> float:
+    """Announce a version; return the time of the announcement."""
     body = f'{{"model":"{MODEL}","version":{version}}}'
     network.store.put(f"op/version/{MODEL}", body.encode())
     return network.scheduler.now
 
 
 def restart(network: NodeNetwork, node: SimulatedNode) -> SimulatedNode:
-    """Start a node again: it knows nothing, and is not held to bounds for a while."""
+    """Restart a node: it has no state, and is not subject to bounds for a while."""
     started = network.add(node.node_id, node.zone)
     started.state.freshness = Freshness(4.0)
     started.state.unjudged_until = network.scheduler.now + UNJUDGED_SECONDS
     return started
 
 
-def counted_from(network: NodeNetwork) -> list[float]:
-    """Return from when each node counts the time in which version 1 may still be used."""
+def bound_starts(network: NodeNetwork) -> list[float]:
+    """Return the time from which each node counts the grace period of version 1."""
     return [node.state.versions.named_after(MODEL, 1) for node in network.nodes.values()]
 
 
@@ -62,15 +56,15 @@
         pytest.param((0.05, 0.6), id="very-late-words"),
     ],
 )
-def test_late_words_do_not_keep_older_weights_in_use(ways: tuple[float, float]) -> None:
+def test_delayed_messages_do_not_keep_older_weights_in_use(ways: tuple[float, float]) -> None:
     network = NodeNetwork(NODES, ZONES, ways=ways)
     list_runners(network)
     network.run(SETTLE_SECONDS)
-    named_at = name_weights(network, 2)
+    named_at = announce_weights(network, 2)
     network.run(2.0)
     due_at = named_at + VERSION_GRACE
     while network.scheduler.now < due_at:
-        assert max(counted_from(network)) <= named_at
+        assert max(bound_starts(network)) <= named_at
         network.run(0.5)
     for node in network.nodes.values():
         assert node.state.versions.oldest_allowed(MODEL, due_at) == 2
@@ -79,12 +73,13 @@
 
 @pytest.mark.parametrize("count", [7, NODES])
 @pytest.mark.parametrize("place", [0, 1, -1])
-def test_a_node_that_starts_learns_when_a_version_was_named(count: int, place: int) -> None:
-    # Without it, its peers use runners with older weights on when it must not any more.
+def test_a_starting_node_learns_when_a_version_was_announced(count: int, place: int) -> None:
+    # Otherwise its peers would continue to use runners with older weights after this node must
+    # stop.
     network = NodeNetwork(count, ZONES)
     list_runners(network)
     network.run(SETTLE_SECONDS)
-    named_at = name_weights(network, 2)
+    named_at = announce_weights(network, 2)
     network.run(1.0)
     group = next(iter(network.nodes.values())).choice.group("zone-0")
     order = network.nodes["node-0"].state.nodes.relay_order(group)
@@ -95,40 +90,40 @@
     network.close()
 
 
-def test_a_node_that_starts_beside_late_words_does_not_move_the_bound() -> None:
+def test_a_node_that_starts_while_messages_are_delayed_does_not_move_the_bound() -> None:
     network = NodeNetwork(NODES, ZONES, ways=(0.05, 0.6))
     list_runners(network)
     network.run(SETTLE_SECONDS)
-    named_at = name_weights(network, 2)
+    named_at = announce_weights(network, 2)
     for number in range(8):
         network.run(0.5)
         restart(network, network.nodes[f"node-{number}"])
     network.run(1.0)
-    assert max(counted_from(network)) <= named_at
+    assert max(bound_starts(network)) <= named_at
     network.close()
 
 
-def test_what_begins_a_bound_again_at_one_node_is_not_told_to_others() -> None:
+def test_a_bound_that_restarts_on_one_node_is_not_sent_to_others() -> None:
     network = NodeNetwork(7, 3)
     list_runners(network)
     network.run(SETTLE_SECONDS)
-    named_at = name_weights(network, 2)
+    named_at = announce_weights(network, 2)
     network.run(2.0)
     order = next(iter(network.nodes.values())).state.nodes.relay_order(None)
-    alone = network.nodes[order[0]]  # All others ask it.
-    alone.state.store_regained(network.scheduler.now)
-    assert alone.state.versions.named_after(MODEL, 1) == network.scheduler.now
+    asked_node = network.nodes[order[0]]  # All other nodes send their questions to this node.
+    asked_node.state.store_regained(network.scheduler.now)
+    assert asked_node.state.versions.named_after(MODEL, 1) == network.scheduler.now
     network.run(3.0)
-    moved = [moment for moment in counted_from(network) if moment > named_at]
+    moved = [moment for moment in bound_starts(network) if moment > named_at]
     assert len(moved) == 1
     network.close()
 
 
-def test_what_a_node_learns_from_an_answer_is_no_later_than_what_the_answerer_knows() -> None:
+def test_a_time_learned_from_an_answer_is_no_later_than_that_of_the_answering_node() -> None:
     network = NodeNetwork(7, 3, ways=(0.02, 0.06))
     list_runners(network)
     network.run(SETTLE_SECONDS)
-    name_weights(network, 2)
+    announce_weights(network, 2)
     network.run(5.0)
     order = next(iter(network.nodes.values())).state.nodes.relay_order(None)
     known = {
--- a/tests/fleet/test_weights_sight.py
+++ b/tests/fleet/test_weights_sight.py
@@ -1,4 +1,4 @@
-"""What the log tells of requests on older weights, and of the bound until which they are used."""
+"""Log records of announced weights versions and of the bound until which older ones are used."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return [vars(record) for record in caplog.records if record.getMessage() == message]
 
 
-def test_the_log_tells_when_a_version_was_named_who_says_so_and_when_it_is_due(
+def test_the_log_contains_time_source_and_due_time_of_an_announcement(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -28,7 +28,7 @@
     assert named["bound_by"] is BoundCause.NAMED
 
 
-def test_each_move_of_a_bound_is_told_with_its_cause(caplog: pytest.LogCaptureFixture) -> None:
+def test_each_move_of_a_bound_is_logged_with_its_cause(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     state = make_state(make_table(make_route()))
     state.note_weights_named(WeightsNamed(MODEL, 2), 10.0, "store", 10.5)
@@ -36,13 +36,13 @@
     state.narrow_weights_named(NamedVersion(MODEL, 2, 10.25), "node-8", 11.0)
     state.store_regained(13.0)
     moved = records(caplog, "weights bound moved")
-    told = [(move["bound_by"], move["source"], move["later_seconds"]) for move in moved]
-    # The first version of all was named long ago, and its bound begins again as well.
-    assert told[0] == (BoundCause.PEER, "node-7", 0.75)
-    assert told[-1] == (BoundCause.OUTAGE, "node-7", 2.25)
+    logged = [(move["bound_by"], move["source"], move["later_seconds"]) for move in moved]
+    # The first version was announced long ago; its bound restarts as well.
+    assert logged[0] == (BoundCause.PEER, "node-7", 0.75)
+    assert logged[-1] == (BoundCause.OUTAGE, "node-7", 2.25)
 
 
-def test_a_version_named_in_an_outage_counts_from_its_end(
+def test_the_bound_of_a_version_announced_in_an_outage_counts_from_the_end_of_the_outage(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
