--- a/tests/stateful/test_adoption.py
+++ b/tests/stateful/test_adoption.py
@@ -1,4 +1,4 @@
-"""Bundle adoption and cache beliefs searched for a broken invariant."""
+"""Stateful tests of bundle adoption and of the cache index."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from tests.builders import Signers, child_of, make_bundle
 
 SIGNERS = Signers()
-STRANGERS = Signers()
+UNTRUSTED_SIGNERS = Signers()
 
 
 class AdoptionMachine(RuleBasedStateMachine):
-    """Two operators race; nodes hear of bundles in any order, forged ones among them."""
+    """Nodes receive bundles in any order, including forged and insufficiently signed ones."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -39,7 +39,7 @@
 
     @rule(node=st.integers(0, 2))
     def deliver_forged(self, node: int) -> None:
-        forged = STRANGERS.sign(child_of(self.chain[-1], version=1_000))
+        forged = UNTRUSTED_SIGNERS.sign(child_of(self.chain[-1], version=1_000))
         try:
             adopted = self.nodes[node].consider(forged, 0.0)
         except BundleError:
@@ -60,31 +60,31 @@
         assert [node.version for node in self.nodes] == self.seen
 
 
-class BeliefMachine(RuleBasedStateMachine):
-    """An engine's true cache beside the beliefs: crashes, gaps, resets, late events."""
+class CacheIndexMachine(RuleBasedStateMachine):
+    """An engine's actual cache and its index under crashes, event gaps, resets and late events."""
 
     def __init__(self) -> None:
         super().__init__()
         self.index = CacheIndex()
-        self.life = 1
+        self.incarnation_number = 1
         self.sequence = 0
-        self.true: set[int] = set()
+        self.actual: set[int] = set()
         self.lost = False
         self.index.observe_incarnation("e", "life-1")
         self.old_events: list[tuple[str, list[int]]] = []
 
     def name(self) -> str:
-        return f"life-{self.life}"
+        return f"life-{self.incarnation_number}"
 
     @rule(blocks=st.sets(st.integers(0, 9), min_size=1), delivered=st.booleans())
     def store(self, blocks: set[int], delivered: bool) -> None:
-        self.true |= blocks
+        self.actual |= blocks
         self.old_events.append((self.name(), sorted(blocks)))
         self.publish(delivered, lambda: self.index.stored("e", self.name(), blocks))
 
     @rule(blocks=st.sets(st.integers(0, 9), min_size=1), delivered=st.booleans())
     def evict(self, blocks: set[int], delivered: bool) -> None:
-        self.true -= blocks
+        self.actual -= blocks
         self.publish(delivered, lambda: self.index.removed("e", self.name(), blocks))
 
     def publish(self, delivered: bool, apply) -> None:  # type: ignore[no-untyped-def]
@@ -97,8 +97,8 @@
 
     @rule()
     def crash(self) -> None:
-        self.life += 1
-        self.true = set()
+        self.incarnation_number += 1
+        self.actual = set()
         self.sequence = 0
         self.lost = False
         self.index.observe_incarnation("e", self.name())
@@ -113,11 +113,11 @@
     def reset_after_gap(self) -> None:
         if self.lost:
             self.index.reset("e")
-            self.true = set()
+            self.actual = set()
             self.lost = False
 
     @invariant()
-    def trusted_beliefs_are_never_of_a_dead_incarnation(self) -> None:
+    def trusted_entries_are_of_the_current_incarnation(self) -> None:
         partition = self.index.partition("e")
         assert partition is not None
         assert partition.incarnation == self.name()
@@ -125,13 +125,13 @@
             assert not partition.blocks
 
     @invariant()
-    def a_gap_that_stands_is_not_trusted(self) -> None:
+    def an_index_with_a_gap_is_not_trusted(self) -> None:
         partition = self.index.partition("e")
         assert partition is not None
         assert not (self.lost and partition.trusted)
 
 
 AdoptionMachine.TestCase.settings = settings(max_examples=30, stateful_step_count=30)
-BeliefMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=40)
+CacheIndexMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=40)
 TestAdoption = AdoptionMachine.TestCase
-TestBeliefs = BeliefMachine.TestCase
+TestCacheIndex = CacheIndexMachine.TestCase
--- a/tests/stateful/test_claims.py
+++ b/tests/stateful/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims searched for a double execution: crashes, memory loss, lost and late messages, skew."""
+"""Stateful test of claims: no double execution despite memory loss, lost or late messages, skew."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Routers claim keys at replicas that lose memory; messages are lost or come late."""
+    """Routers claim keys at replicas that lose their memory; messages are lost or arrive late."""
 
     keys = Bundle("keys")
     rounds = Bundle("rounds")
@@ -95,7 +95,7 @@
 
     @rule(outcome=rounds, answered=st.booleans())
     def finish(self, outcome: tuple[str, str, ClaimVerdict], answered: bool) -> None:
-        """Losers release; winners hand over their answer or die without a word."""
+        """Release a lost claim; complete a won claim with its answer, or leave it open."""
         key, attempt_id, verdict = outcome
         for table in self.tables.values():
             if verdict is not ClaimVerdict.WON:
--- a/tests/stateful/test_membership.py
+++ b/tests/stateful/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership searched for lost or zombie members: loss, cuts, restarts, leaving."""
+"""Stateful test of membership: no lost or stale members after loss, partitions and restarts."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Five nodes; whatever happened, once all is well all live nodes see each other alive."""
+    """Five nodes; once messages are delivered again, all live nodes see each other as alive."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.rng = Random(1)
-        self.lives = 0
+        self.starts = 0
         self.loss = 0.0
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self.nodes: dict[str, Membership] = {}
         for name in NAMES:
             self.start(name)
@@ -37,13 +37,13 @@
         return f"10.0.0.{NAMES.index(name) + 1}:1"
 
     def start(self, name: str) -> None:
-        self.lives += 1
+        self.starts += 1
         zone = f"zone-{NAMES.index(name) % 2}"
         own = replace(
-            make_member(name, zone), incarnation=self.lives * 1_000, address=self.address(name)
+            make_member(name, zone), incarnation=self.starts * 1_000, address=self.address(name)
         )
         seeds = [self.address(other) for other in NAMES if other != name]
-        self.nodes[name] = Membership(own, seeds, TIMING, Random(self.lives))
+        self.nodes[name] = Membership(own, seeds, TIMING, Random(self.starts))
 
     def run_for(self, seconds: float) -> None:
         end = self.now + seconds
@@ -57,7 +57,7 @@
             target = next((n for n in self.nodes if self.address(n) == datagram.address), None)
             if target is None or self.rng.random() < self.loss:
                 continue
-            if (sender in self.cut) != (target in self.cut):
+            if (sender in self.partitioned) != (target in self.partitioned):
                 continue
             replies = self.nodes[target].on_message(
                 datagram.message, self.address(sender), self.now
@@ -88,11 +88,11 @@
 
     @rule(names=st.sets(st.sampled_from(NAMES)))
     def cut_off(self, names: set[str]) -> None:
-        self.cut = names
+        self.partitioned = names
 
     def teardown(self) -> None:
         self.loss = 0.0
-        self.cut = set()
+        self.partitioned = set()
         self.run_for(SETTLE_SECONDS)
         live = set(self.nodes)
         for name, node in self.nodes.items():
--- a/tests/stateful/test_software_rollouts.py
+++ b/tests/stateful/test_software_rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts searched for wrong words to the operator: holders die, pause, and lose the store."""
+"""Stateful test of rollouts: the operator is notified correctly despite faults of lease holders."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from tests.fleet.rollout_bench import NEW, NEWER, OVER_SECONDS, RUNNERS_EACH, TTL, RolloutBench
 
 NAMES = ("node-a", "node-b", "node-c")
-# All is heard and written within that, whatever happened before.
+# After any faults, all messages are received and all records written within this time.
 SETTLE_SECONDS = OVER_SECONDS + 2 * TTL + 4.0
-# What a node says has reached all others, and a write that was begun earlier is over.
-HEARD_SECONDS = 2.0
+# Within this time a node's report has reached all others, and an earlier write has finished.
+PROPAGATION_SECONDS = 2.0
 MAX_NODES = 9
 
 
 class RolloutMachine(RuleBasedStateMachine):
-    """Three nodes; once all is well each order that stands is answered, once and truly."""
+    """Three nodes; without further faults each current order is decided once and correctly."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -32,7 +32,7 @@
             self.bench.list_runner(f"newer-{n}", NEWER)
         self.always_bad: set[StoreRevision] = set()
         self.withdrawn: set[StoreRevision] = set()
-        self.told_when_withdrawn: dict[StoreRevision, int] = {}
+        self.notified_when_withdrawn: dict[StoreRevision, int] = {}
         self.busy_since: dict[str, float] = {}
 
     @rule(seconds=st.sampled_from([2.0, 4.0, 8.0]))
@@ -55,7 +55,7 @@
         change=st.integers(0, 5),
     )
     def order(self, version: str, failing: float, change: int) -> None:
-        """Give an order; one that is not decided yet is seldom replaced."""
+        """Give an order; an undecided order is rarely replaced."""
         if self.is_undecided() and change:
             self.pass_time(1.0)
             return
@@ -74,11 +74,11 @@
         self.bench.withdraw()
 
     def end_order(self) -> None:
-        """Note how much was told of an order until it was replaced or withdrawn."""
+        """Record the number of notifications of an order when it is replaced or withdrawn."""
         order = self.bench.store.order
         if order is not None:
             self.withdrawn.add(order.revision)
-            self.told_when_withdrawn[order.revision] = self.told_of(order.revision)
+            self.notified_when_withdrawn[order.revision] = self.told_of(order.revision)
 
     def told_of(self, revision: StoreRevision) -> int:
         return self.bench.store.told_of.count(revision)
@@ -147,17 +147,17 @@
             self.busy_since.pop(node.name, None)
 
     def check_old_runners(self, before: int) -> None:
-        """Check that none of the nodes that can be heard was at old runners at a completion."""
+        """Check that no connected node used old runners when a rollout was reported complete."""
         for at, state, _ in self.bench.store.told[before:]:
             if state != "complete":
                 continue
             for node in self.bench.nodes:
                 since = self.busy_since.get(node.name, at)
-                if node.talks() and node.hears_store and at - since >= HEARD_SECONDS:
+                if node.talks() and node.hears_store and at - since >= PROPAGATION_SECONDS:
                     assert not node.old_running
 
     @invariant()
-    def each_order_is_told_of_in_order(self) -> None:
+    def notifications_of_each_order_come_in_order(self) -> None:
         for revision in set(self.bench.store.told_of):
             states = [
                 told[1]
@@ -169,13 +169,13 @@
             assert states[-1] != "running" or len(begun) == len(states)
 
     @invariant()
-    def what_was_bad_all_the_time_is_never_complete(self) -> None:
+    def a_version_that_was_always_bad_is_never_complete(self) -> None:
         for told, of in zip(self.bench.store.told, self.bench.store.told_of, strict=True):
             assert not (of in self.always_bad and told[1] == "complete")
 
     @invariant()
-    def nothing_is_told_of_an_order_that_stands_no_more(self) -> None:
-        for revision, count in self.told_when_withdrawn.items():
+    def no_notification_follows_the_end_of_an_order(self) -> None:
+        for revision, count in self.notified_when_withdrawn.items():
             assert self.told_of(revision) == count
 
     @invariant()
@@ -195,7 +195,7 @@
             node.hears_store = True
         self.wake_all()
         self.let_late_writes_go()
-        # All is well, but for requests that go on at old runners.
+        # No more faults, but some requests still run at old runners.
         self.pass_time(SETTLE_SECONDS)
         for node in self.bench.nodes:
             node.old_running = 0
@@ -209,8 +209,8 @@
         for node in self.bench.nodes:
             if node.alive:
                 assert node.state.rollouts.record(APPLICATION) == store.record
-        self.each_order_is_told_of_in_order()
-        self.what_was_bad_all_the_time_is_never_complete()
+        self.notifications_of_each_order_come_in_order()
+        self.a_version_that_was_always_bad_is_never_complete()
         self.the_record_only_goes_forward()
         self.bench.scheduler.close()
 
--- a/tests/stateful/test_version_exposure.py
+++ b/tests/stateful/test_version_exposure.py
@@ -1,7 +1,7 @@
-"""The exposure of a bad version searched for a way beyond its bound.
+"""Stateful test of the bound on the exposure of an untrusted version.
 
-Nodes see the order late or never, are cut off, paused, started anew one by one and in herds, know
-too few of one another, and lose what peers tell. They share nothing but the bound.
+Nodes see the order late or never, are partitioned, paused, restarted one by one or all together,
+and know too few other nodes. The bound holds although they exchange no messages.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 OVER_SECONDS = 12.0
 ROUTES = ("often", "rare")
 FIRST_NODES = 4
-MOST_NODES = 12
+MAX_NODES = 12
 
 
 class Node:
-    """One process: its account, and what it knows."""
+    """One process with its account and its view of the store."""
 
     def __init__(self, number: int, known: int, now: float, *, late: bool) -> None:
         self.number = number
@@ -38,7 +38,7 @@
 
 
 class ExposureMachine(RuleBasedStateMachine):
-    """Counts what reaches the service and what the target version gets."""
+    """Counts the service's requests and those that the target version gets."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -54,11 +54,11 @@
         return self.nodes[index % len(self.nodes)]
 
     def is_in_time(self) -> bool:
-        """Return whether requests that come now pay for canaries, as the users count."""
+        """Return whether requests that arrive now count towards the bound."""
         return self.ordered_at is not None and self.now <= self.ordered_at + OVER_SECONDS
 
     def see_order(self, node: Node) -> None:
-        """A node that reads the store learns of the order, and of its peers."""
+        """Let a node read the order and the number of its peers from the store."""
         if node.cut or node.paused:
             return
         node.exposure.set_node_count(len(self.nodes))
@@ -72,7 +72,7 @@
 
     @rule()
     def settle(self) -> None:
-        """Nodes in touch read the store at least each half second: nobody misses a herd."""
+        """Let all connected nodes read the store, as they do at least every half second."""
         for node in self.nodes:
             self.see_order(node)
         self.now += SLACK_SETTLE_SECONDS
@@ -94,7 +94,7 @@
         repeats=st.integers(0, 2),
     )
     def serve(self, index: int, route: str, count: int, draw: float, repeats: int) -> None:
-        """Requests come; some canaries are sent again, as far as the account allows."""
+        """Serve requests; some canary requests are sent again, as far as the account allows."""
         node = self.pick(index)
         if node.paused:
             return
@@ -108,7 +108,7 @@
 
     @rule(index=st.integers(0, 20), count=st.integers(1, 400))
     def arrive(self, index: int, count: int) -> None:
-        """Requests come that the node places later only: they wait, or the node is paused."""
+        """Receive requests that are placed later, because they wait or the node is paused."""
         self.pick(index).waiting.append((self.now, count))
         self.requests += count if self.is_in_time() else 0
 
@@ -130,7 +130,7 @@
 
     @rule()
     def send_all(self) -> None:
-        """Each node in turn uses up all that it may send."""
+        """Let each node in turn use its whole allowance."""
         for node in self.nodes:
             while not node.paused and node.exposure.admits(SERVICE, ROUTES[0], 0.0, self.now):
                 node.exposure.on_send(SERVICE)
@@ -147,7 +147,7 @@
 
     @rule(index=st.integers(0, 20))
     def restart(self, index: int) -> None:
-        """A process ends and starts; it reads the store before it serves."""
+        """Restart a process, which reads the store before it serves."""
         place = index % len(self.nodes)
         self.nodes[place] = Node(place, len(self.nodes), self.now, late=True)
         self.see_order(self.nodes[place])
@@ -157,10 +157,10 @@
         for place in range(len(self.nodes)):
             self.restart(place)
 
-    @precondition(lambda self: len(self.nodes) < MOST_NODES)
+    @precondition(lambda self: len(self.nodes) < MAX_NODES)
     @rule()
     def join(self) -> None:
-        """A node comes new; the others hear of it when they read the store next."""
+        """Add a node; the others learn of it at their next read of the store."""
         node = Node(len(self.nodes), len(self.nodes) + 1, self.now, late=True)
         self.nodes.append(node)
         self.see_order(node)
@@ -168,7 +168,7 @@
     @precondition(lambda self: self.ordered_at is not None)
     @rule(known=st.integers(1, 3))
     def lose_sight(self, known: int) -> None:
-        """All nodes take most others for gone: their parts of the slack must not grow."""
+        """Let all nodes consider most others removed; their parts of the slack must not grow."""
         for node in self.nodes:
             node.exposure.set_node_count(known)
 
