--- a/src/hillstack/core/change_score.py
+++ b/src/hillstack/core/change_score.py
@@ -66,7 +66,7 @@
             found = max(found, (burst, len(bad) - first))
         return found
 
-    def score_beside(self, steps_ago: int) -> float:
+    def score_without_burst_at(self, steps_ago: int) -> float:
         """Return the score without the burst that began ``steps_ago`` steps ago."""
         steps = list(self._steps)
         first = len(steps) - steps_ago
--- a/src/hillstack/core/claims.py
+++ b/src/hillstack/core/claims.py
@@ -178,10 +178,10 @@
     def expire(self, now_wall: float, limits: ClaimLimits) -> None:
         """Remove claims older than the horizon."""
         oldest_retained = now_wall - limits.horizon - 2 * limits.max_clock_skew
-        lapsed = [
+        expired_keys = [
             key for key, record in self._records.items() if record.granted_at < oldest_retained
         ]
-        for key in lapsed:
+        for key in expired_keys:
             del self._records[key]
 
     def _reply_to_known(self, record: ClaimRecord, request: ClaimRequest) -> ClaimReply:
--- a/src/hillstack/core/doubtful_entries.py
+++ b/src/hillstack/core/doubtful_entries.py
@@ -27,34 +27,34 @@
 
     def __init__(self, pool: RunnerPool) -> None:
         self._pool = pool
-        self._kept: dict[str, tuple[RunnerEntry, float]] = {}
+        self._withheld: dict[str, tuple[RunnerEntry, float]] = {}
 
     def keep_back(self, entry: RunnerEntry, now: float) -> bool:
         """Withhold an entry if its runner may have stopped; return whether it is withheld."""
         name = entry.directory_name
-        kept, _ = self._kept.get(name, (None, 0.0))
-        if kept is not None and kept.revision.era == entry.revision.era:
-            if kept.revision < entry.revision:
-                del self._kept[name]
-            return kept.revision == entry.revision
+        withheld, _ = self._withheld.get(name, (None, 0.0))
+        if withheld is not None and withheld.revision.era == entry.revision.era:
+            if withheld.revision < entry.revision:
+                del self._withheld[name]
+            return withheld.revision == entry.revision
         if not self._pool.is_gone_before(entry):
             return False
-        self._kept[name] = entry, now + LAPSE_SECONDS
+        self._withheld[name] = entry, now + LAPSE_SECONDS
         logger.info("runner kept back", extra={"runner": entry.runner_id})
         return True
 
     def drop(self, name: str) -> None:
         """Forget an entry that the directory has removed."""
-        self._kept.pop(name, None)
+        self._withheld.pop(name, None)
 
     def retain(self, listed: Collection[str]) -> None:
         """Forget the entries that are not in a full list of the directory."""
-        for name in self._kept.keys() - listed:
-            del self._kept[name]
+        for name in self._withheld.keys() - listed:
+            del self._withheld[name]
 
     def take_due(self, now: float) -> list[RunnerEntry]:
         """Release and return the entries that are still listed after ``LAPSE_SECONDS``."""
-        due = [entry for entry, until in self._kept.values() if now >= until]
+        due = [entry for entry, until in self._withheld.values() if now >= until]
         for entry in due:
-            del self._kept[entry.directory_name]
+            del self._withheld[entry.directory_name]
         return due
--- a/src/hillstack/core/freshness.py
+++ b/src/hillstack/core/freshness.py
@@ -1,8 +1,8 @@
 """Age of a node's view of the configuration store, and the bound on that age.
 
 The age is measured on the monotonic clock from the moment a linearizable call was *sent*: the
-answer contains every change that was acknowledged before that moment. A node whose view is older
-than the bound must not serve requests with a key, since the key may have been revoked meanwhile.
+answer contains every change that was acknowledged before. A node whose view is older than the bound
+must not serve requests with an API key, since the key may have been revoked meanwhile.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
     """Tracks the age of the latest linearizable answer.
 
     Args:
-        bound_seconds: Age beyond which requests with a key are refused; infinite if a stale view
-            is acceptable.
+        bound_seconds: Age beyond which requests with an API key are refused; infinite if a stale
+            view is acceptable.
     """
 
     def __init__(self, bound_seconds: float = math.inf) -> None:
@@ -36,7 +36,7 @@
         return now - self._proved_at
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether requests with a key may be served."""
+        """Return whether requests with an API key may be served."""
         return self.age(now) <= self._bound
 
     def changed(self, now: float) -> bool | None:
--- a/src/hillstack/core/order_age.py
+++ b/src/hillstack/core/order_age.py
@@ -25,7 +25,7 @@
 
     @property
     def ordered_at(self) -> float:
-        """Estimated time of the order on this node's clock; updates only make it earlier."""
+        """Estimated time of the order on this node's clock; updates can only make it earlier."""
         return self._ordered_at
 
     def note_told(self, ordered_at: float) -> None:
--- a/src/hillstack/core/outcome_steps.py
+++ b/src/hillstack/core/outcome_steps.py
@@ -28,10 +28,12 @@
         self._step_began_at = float("-inf")
 
     def is_due(self, now: float) -> bool:
-        """Return whether the current step has ended; ``take`` ignores totals until then."""
+        """Return whether the current step has ended; ``add_totals`` ignores totals until then."""
         return now >= self._step_began_at + STEP_SECONDS
 
-    def take(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> OutcomeStep | None:
+    def add_totals(
+        self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float
+    ) -> OutcomeStep | None:
         """Record cumulative totals if a step has ended.
 
         Returns:
@@ -49,7 +51,7 @@
         self._steps.append(step)
         return step
 
-    def seen(self) -> list[OutcomeKey]:
+    def outcome_keys(self) -> list[OutcomeKey]:
         """Return the keys of all outcomes since the order."""
         return list(self._previous_totals)
 
--- a/src/hillstack/core/relay_choice.py
+++ b/src/hillstack/core/relay_choice.py
@@ -175,7 +175,10 @@
         return now >= self._unreachable_until.get(node_id, now)
 
     def _is_responsive(self, group: NodeGroup, node_id: str, now: float) -> bool:
-        """Return whether a node sent a datagram lately, or was chosen only lately."""
+        """Return whether a node sent a datagram, or was chosen, within ``SILENT_SECONDS``.
+
+        A chosen node that has sent nothing for that time is recorded as unreachable.
+        """
         if not self._is_reachable(node_id, now):
             return False
         chosen, since = self._chosen.get(group, (None, now))
--- a/src/hillstack/core/rollout_judge.py
+++ b/src/hillstack/core/rollout_judge.py
@@ -187,7 +187,7 @@
         """
         if self._verdict is Verdict.BAD:
             return self._verdict
-        step = self._steps.take(totals, now)
+        step = self._steps.add_totals(totals, now)
         if step is not None:
             self._score(step)
             self._verdict, self._reason = self._decide(now)
@@ -196,7 +196,7 @@
     def findings(self) -> list[RolloutFindings]:
         """Return the evidence against the version, strongest first."""
         found = [
-            _findings_of(group, trouble, score)
+            _describe_score(group, trouble, score)
             for (group, trouble), score in self._scores.items()
             if score.score > 0
         ]
@@ -211,12 +211,12 @@
             baseline = baseline_of(self._steps, self._target, key.route, key.busy)
             if baseline is None:
                 continue
-            for trouble, scored in _scored(new, baseline):
+            for trouble, scored in _scored_steps(new, baseline):
                 for group in _groups(key):
                     sums.setdefault((group, trouble), []).append(scored)
         for name, parts in sums.items():
             score = self._scores.setdefault(name, ChangeScore(BURST_STEPS, MEMORY_STEPS))
-            score.add(_joined(parts))
+            score.add(_sum_steps(parts))
         for name, score in self._scores.items():
             if name not in sums:
                 # A step without answers still counts towards the length of a burst.
@@ -252,11 +252,11 @@
         crashed, steps_ago = self._scores[ALL, Trouble.FAILED].worst_burst()
         if crashed < CRASH_ANSWERS or steps_ago < BURST_STEPS + RECOVERY_STEPS:
             return True
-        return score.score_beside(steps_ago) >= DOUBT_SCORE
+        return score.score_without_burst_at(steps_ago) >= DOUBT_SCORE
 
     def _missing_answers(self) -> str:
         """Return which answers are too few for the verdict good; empty if there are enough."""
-        routes = {key.route for key in self._steps.seen()}
+        routes = {key.route for key in self._steps.outcome_keys()}
         for route in sorted(routes):
             answered = self._answered(route=route)
             if self._has_requests(route) and answered < MIN_ANSWERED:
@@ -298,7 +298,7 @@
     return groups
 
 
-def _scored(new: OutcomeTotals, baseline: Baseline) -> list[tuple[Trouble, ScoredStep]]:
+def _scored_steps(new: OutcomeTotals, baseline: Baseline) -> list[tuple[Trouble, ScoredStep]]:
     """Return the scored answers of a step for each kind of problem."""
     failed = _scored_step(new.answered, new.failed, baseline.failed, BAD_FAILED_SHARE)
     timed = sum(new.delays)
@@ -324,7 +324,7 @@
     return ScoredStep(gain, answered, bad, answered * usual_share)
 
 
-def _joined(parts: list[ScoredStep]) -> ScoredStep:
+def _sum_steps(parts: list[ScoredStep]) -> ScoredStep:
     return ScoredStep(
         sum(part.gain for part in parts),
         sum(part.answered for part in parts),
@@ -333,7 +333,7 @@
     )
 
 
-def _findings_of(group: str, trouble: Trouble, score: ChangeScore) -> RolloutFindings:
+def _describe_score(group: str, trouble: Trouble, score: ChangeScore) -> RolloutFindings:
     steps = score.steps()
     return RolloutFindings(
         group,
--- a/src/hillstack/core/store_era.py
+++ b/src/hillstack/core/store_era.py
@@ -53,29 +53,31 @@
         for handler in self._on_new:
             handler(source)
 
-    def of_answer(self, told: int | None, asked_in: int, *, may_be_old: bool) -> int | None:
+    def of_answer(
+        self, reported: int | None, era_at_request: int, *, may_be_old: bool
+    ) -> int | None:
         """Return the era of an answer of the store; None if that era has ended.
 
         Args:
-            told: The era in the answer; None if the answer contains none.
-            asked_in: The known era when the request was sent.
+            reported: The era in the answer; None if the answer contains none.
+            era_at_request: The era known to this node when the request was sent.
             may_be_old: Whether the answer may show a state from before the request was sent.
         """
-        if told is None:
-            return self.current if asked_in == self.current else None
-        if told >= self.current:
-            self.hear(told, STORE)
-            return told
-        if may_be_old or asked_in < self.current:
+        if reported is None:
+            return self.current if era_at_request == self.current else None
+        if reported >= self.current:
+            self.hear(reported, STORE)
+            return reported
+        if may_be_old or era_at_request < self.current:
             return None
-        self._report_decreased(told)
+        self._report_decreased(reported)
         return self.current
 
-    def _report_decreased(self, told: int) -> None:
+    def _report_decreased(self, reported: int) -> None:
         """Report that the store's era decreased, which must never happen."""
-        if told == self._decreased_to:
+        if reported == self._decreased_to:
             return
-        self._decreased_to = told
-        logger.error("store era fell", extra={"era": told, "before": self.current})
+        self._decreased_to = reported
+        logger.error("store era fell", extra={"era": reported, "before": self.current})
         for handler in self._on_decreased:
             handler()
--- a/src/hillstack/core/tenant_limits.py
+++ b/src/hillstack/core/tenant_limits.py
@@ -26,13 +26,13 @@
         rate: Refill rate of the bucket per second, in its unit.
         burst: Capacity of the bucket, in its unit.
         unit: The unit.
-        plain_cost: Cost of a request without a known size; used only with the unit ``TOKENS``.
+        default_cost: Cost of a request without a known size; used only with the unit ``TOKENS``.
     """
 
     rate: float
     burst: float
     unit: LimitUnit = LimitUnit.REQUESTS
-    plain_cost: float = 1.0
+    default_cost: float = 1.0
 
     def cost(self, tokens: int | None) -> float:
         """Return the cost of a request in the unit of the limit.
@@ -43,7 +43,7 @@
         """
         if self.unit is LimitUnit.REQUESTS:
             return 1.0
-        return self.plain_cost if tokens is None else float(tokens)
+        return self.default_cost if tokens is None else float(tokens)
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/hillstack/core/token_buckets.py
+++ b/src/hillstack/core/token_buckets.py
@@ -156,7 +156,7 @@
         self._refill_time += seconds / self._node_count
         if is_first:
             self._starts.append((now, 1.0 / self._node_count))
-        if known is None or not self._counts(known, now):
+        if known is None or not self._is_contributing(known, now):
             self._counted_at = float("-inf")
         self._recount(now)
 
@@ -250,7 +250,9 @@
 
     def expire(self, limit_of: Callable[[str], TenantLimit | None], now: float) -> None:
         """Remove nodes that no longer contribute, and unused buckets that are full again."""
-        for node_id in [n for n, c in self._contributors.items() if not self._counts(c, now)]:
+        for node_id in [
+            n for n, c in self._contributors.items() if not self._is_contributing(c, now)
+        ]:
             del self._contributors[node_id]
         while self._starts and now - self._starts[0][0] > self.tolerance.window_seconds:
             self._starts.popleft()
@@ -269,14 +271,14 @@
         """Return the tokens in each bucket that is in use."""
         return {tenant: bucket.level for tenant, bucket in self._buckets.items()}
 
-    def _counts(self, contributor: _Contributor, now: float) -> bool:
+    def _is_contributing(self, contributor: _Contributor, now: float) -> bool:
         return now - contributor.heard_at <= CONTRIBUTOR_SECONDS
 
     def _recount(self, now: float) -> None:
         if now - self._counted_at < RECOUNT_SECONDS:
             return
         self._counted_at = now
-        count = sum(1 for c in self._contributors.values() if self._counts(c, now))
+        count = sum(1 for c in self._contributors.values() if self._is_contributing(c, now))
         self._share = min(1.0, count / self._node_count)
 
     def _needed(self, limit: TenantLimit, cost: float, rank: int) -> float:
--- a/src/hillstack/core/weights_rollout.py
+++ b/src/hillstack/core/weights_rollout.py
@@ -62,29 +62,31 @@
 
     def next_loads(self, view: RolloutView) -> list[Runner]:
         """Return the runners that should load now."""
-        staying = [runner for runner in view.runners if self._stays(runner, view)]
-        behind = [runner for runner in staying if self._is_behind(runner)]
+        available = [runner for runner in view.runners if self._is_available(runner, view)]
+        behind = [runner for runner in available if self._is_behind(runner)]
         waiting = [runner for runner in behind if runner.runner_id not in view.loading]
         due = [runner for runner in waiting if self._is_due(runner, view.now)]
         due.sort(key=lambda runner: self._order(runner, view.now))
-        return due[: max(0, self._room(staying, waiting, view))]
+        return due[: max(0, self._load_allowance(available, waiting, view))]
 
-    def _room(self, staying: Sequence[Runner], waiting: Sequence[Runner], view: RolloutView) -> int:
+    def _load_allowance(
+        self, available: Sequence[Runner], waiting: Sequence[Runner], view: RolloutView
+    ) -> int:
         """Return how many more runners may load now, so that enough live runners still serve."""
-        alive = [runner for runner in staying if view.now >= runner.suspected_until]
+        alive = [runner for runner in available if view.now >= runner.suspected_until]
         loading = sum(1 for runner in alive if runner.runner_id in view.loading)
         urgent = any(self._is_urgent(runner, view.now) for runner in waiting)
         share = URGENT_SHARE if urgent else CONCURRENT_SHARE
         most = max(1, int(len(alive) * share + 1e-9))
-        return min(most, self._pace(waiting, loading, view)) - loading
+        return min(most, self._required_loads(waiting, loading, view)) - loading
 
-    def _pace(self, waiting: Sequence[Runner], loading: int, view: RolloutView) -> int:
+    def _required_loads(self, waiting: Sequence[Runner], loading: int, view: RolloutView) -> int:
         """Return how many runners must load at a time to finish before the first deadline."""
         first = min((self._deadline(runner) for runner in waiting), default=math.inf)
         left = max(MIN_PACE_SECONDS, first - view.now - PACE_SAFETY_SECONDS)
         return max(1, math.ceil((len(waiting) + loading) * view.load_seconds / left - 0.1))
 
-    def _stays(self, runner: Runner, view: RolloutView) -> bool:
+    def _is_available(self, runner: Runner, view: RolloutView) -> bool:
         return not runner.leaves and runner.runner_id not in view.resting
 
     def _is_behind(self, runner: Runner) -> bool:
--- a/tests/fleet/fixed_look_judge.py
+++ b/tests/fleet/fixed_look_judge.py
@@ -35,7 +35,7 @@
         self._evaluations = 0
 
     def look(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
-        if self._steps.take(totals, now) is None:
+        if self._steps.add_totals(totals, now) is None:
             return Verdict.UNDECIDED
         self._evaluations += 1
         if self._evaluations % STEPS_PER_EVALUATION:
@@ -52,7 +52,7 @@
     def _groups(self) -> Iterator[Matches]:
         yield lambda key: True
         yield lambda key: key.busy
-        for route in {key.route for key in self._steps.seen()}:
+        for route in {key.route for key in self._steps.outcome_keys()}:
             yield lambda key, route=route: key.route == route  # type: ignore[misc]
             yield lambda key, route=route: key.route == route and key.busy  # type: ignore[misc]
 
@@ -72,7 +72,7 @@
         return median(own.delays) - median(others.delays) >= BAD_MEDIAN_BUCKETS
 
     def _is_missing(self) -> bool:
-        for route in {key.route for key in self._steps.seen()}:
+        for route in {key.route for key in self._steps.outcome_keys()}:
             own, others = self._sides(lambda key, route=route: key.route == route, None)  # type: ignore[misc]
             if own.answered + others.answered >= ROUTE_ANSWERS and own.answered < MIN_ANSWERED:
                 return True
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -129,7 +129,7 @@
     Mutation(
         "everything loads at once",
         "core/weights_rollout.py",
-        "return min(most, self._pace(waiting, loading, view)) - loading",
+        "return min(most, self._required_loads(waiting, loading, view)) - loading",
         "return 99",
     ),
     Mutation(
@@ -976,7 +976,7 @@
     Mutation(
         "answers of an earlier era count",
         "core/store_era.py",
-        "if may_be_old or asked_in < self.current:",
+        "if may_be_old or era_at_request < self.current:",
         "if False:",
     ),
     Mutation(
