--- a/src/hillstack/core/rollout.py
+++ b/src/hillstack/core/rollout.py
@@ -61,7 +61,7 @@
             return False
         verify_bundle(signed, self._root)
         if self._zone not in bundle.zones:
-            raise BundleError(f"does not name zone {self._zone}", step="adopt bundle")
+            raise BundleError(f"the bundle does not list zone {self._zone}", step="adopt bundle")
         self._check_descent(bundle)
         self._current = Adoption(signed, bundle, bundle.digest(), now)
         return True
@@ -71,8 +71,12 @@
             return
         current = self._current.bundle
         if bundle.deployment != current.deployment:
-            raise BundleError(f"is of deployment {bundle.deployment}", step="adopt bundle")
+            raise BundleError(
+                f"the bundle belongs to deployment {bundle.deployment}", step="adopt bundle"
+            )
         if bundle.signed_by_keyset < current.keyset_version:
-            raise BundleError("is signed by a keyset that was replaced", step="adopt bundle")
+            raise BundleError("the bundle is signed by a replaced keyset", step="adopt bundle")
         if bundle.version == current.version + 1 and bundle.parent_digest != self._current.digest:
-            raise BundleError("does not descend from the bundle in force", step="adopt bundle")
+            raise BundleError(
+                "the bundle does not descend from the bundle in force", step="adopt bundle"
+            )
--- a/src/hillstack/core/token_buckets.py
+++ b/src/hillstack/core/token_buckets.py
@@ -20,7 +20,8 @@
 
 from hillstack.core.tenant_limits import LimitTolerance, TenantLimit
 
-# A node contributes its time every half a second. After two lost messages it no longer counts.
+# A node contributes its time every half a second. After two lost messages it no longer counts as a
+# contributor.
 CONTRIBUTOR_SECONDS = 1.5
 # Interval between counts of the contributors: about ten counts within the time above.
 RECOUNT_SECONDS = 0.15
--- a/src/hillstack/core/token_leases.py
+++ b/src/hillstack/core/token_leases.py
@@ -48,7 +48,10 @@
         self._leases: dict[str, _Lease] = {}
 
     def hand_over(self, now: float) -> float:
-        """Return the time since the last contribution, and start counting from zero."""
+        """Return the time since the last contribution, limited to ``MAX_HANDED_SECONDS``.
+
+        The time counts as contributed from now on, even if the message is lost.
+        """
         seconds = min(MAX_HANDED_SECONDS, max(0.0, now - self._contributed_until))
         self._contributed_until = now
         return seconds
