--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -176,14 +176,14 @@
 
 
 @pytest.mark.parametrize(("delay", "target"), [(0.1, 0.6), (0.6, 0.6), (50.0, 0.0)])
-def test_what_may_be_in_time_or_has_no_objective_is_not_refused(
+def test_a_request_that_may_be_in_time_or_has_no_target_is_not_refused(
     delay: float, target: float
 ) -> None:
     assert overload_retry_after(delay, 0.1, target, 60.0) is None
 
 
 @pytest.mark.parametrize("target", [0.6, 0.0])
-def test_what_would_wait_until_its_deadline_is_refused(target: float) -> None:
+def test_a_request_that_would_wait_until_its_deadline_is_refused(target: float) -> None:
     assert overload_retry_after(0.5, 0.1, target, 0.4) is not None
 
 
--- a/tests/fleet/test_rollout_plan.py
+++ b/tests/fleet/test_rollout_plan.py
@@ -171,8 +171,8 @@
 
 
 def test_a_target_without_usable_runners_is_reverted_while_traffic_shifts() -> None:
-    gone = Places(0, 24, unusable_seconds=UNUSABLE_SECONDS)
-    assert next_stage(replace(SHIFTING_VIEW, places=gone)) is RolloutStage.REVERTED
+    unusable = Places(0, 24, unusable_seconds=UNUSABLE_SECONDS)
+    assert next_stage(replace(SHIFTING_VIEW, places=unusable)) is RolloutStage.REVERTED
 
 
 def test_a_target_that_is_briefly_unusable_is_not_reverted() -> None:
