--- a/src/hillstack/daemon/change_log.py
+++ b/src/hillstack/daemon/change_log.py
@@ -1,4 +1,4 @@
-"""What the store holds, in the order of its changes, so that a node can tell a peer what is new."""
+"""The latest change of each key of the store, ordered by revision, to answer peers' questions."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 from hillstack.core.store_revision import NO_REVISION, StoreRevision
 from hillstack.serving.store_events import ListedRollouts, StoreEvent
 
-# Removed keys are remembered while changes since before their removal may still be asked for. A
-# removal is a runner or a node that ends: this is more than a day of the largest deployment brings
-# between two questions of one peer, some seconds apart. Beyond it a peer is told all keys.
+# A removed key is remembered so that the removal can be sent to peers that still ask for changes
+# since an earlier revision. Keys are removed when runners or nodes stop. A peer asks every few
+# seconds, and on a whole day of the largest deployment fewer keys than this are removed between two
+# of its questions. A peer that asks from before the oldest remembered removal gets all keys.
 MAX_REMOVED_KEYS = 1_000
 
 
 @dataclass(frozen=True, slots=True)
 class StoredItem:
-    """An item of the store as its latest change left it.
+    """An item of the store after its latest change.
 
     Attributes:
-        revision: Revision of that change.
-        value: Its value; None if it was removed.
+        revision: Revision of the latest change.
+        value: The value; None if the key was removed.
     """
 
     key: str
@@ -31,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreChange:
-    """A change of the store, as it lies there and as the product reads it.
+    """A change of the store, as stored and as decoded.
 
     Attributes:
-        event: What it means; None for keys that mean nothing to the product.
+        event: The decoded event; None for keys that this software does not use.
     """
 
     item: StoredItem
@@ -43,13 +44,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedKeys:
-    """What a whole list of keys says.
+    """What can be read from the list of all keys of the store.
 
     Attributes:
-        runner_ids: The runners that are listed.
-        node_ids: The nodes that are listed.
-        duty_held: Whether some node holds the duty of ordering weights.
-        rollouts: What it says of rollouts of software.
+        runner_ids: The listed runners.
+        node_ids: The listed nodes.
+        duty_held: Whether some node holds the lease on the duty of ordering weights.
+        rollouts: The listed rollouts of software.
     """
 
     runner_ids: set[str]
@@ -60,12 +61,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangesSince:
-    """What has changed since a revision.
+    """The changes since a revision.
 
     Attributes:
-        items: The latest change of each key that changed, in the order of revisions.
-        revision: Up to where they go.
-        keys: All keys that exist, where removals since then are not remembered; else None.
+        items: The latest change of each changed key, ordered by revision.
+        revision: The revision up to which the changes are complete.
+        keys: All existing keys, if some removals since the revision are no longer remembered; else
+            None.
     """
 
     items: list[StoredItem]
@@ -77,19 +79,19 @@
     """The latest change of each key, oldest first.
 
     Attributes:
-        revision: Up to which revision all is known; ``NO_REVISION`` before the first reading of the
-            store. All items are of its era.
+        revision: The revision up to which all changes are included; ``NO_REVISION`` before the
+            first read of the store. All items belong to the era of this revision.
     """
 
     def __init__(self) -> None:
         self._items: OrderedDict[str, StoredItem] = OrderedDict()
         self._removed: OrderedDict[str, StoreRevision] = OrderedDict()
-        # Removals up to this revision are not remembered.
+        # Removals up to this revision are no longer remembered.
         self._removals_from = NO_REVISION
         self.revision = NO_REVISION
 
     def load(self, items: Iterable[StoredItem], revision: StoreRevision) -> None:
-        """Take over all that the store holds."""
+        """Replace the log by the whole content of the store."""
         self._items.clear()
         self._removed.clear()
         for item in sorted(items, key=lambda item: item.revision):
@@ -98,16 +100,16 @@
         self._removals_from = self.revision
 
     def take(self, items: Iterable[StoredItem], revision: StoreRevision) -> None:
-        """Take over changes, in the order of their revisions.
+        """Add changes, which must be ordered by revision.
 
-        All of them, whatever they say: what is news to this node may be known to the peer that it
-        is handed on to, and the other way round. An entry that was removed and written again with
-        the same content is news to whoever has heard of the removal.
+        A change is added even if it leaves the value as this node knows it, because a peer that
+        asks later may know another value: an entry that was removed and written again with the
+        same content is a change for each node that has seen the removal.
         """
         for item in items:
             known = self._items.get(item.key)
             if known is not None and known.revision > item.revision:
-                # A list of several pages went beyond its revision.
+                # The later pages of a paginated list can hold changes newer than its revision.
                 continue
             self._items.pop(item.key, None)
             self._removed.pop(item.key, None)
@@ -121,7 +123,7 @@
             self._removals_from = max(self._removals_from, removed_at)
 
     def retain(self, keys: Collection[str], revision: StoreRevision) -> None:
-        """Drop all keys that a whole list, as of a revision, does not have."""
+        """Remove all keys that are missing from a full key list read at a revision."""
         listed = set(keys)
         for key in [key for key in self._items if key not in listed]:
             del self._items[key]
@@ -129,7 +131,7 @@
         self._removals_from = max(self._removals_from, revision)
 
     def since(self, revision: StoreRevision) -> ChangesSince:
-        """Return what has changed since a revision."""
+        """Return the changes since a revision."""
         changed: list[StoredItem] = []
         for item in reversed(self._items.values()):
             if item.revision <= revision:
@@ -142,12 +144,12 @@
         return ChangesSince(changed, self.revision, keys)
 
     def differences(self, listed: Sequence[StoredItem], revision: StoreRevision) -> list[str]:
-        """Return the keys of which this log should know what a whole list of the store shows.
+        """Return the keys on which this log differs from a full list of the store.
 
         Args:
-            listed: All that the store held at ``revision``, or a little later. The log must have
-                gone as far as the latest of it.
-            revision: A key that was changed after it may be missing from the list rightly.
+            listed: All items of the store at ``revision`` or a little later. The log must have
+                reached the latest revision in the list.
+            revision: Revision of the list. A key that changed after it may rightly be missing.
         """
         found = [item.key for item in listed if self._has_missed(item, revision)]
         keys = {item.key for item in listed}
@@ -156,10 +158,10 @@
                 found.append(key)
         return found
 
-    def missed_of(self, items: Iterable[StoredItem]) -> list[str]:
-        """Return the keys of a peer's changes, removals among them, that this log is behind on.
+    def missed_among(self, items: Iterable[StoredItem]) -> list[str]:
+        """Return the keys for which a peer has a change or removal that this log has missed.
 
-        What the peer lacks says nothing: it may have missed it itself.
+        Keys that only this log has are not compared, since the peer may have missed them.
         """
         missed = []
         for item in items:
@@ -175,16 +177,16 @@
             return True
         return known.value is None and known.revision <= revision
 
-    def keys_beyond(self, listed: Iterable[str]) -> list[str]:
-        """Return the keys that exist, as far as is known, and that a whole list does not have."""
+    def keys_missing_from(self, listed: Iterable[str]) -> list[str]:
+        """Return the existing keys of this log that are missing from a full key list."""
         keys = set(listed)
         return [key for key in self._items if key not in keys and self.has(key)]
 
     def has(self, key: str) -> bool:
-        """Return whether a key exists, as far as is known."""
+        """Return whether a key exists according to this log."""
         known = self._items.get(key)
         return known is not None and known.value is not None
 
     def size(self) -> int:
-        """Return the number of keys that exist or are remembered as removed."""
+        """Return the number of keys, including the remembered removed ones."""
         return len(self._items)
--- a/src/hillstack/daemon/key_value.py
+++ b/src/hillstack/daemon/key_value.py
@@ -1,4 +1,4 @@
-"""Keys, leases and conditions of a key-value service, and what a duty lease needs of one."""
+"""Entries, writes and conditions of a key-value service, and the calls that a duty lease needs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """A write inside a transaction."""
+    """A write within a transaction; the key is bound to a lease if ``lease_id`` is not 0."""
 
     key: str
     value: bytes
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RevisionIs:
-    """Condition: the key was last changed at this revision, or does not exist (``NO_REVISION``)."""
+    """Condition: the key was last changed at this revision; ``NO_REVISION``: it does not exist."""
 
     key: str
     revision: StoreRevision
@@ -47,31 +47,31 @@
 
 
 class LeaseStore(Protocol):
-    """The calls that a lease on a duty needs; each raises ``PlatformError`` when it fails."""
+    """The calls that a duty lease needs; each raises ``PlatformError`` on failure."""
 
     @property
     def era(self) -> int:
-        """Rises when the service has come back with an older state: leases since are gone."""
+        """Counter of restores of the service to an older state, each of which loses newer leases."""
         ...
 
     async def get(self, key: str) -> Entry | None:
-        """Return a key's entry, or None."""
+        """Return a key's entry, or None if the key does not exist."""
         ...
 
     async def transact(
         self, conditions: Sequence[Condition], puts: Sequence[Put]
     ) -> StoreRevision | None:
-        """Write if all conditions hold; return the revision, or None if one does not."""
+        """Write if all conditions hold; return the new revision, or None if a condition fails."""
         ...
 
     async def grant_lease(self, ttl_seconds: float) -> int:
-        """Return the identifier of a new lease."""
+        """Create a lease and return its identifier."""
         ...
 
     async def keep_alive(self, lease_id: int) -> bool:
-        """Renew a lease; return False if it is over."""
+        """Renew a lease; return False if it has expired."""
         ...
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease; its keys go with it."""
+        """Revoke a lease, which deletes its keys."""
         ...
--- a/src/hillstack/daemon/node_registry.py
+++ b/src/hillstack/daemon/node_registry.py
@@ -1,12 +1,13 @@
-"""Takes nodes off the list in the store once their machines are gone for good.
+"""Removes the store entries of nodes whose machines were permanently removed.
 
-A node writes its entry at its first start and leaves it there when it stops: it mostly comes back.
-The relay of a zone, which hears of each of its nodes at least each second, removes the entry of one
-that it has not heard of for long. The removal holds only if the entry is still the one that it
-knows of: a node that has written it anew meanwhile stays. A node that lives and finds its entry
-gone, since nobody heard it for that long, writes it again (``StoreSync``).
+A node writes its entry at its first start and leaves it in the store when it stops, because it
+usually restarts. The relay of a zone receives a sign of life from each node of the zone at least
+once a second, and removes the entry of a node that has been silent for long. The removal is
+conditional on the entry's revision, so an entry that the node has rewritten meanwhile stays. A
+running node whose entry was removed, because its messages were lost for that long, writes the entry
+again (``StoreSync``).
 
-Until all have heard of a removal, retry budgets count the node on (``NodeDirectory``).
+Until all nodes know of a removal, retry budgets still count the node (``NodeDirectory``).
 """
 
 from __future__ import annotations
@@ -24,19 +25,21 @@
 
 logger = logging.getLogger(__name__)
 
-# Several times what a restart or a short cut takes. An entry that is removed too early costs one
-# write; one that stays costs each peer some datagrams a second, and a share of the retry budget.
-GONE_SECONDS = 30.0
+# Several times the duration of a restart or of a short network failure. An entry that is removed
+# too early costs one write; a stale entry costs each peer some datagrams per second and a share of
+# the retry budget.
+REMOVAL_SECONDS = 30.0
 CHECK_SECONDS = 5.0
-# A zone that has lost its power comes back whole: its entries are not all taken off meanwhile.
-MAX_REMOVALS_A_CHECK = 4
+# The nodes of a zone that has lost power all restart later, so their entries are not all removed
+# during the power cut.
+MAX_REMOVALS_PER_CHECK = 4
 
 
 class RegistryStore(Protocol):
-    """The call that the registry needs."""
+    """The call to the store that the registry needs."""
 
     async def remove_node(self, node_id: str, revision: StoreRevision) -> bool:
-        """Remove a node's entry if it has this revision; return whether it had.
+        """Remove a node's entry if it still has this revision; return whether it was removed.
 
         Raises ``PlatformError``.
         """
@@ -44,14 +47,14 @@
 
 
 class NodeRegistry:
-    """Removes the entries of nodes that are gone, while this node relays for its zone.
+    """Removes the entries of stopped nodes while this node is the relay of its zone.
 
     Args:
         store: The store.
-        state: What the node knows.
-        silent_nodes: Returns the nodes near this one that were not heard of for some seconds, and
-            nothing while this node is not the one to remove them.
-        clock: Monotonic seconds.
+        state: State of the node.
+        silent_nodes: Returns the nodes of this node's group from which nothing was received for a
+            number of seconds; empty while removing them is another node's task.
+        clock: Monotonic clock in seconds.
     """
 
     def __init__(
@@ -67,23 +70,26 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Look now and then until cancelled."""
+        """Check periodically until cancelled."""
         await self._state.start_gate.passed()
         while True:
             await asyncio.sleep(CHECK_SECONDS)
-            # With old knowledge this node may be the one that is cut off.
+            # If its state is stale, this node itself may be cut off from the network.
             if self._state.can_serve(self._clock()):
-                await self._remove_gone()
+                await self._remove_silent_nodes()
 
-    async def _remove_gone(self) -> None:
-        for node in self._silent_nodes(GONE_SECONDS)[:MAX_REMOVALS_A_CHECK]:
+    async def _remove_silent_nodes(self) -> None:
+        for node in self._silent_nodes(REMOVAL_SECONDS)[:MAX_REMOVALS_PER_CHECK]:
             fields: dict[str, object] = {
                 "listed_node": node.node_id,
-                "silent_seconds": GONE_SECONDS,
+                "silent_seconds": REMOVAL_SECONDS,
             }
             try:
                 removed = await self._store.remove_node(node.node_id, node.revision)
             except PlatformError as error:
                 logger.info("node not removed", extra=fields | error_fields(error))
                 return
-            logger.info("node removed" if removed else "node kept: it is back", extra=fields)
+            logger.info(
+                "node removed" if removed else "node not removed: its entry has changed",
+                extra=fields,
+            )
--- a/src/hillstack/daemon/notice_outbox.py
+++ b/src/hillstack/daemon/notice_outbox.py
@@ -1,4 +1,4 @@
-"""Collects what a node has to tell its peers, until it is sent."""
+"""Collects the changes that a node reports to its peers, until they are sent."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 from hillstack.messages.rollout_reports import RolloutReport
 from hillstack.messages.runner_ends import RunnerEndNotice
 
-# A datagram's worth of placements of some 150 bytes; what is beyond stays untold.
+# Placements of about 150 bytes each fill one datagram; further ones are not sent.
 MAX_PLACEMENTS = 40
-# Parts of 15 bytes each that fit a datagram of 1,400 bytes.
+# Parts of 15 bytes each; they fit into a datagram of 1,400 bytes.
 MAX_CACHE_PARTS = 80
-# Runners that leave at a time, of 20 bytes each; those beyond are told with a later heartbeat.
+# Leaving runners per notice, of 20 bytes each; further ones go with a later heartbeat.
 MAX_LEAVING = 16
-# Runners of which the limit has changed, of 30 bytes each; as those that leave.
+# Changed runner limits per notice, of 30 bytes each; further ones go with a later heartbeat.
 MAX_LIMITS = 16
-# A rack of runners that ends at once; what is beyond stays untold.
+# Crashed runners per notice: a rack of runners that fails at once. Further ones are not sent.
 MAX_RUNNER_ENDS = 16
 
 
 class NoticeOutbox:
-    """Changes that the peers have not been told yet; each collection is bounded.
+    """Changes that were not sent to the peers yet; each collection is bounded.
 
     Args:
-        node_id: This node.
-        incarnation: Differs from start to start.
+        node_id: Identifier of this node.
+        incarnation: Random number that differs for each start of the process.
     """
 
     def __init__(self, node_id: str, incarnation: int) -> None:
@@ -59,84 +59,84 @@
         self._store_era: int | None = None
 
     def add_placement(self, notice: PlacementNotice) -> None:
-        """Tell what was sent to a runner; beyond the bound it stays untold."""
+        """Report a prompt that was sent to a runner; dropped if the outbox is full."""
         if len(self._placements) < MAX_PLACEMENTS:
             self._placements.append(notice)
 
     def add_read(self, number: int) -> None:
-        """Tell that the prompt of a placement is read."""
+        """Report that the runner has processed the prompt of a placement; dropped if full."""
         if len(self._reads) < MAX_PLACEMENTS:
             self._reads.append(number)
 
     def add_load(self, runner: Runner) -> None:
-        """Tell the load that this node has on a runner when the notice is made."""
+        """Report this node's load on a runner, as of the moment at which the notice is built."""
         self._changed[runner.runner_id] = runner
 
     def add_weights(self, notice: WeightsNotice) -> None:
-        """Tell the latest phase of a runner."""
+        """Report the latest weights phase of a runner; replaces an unsent one."""
         self._weights[notice.runner_id] = notice
 
     def add_suspected(self, runner_id: str) -> None:
-        """Tell that a runner is silent."""
+        """Report that a runner does not respond."""
         self._suspected.append(runner_id)
 
     def add_restarted(self, runner_id: str) -> None:
-        """Tell that a runner's process has ended, and a later one of its name has started."""
+        """Report that a runner's process has ended and a new one has started under its name."""
         self._restarted.append(runner_id)
 
     def add_leaving(self, runner_id: str) -> None:
-        """Tell that a runner says that it leaves; beyond the bound it stays untold for now."""
+        """Report that a runner has announced that it leaves; dropped for now if full."""
         if len(self._leaving) < MAX_LEAVING and runner_id not in self._leaving:
             self._leaving.append(runner_id)
 
     def add_limit(self, notice: LimitNotice) -> None:
-        """Tell the latest that a runner says of its limit; beyond the bound it stays untold."""
+        """Report the latest limit that a runner has announced; dropped if the outbox is full."""
         if len(self._limits) < MAX_LIMITS or notice.runner_id in self._limits:
             self._limits[notice.runner_id] = notice
 
     def set_announcements(self, announcements: list[AnnouncementNotice]) -> None:
-        """Tell the versions that were named lately."""
+        """Report the recently announced weights versions."""
         self._announcements = announcements
 
     def add_cached(self, holder_id: str, entry: CacheEntry) -> None:
-        """Tell what a holder keeps of a part."""
+        """Report how many tokens of a prompt part a holder has cached."""
         parts = self._cache.setdefault((holder_id, entry.salt), {})
         parts[entry.part.part_id] = entry.part.tokens
 
     def add_cache_lost(self, holder_id: str) -> None:
-        """Tell that a holder has lost everything."""
+        """Report that a holder has lost its whole cache."""
         for key in [key for key in self._cache if key[0] == holder_id]:
             del self._cache[key]
         self._cache_lost.append(holder_id)
 
     def add_unavailable(self, address: str) -> None:
-        """Tell that a store of kept KV cache does not answer."""
+        """Report that a KV cache store does not answer."""
         self._unavailable.add(address)
 
     def add_runner_end(self, notice: RunnerEndNotice) -> None:
-        """Tell of a runner that ended; beyond the bound it stays untold."""
+        """Report the crash of a runner; dropped if the outbox is full."""
         if len(self._runner_ends) < MAX_RUNNER_ENDS:
             self._runner_ends.append(notice)
 
     def runner_end_only(self, ended: RunnerEndNotice) -> NodeNotice:
-        """Return a notice of one runner that ended."""
+        """Return a notice with only the crash of one runner."""
         return NodeNotice(PROTOCOL_VERSION, self._node_id, self._incarnation, runner_ends=[ended])
 
     def limits_only(self, limits: list[LimitNotice]) -> NodeNotice:
-        """Return a notice of limits of runners."""
-        told = limits[:MAX_LIMITS]
-        return NodeNotice(PROTOCOL_VERSION, self._node_id, self._incarnation, limits=told)
+        """Return a notice with only the limits of runners."""
+        sent = limits[:MAX_LIMITS]
+        return NodeNotice(PROTOCOL_VERSION, self._node_id, self._incarnation, limits=sent)
 
     def set_rollouts(self, reports: list[RolloutReport]) -> None:
-        """Tell what was seen of the rollouts that are under way."""
+        """Report the observations of the running rollouts."""
         self._rollouts = reports
 
     def set_store_era(self, era: int) -> None:
-        """Tell that the store is in an era that this node has just heard of."""
+        """Report an era of the store of which this node has just learned."""
         self._store_era = era
 
     def take(self) -> list[NodeNotice]:
-        """Return all that was collected, as one notice, or several where there is much."""
+        """Return and clear everything collected, as one notice or more if it does not fit."""
         chunks = list(_chunks(self._cache))
         first = NodeNotice(
             PROTOCOL_VERSION,
@@ -167,7 +167,7 @@
         return [first, *(self._cache_only(chunk) for chunk in chunks[1:])]
 
     def cache_of(self, holder_id: str, entries: Iterable[CacheEntry]) -> list[NodeNotice]:
-        """Return notices of what a holder keeps."""
+        """Return notices with the cached parts of a holder."""
         parts: dict[tuple[str, str], dict[str, int]] = {}
         for entry in entries:
             by_id = parts.setdefault((holder_id, entry.salt), {})
@@ -185,18 +185,18 @@
 def _chunks(
     collected: dict[tuple[str, str], dict[str, int]],
 ) -> Iterator[list[CacheNotice]]:
-    """Yield the notices of parts in groups that fit a datagram."""
+    """Yield the cache notices in groups that fit into a datagram."""
     group: list[CacheNotice] = []
-    room = MAX_CACHE_PARTS
+    free_parts = MAX_CACHE_PARTS
     for (holder_id, salt), parts in collected.items():
-        rest: Sequence[tuple[str, int]] = list(parts.items())
-        while rest:
-            group.append(CacheNotice(holder_id, salt, list(rest[:room])))
-            taken = min(room, len(rest))
-            rest = rest[room:]
-            room -= taken
-            if room == 0:
+        remaining: Sequence[tuple[str, int]] = list(parts.items())
+        while remaining:
+            group.append(CacheNotice(holder_id, salt, list(remaining[:free_parts])))
+            added = min(free_parts, len(remaining))
+            remaining = remaining[free_parts:]
+            free_parts -= added
+            if free_parts == 0:
                 yield group
-                group, room = [], MAX_CACHE_PARTS
+                group, free_parts = [], MAX_CACHE_PARTS
     if group:
         yield group
--- a/src/hillstack/daemon/store_check.py
+++ b/src/hillstack/daemon/store_check.py
@@ -113,7 +113,7 @@
             if await self._has_come_to(relayed.revision):
                 listed = [item for item in relayed.items if item.value is not None]
                 unknown = self._unknown(self._store.read_items(listed))
-                self._take_missed(self._log.missed_of(relayed.items) or unknown)
+                self._take_missed(self._log.missed_among(relayed.items) or unknown)
             return True
         return False
 
--- a/src/hillstack/daemon/store_sync.py
+++ b/src/hillstack/daemon/store_sync.py
@@ -487,7 +487,7 @@
         if before == NO_REVISION or before.era >= revision.era:
             return
         now = self._clock()
-        lost = self._log.keys_beyond(keys)
+        lost = self._log.keys_missing_from(keys)
         fields: dict[str, object] = {
             "before": str(before),
             "revision": str(revision),
--- a/tests/fleet/test_relays.py
+++ b/tests/fleet/test_relays.py
@@ -10,7 +10,7 @@
 from hillstack.core.node_directory import NodeDirectory, NodeEntry
 from hillstack.core.store_era import StoreEra
 from hillstack.daemon.change_log import StoredItem
-from hillstack.daemon.node_registry import GONE_SECONDS
+from hillstack.daemon.node_registry import REMOVAL_SECONDS
 from hillstack.daemon.store_check import CHECK_SECONDS, CHECK_SECONDS_A_KEY
 from hillstack.errors import CodecError
 from hillstack.messages.packing import pack, unpack
@@ -562,6 +562,6 @@
     network = NodeNetwork(count, 3)
     network.run(3.0)
     before = dict(network.store.items)
-    network.run(2.0 * GONE_SECONDS)
+    network.run(2.0 * REMOVAL_SECONDS)
     network.close()
     assert network.store.items == before
