--- a/src/hillstack/daemon/key_value.py
+++ b/src/hillstack/daemon/key_value.py
@@ -51,7 +51,7 @@
 
     @property
     def era(self) -> int:
-        """Counter of restores of the service to an older state, each of which loses newer leases."""
+        """Rises when the service is restored to an older state; newer leases are then lost."""
         ...
 
     async def get(self, key: str) -> Entry | None:
--- a/src/hillstack/daemon/notice_reader.py
+++ b/src/hillstack/daemon/notice_reader.py
@@ -1,4 +1,4 @@
-"""Takes over what peers tell: their words become this node's beliefs."""
+"""Applies the notices of peers to the state of this node."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 PlacementHandler = Callable[[str, PlacementNotice, float], None]
 ReadHandler = Callable[[str, int, float], None]
-# Node, its incarnation, what it tells, and when.
+# Arguments: node, its incarnation, its report, time of receipt.
 RolloutHandler = Callable[[str, int, RolloutReport, float], None]
 LimitHandler = Callable[[str], None]
 RunnerEndHandler = Callable[[str, RunnerEndNotice, float], None]
 
 
 class NoticeReader:
-    """Changes a node's state by what peers tell.
+    """Updates a node's state from the notices of its peers.
 
     Args:
-        state: What the node knows.
+        state: State of this node.
         zone: Zone of this node.
     """
 
@@ -52,24 +52,24 @@
         self._on_outdated_limit: LimitHandler = lambda _: None
 
     def handle_placements(self, on_placement: PlacementHandler, on_read: ReadHandler) -> None:
-        """Call handlers for each placement that a peer tells of, and when its prompt is read."""
+        """Call handlers for each placement of a peer, and when its prompt has been processed."""
         self._on_placement = on_placement
         self._on_read = on_read
 
     def handle_rollouts(self, handler: RolloutHandler) -> None:
-        """Call a handler for each report of a peer on a rollout of software."""
+        """Call a handler for each report of a peer on a software rollout."""
         self._on_rollout = handler
 
     def handle_runner_ends(self, handler: RunnerEndHandler) -> None:
-        """Call a handler for each runner that a peer saw end."""
+        """Call a handler for each runner crash that a peer reports."""
         self._on_runner_end = handler
 
     def handle_outdated_limits(self, handler: LimitHandler) -> None:
-        """Call a handler with each runner whose limit a peer tells though it has ended."""
+        """Call a handler with each runner for which a peer reports a limit that has ended."""
         self._on_outdated_limit = handler
 
     def take(self, notice: NodeNotice, now: float) -> None:
-        """Take over all that a peer says of others; its own loads are taken apart from it."""
+        """Apply a peer's notice except for its loads, which ``take_loads`` applies."""
         if not notice.is_news():
             return
         for weights in notice.weights:
@@ -107,7 +107,7 @@
                 self._on_rollout(notice.node_id, notice.incarnation, report, now)
 
     def take_loads(self, reporter: str, loads: Iterable[LoadNotice], now: float) -> None:
-        """Take over the loads that a peer has on runners."""
+        """Apply the loads that a peer has on runners."""
         pool = self._state.pool
         for notice in loads:
             runner = pool.get(notice.runner_id)
@@ -115,35 +115,39 @@
                 pool.note_peer_load(runner, reporter, notice.load(), now)
 
     def take_zone_loads(self, zone: str, loads: Iterable[LoadNotice], now: float) -> None:
-        """Take over the loads that all nodes of a zone together have on runners."""
+        """Apply the loads that all nodes of a zone together have on runners."""
         pool = self._state.pool
         reporter = f"zone {zone}"
-        is_own_zone = zone == self._zone
+        is_local_zone = zone == self._zone
         for notice in loads:
             runner = pool.get(notice.runner_id)
             if runner is None:
                 continue
             load = notice.load()
-            if is_own_zone and len(runner.attempts):
-                # This node's own load is part of its zone's, as of some ten milliseconds ago.
+            if is_local_zone and len(runner.attempts):
+                # The sum of the zone includes this node's load as of about ten milliseconds ago.
                 load = load.without(runner.attempts.load())
             pool.note_peer_load(runner, reporter, load, now)
 
     def _take_announcement(self, peer: str, entry: AnnouncementNotice, now: float) -> None:
-        """Take over that a version was named, before the store is asked again.
+        """Apply the announcement of a weights version before the next read of the store.
 
-        It was named after each moment up to which this node knows the store to have been without
-        it. When the peer takes it to be named would be late by the word's way.
+        The version was announced after the latest moment at which this node knows that the store
+        did not have it. The time of receipt at the peer is not used, since it is later than the
+        announcement by the delay of the message.
         """
         state = self._state
         if entry.version > state.versions.newest(entry.model):
-            revision = self._revision(entry)
+            revision = self._announced_revision(entry)
             named = WeightsNamed(entry.model, entry.version, revision)
             not_before = state.proofs.latest_before(revision)
             state.note_weights_named(named, not_before, peer, now)
 
-    def _revision(self, entry: AnnouncementNotice) -> StoreRevision:
-        """Return at which revision a version was named: of a peer without eras the earliest."""
+    def _announced_revision(self, entry: AnnouncementNotice) -> StoreRevision:
+        """Return the revision of an announcement.
+
+        If the peer runs a build without eras, the earliest known era is assumed.
+        """
         era = entry.store_era
         if era is None:
             era = self._state.proofs.earliest_era() or 0
--- a/src/hillstack/daemon/notice_relay.py
+++ b/src/hillstack/daemon/notice_relay.py
@@ -1,12 +1,12 @@
-"""Hands notices on: from the nodes of a zone to one another, and to and from the other zones.
+"""Forwards notices between the nodes of a zone, and to and from the other zones.
 
-Each node of a large deployment tells only the relay of its zone. The relay collects for a short
-time, adds up the loads, and sends one batch to each node of its zone and one to the relay of each
-other zone of its region, which hands it on to its own nodes. So a node takes some 20 datagrams a
-second whatever the number of nodes, and a word crosses to another zone once, not once for each of
-its nodes. Between regions see ``region_crossing``.
+In a large deployment each node sends its notices only to the relay of its zone. The relay collects
+them for a short time, adds up the loads, and sends one batch to each node of its zone and one to
+the relay of each other zone of its region, which forwards the batch to the nodes of that zone. So a
+node receives about 20 datagrams per second regardless of the number of nodes, and a notice crosses
+to another zone once, not once for each node there. For other regions see ``region_crossing``.
 
-Any node relays when it is asked to: ``RelayChoice`` says whom the others ask.
+Any node relays when it receives a report; ``RelayChoice`` selects the node that receives them.
 """
 
 from __future__ import annotations
@@ -26,26 +26,28 @@
 from hillstack.messages.relay_batches import NodeReport, RelayBatch
 from hillstack.serving.fleet_state import FleetState
 
-# A placement passes up to two relays. A tenth of the shortest objective of a first event seen in a
-# deployment (0.5 s) for each is late enough to batch most, and early enough to steer others. A node
-# takes a batch of its relay each time: at half of that, twice as many, each some half as costly.
+# A placement passes up to two relays. At each of them, a tenth of the shortest objective for a
+# first event seen in a deployment (0.5 s) is long enough to batch most notices and short enough for
+# other nodes to take them into account. Every node receives each batch of its relay: half of this
+# delay would double the number of batches, each at about half the cost.
 BATCH_SECONDS = 0.05
-# How often a node's sign of life is handed on where it has no news: a little sooner than a node at
-# rest sends one (0.8 s). Each costs all nodes of the zone as much as a word.
-ALIVE_INTERVAL_SECONDS = 0.7
-# A node that was asked to relay counts as a relay for that long: two repetitions of all loads.
+# Least interval between forwarded heartbeats of a node without updates, slightly less than that at
+# which an idle node sends them (0.8 s). Each costs all nodes of the zone as much as any notice.
+FORWARDED_HEARTBEAT_SECONDS = 0.7
+# A node that has received something to forward counts as a relay for this time, in which each node
+# sends all its loads twice.
 RELAYING_SECONDS = 2.0
 
 
 class NoticeRelay:
-    """Relays for the nodes of one zone.
+    """Relays notices for the nodes of one zone.
 
     Args:
-        state: What the node knows.
-        link: Where datagrams are sent.
-        choice: Who relays for the other zones.
+        state: State of this node.
+        link: Sends datagrams.
+        choice: Selects the relays of all zones.
         zone: Zone of this node.
-        clock: Monotonic seconds.
+        clock: Monotonic clock in seconds.
     """
 
     def __init__(
@@ -61,116 +63,124 @@
         self._choice = choice
         self._zone = zone
         self._clock = clock
-        self._near = RelayOutbox()
-        self._far = RelayOutbox()
+        self._zone_outbox = RelayOutbox()
+        self._remote_outbox = RelayOutbox()
         self._zone_loads: dict[str, ReportedLoads] = {}
         self._incarnations: dict[str, int] = {}
-        self._handed_on_at: dict[str, float] = {}
-        self._asked_at = float("-inf")
-        self._forgot_at = float("-inf")
+        self._forwarded_at: dict[str, float] = {}
+        self._received_at = float("-inf")
+        self._discarded_at = float("-inf")
         self._timer: asyncio.TimerHandle | None = None
 
     def take_report(self, report: NodeReport, now: float) -> list[LoadNotice]:
-        """Hand on what a node of this zone, or this node itself, tells.
+        """Forward a report of a node of this zone, or of this node itself.
 
         Returns:
-            The loads of the whole zone on the runners that the report names.
+            The loads of the whole zone on the runners in the report.
         """
-        self._asked_at = now
-        sums = [self._add_up(report.node_id, load, now) for load in report.loads]
+        self._received_at = now
+        sums = [self._sum_loads(report.node_id, load, now) for load in report.loads]
         for load in sums:
-            self._near.add_load(self._zone, load)
-            self._far.add_load(self._zone, load)
+            self._zone_outbox.add_load(self._zone, load)
+            self._remote_outbox.add_load(self._zone, load)
         if report.notice:
             self._add_notice(report, now)
-        # That a node is alive goes with the next words, or with the relay's own sign of life.
-        if self._far.holds_words() or report.is_urgent:
+        # A mere heartbeat waits for the next updates, or for the relay's own heartbeat.
+        if self._remote_outbox.has_updates() or report.is_urgent:
             self._schedule(urgent=report.is_urgent)
         return sums
 
     def take_batch(self, batch: RelayBatch, now: float, *, urgent: bool = False) -> None:
-        """Hand on to the nodes near this one what the relay of another zone tells.
+        """Forward a batch of the relay of another zone to the nodes of this zone.
 
         Args:
-            batch: What it tells.
+            batch: The batch.
             now: Time on the node's clock.
-            urgent: Whether there are words in it that were sent at once.
+            urgent: Whether it contains urgent notices, which are forwarded without delay.
         """
-        self._asked_at = now
+        self._received_at = now
         for zone_loads in batch.loads:
-            self._near.add_zone(zone_loads.zone)
+            self._zone_outbox.add_zone(zone_loads.zone)
             for load in zone_loads.loads:
-                self._near.add_load(zone_loads.zone, load)
-        self._near.notices.extend(batch.notices)
+                self._zone_outbox.add_load(zone_loads.zone, load)
+        self._zone_outbox.notices.extend(batch.notices)
         if batch.loads or batch.notices:
             self._schedule(urgent=urgent)
 
     def take_region_batch(self, batch: RelayBatch, now: float, *, urgent: bool) -> None:
-        """Hand on what another region tells: to the zones of this one at once, and to nodes near.
+        """Forward a batch of another region to the relays of this region, and to this zone.
 
-        It keeps the name of the region that it comes from, so it does not cross again.
+        The relays get the batch at once. It keeps the name of the region that it comes from, so
+        that it is not sent to other regions again.
         """
-        handed_on = msgspec.structs.replace(batch, relay_id=self._state.node_id, zone=self._zone)
-        self._link.send_to_all(DatagramKind.ZONE_BATCH, pack(handed_on), self._far_addresses(now))
+        forwarded = msgspec.structs.replace(batch, relay_id=self._state.node_id, zone=self._zone)
+        self._link.send_to_all(DatagramKind.ZONE_BATCH, pack(forwarded), self._relay_addresses(now))
         self.take_batch(batch, now, urgent=urgent)
 
     async def run(self) -> None:
-        """Send a sign of life now and then while this node relays, until cancelled."""
+        """Send heartbeats while this node relays, until cancelled."""
         await self._state.start_gate.passed()
         while True:
             now = self._clock()
             relaying = self._is_relaying(now)
-            if relaying and (self._near.is_silent(now) or self._far.is_silent(now)):
+            if relaying and (
+                self._zone_outbox.is_silent(now) or self._remote_outbox.is_silent(now)
+            ):
                 self.flush()
             await asyncio.sleep(HEARTBEAT_SECONDS / 2 if relaying else HEARTBEAT_SECONDS)
 
     def flush(self) -> None:
-        """Send everything that was collected, or a sign of life where nothing was for long."""
+        """Send everything that was collected, or a heartbeat if one is due."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         now = self._clock()
-        if self._near.is_due(now):
-            self._send(self._near, DatagramKind.FINAL_BATCH, self._near_addresses(), now)
-        # Whoever is asked hands words on; only the relay of its zone is listened for elsewhere.
-        if self._far.holds_words() or (self._far.is_due(now) and self.is_chosen(now)):
-            self._send(self._far, DatagramKind.ZONE_BATCH, self._far_addresses(now), now)
-        self._forget_idle_runners(now)
-
-    def _forget_idle_runners(self, now: float) -> None:
-        """Forget the sums of runners without load, once in a while: there may be thousands."""
-        if now - self._forgot_at < RELAYING_SECONDS:
+        if self._zone_outbox.is_due(now):
+            self._send(self._zone_outbox, DatagramKind.FINAL_BATCH, self._zone_addresses(), now)
+        # Any node forwards updates that it receives, but other zones expect heartbeats only from
+        # the chosen relay of this zone.
+        if self._remote_outbox.has_updates() or (
+            self._remote_outbox.is_due(now) and self.is_chosen(now)
+        ):
+            self._send(
+                self._remote_outbox, DatagramKind.ZONE_BATCH, self._relay_addresses(now), now
+            )
+        self._discard_idle_runners(now)
+
+    def _discard_idle_runners(self, now: float) -> None:
+        """Discard the sums of idle runners, of which there may be thousands, from time to time."""
+        if now - self._discarded_at < RELAYING_SECONDS:
             return
-        self._forgot_at = now
+        self._discarded_at = now
         self._zone_loads = {key: loads for key, loads in self._zone_loads.items() if len(loads)}
 
     def _is_relaying(self, now: float) -> bool:
-        if now - self._asked_at < RELAYING_SECONDS:
+        if now - self._received_at < RELAYING_SECONDS:
             return True
         return self.is_chosen(now)
 
     def is_chosen(self, now: float) -> bool:
-        """Return whether this node is the relay of its zone, as far as it knows."""
+        """Return whether this node considers itself the relay of its zone."""
         return self._choice.relay(self._zone, now) == self._state.node_id
 
-    def _add_up(self, node_id: str, load: LoadNotice, now: float) -> LoadNotice:
+    def _sum_loads(self, node_id: str, load: LoadNotice, now: float) -> LoadNotice:
         reported = self._zone_loads.setdefault(load.runner_id, ReportedLoads())
         reported.report(node_id, load.load(), now)
         return LoadNotice.of(load.runner_id, reported.total(now))
 
     def _add_notice(self, report: NodeReport, now: float) -> None:
-        """Hand on news to all, and that a node is alive to those near it, not with each load."""
+        """Collect updates for all zones, and heartbeats, at a limited rate, for this zone only."""
         is_news = report.is_news or self._is_new(report)
-        handed_on_at = self._handed_on_at.get(report.node_id, float("-inf"))
-        if not is_news and now - handed_on_at < ALIVE_INTERVAL_SECONDS:
+        forwarded_at = self._forwarded_at.get(report.node_id, float("-inf"))
+        if not is_news and now - forwarded_at < FORWARDED_HEARTBEAT_SECONDS:
             return
-        self._handed_on_at[report.node_id] = now
-        self._near.notices.append(report.notice)
+        self._forwarded_at[report.node_id] = now
+        self._zone_outbox.notices.append(report.notice)
         if is_news:
-            self._far.notices.append(report.notice)
+            self._remote_outbox.notices.append(report.notice)
 
     def _is_new(self, report: NodeReport) -> bool:
-        """Return whether a report is the first one of its sender's process."""
+        """Return whether a report is the first one from its sender's current process."""
         if self._incarnations.get(report.node_id) == report.incarnation:
             return False
         self._incarnations[report.node_id] = report.incarnation
@@ -183,11 +193,11 @@
         for batch in outgoing.batches(self._state.node_id, self._zone):
             self._link.send_to_all(kind, pack(batch), addresses)
 
-    def _near_addresses(self) -> list[str]:
+    def _zone_addresses(self) -> list[str]:
         nodes = self._state.nodes.of_zone(self._zone)
         return [node.address for node in nodes if node.node_id != self._state.node_id]
 
-    def _far_addresses(self, now: float) -> list[str]:
+    def _relay_addresses(self, now: float) -> list[str]:
         return [node.address for node in self._choice.relays_near(self._zone, now)]
 
     def _schedule(self, *, urgent: bool) -> None:
--- a/src/hillstack/daemon/peer_link.py
+++ b/src/hillstack/daemon/peer_link.py
@@ -1,4 +1,4 @@
-"""The datagram socket that all nodes have for one another; no message on it is acknowledged."""
+"""The datagram socket between nodes; delivery is not acknowledged."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 logger = logging.getLogger(__name__)
 
-# Parsed addresses that are kept: several times the nodes of the largest deployment aimed at.
-MAX_KNOWN_ADDRESSES = 8_192
+# Size of the cache of parsed addresses: several times the nodes of the largest planned deployment.
+MAX_PARSED_ADDRESSES = 8_192
 
 PayloadHandler = Callable[[bytes, str], None]
 
 
 class PeerLink(asyncio.DatagramProtocol):
-    """Sends datagrams to peers, and hands those that come to whoever handles their kind.
+    """Sends datagrams to peers, and passes received ones to the handler of their kind.
 
     Attributes:
-        dropped: Datagrams that were not sent since too many waited already.
+        dropped: Number of datagrams that were not sent because the send buffer was full.
     """
 
     def __init__(self) -> None:
@@ -34,14 +34,14 @@
         self.dropped = 0
 
     async def open(self, host: str, port: int) -> None:
-        """Begin to listen."""
+        """Bind the socket and start receiving."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
     def handle(self, kind: DatagramKind, handler: PayloadHandler) -> None:
-        """Call a handler with the payload, and the sender's IP number, of each datagram of a kind.
+        """Call a handler with the payload and the sender's IP address of each datagram of a kind.
 
-        The handler may raise ``CodecError``: the datagram is then dropped.
+        A datagram for which the handler raises ``CodecError`` is dropped.
         """
         self._handlers[kind] = handler
 
@@ -62,19 +62,19 @@
             transport.sendto(datagram, self._endpoint(address))
 
     def connection_made(self, transport: Any) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def pause_writing(self) -> None:
-        """Drop datagrams for now: they are hints, of which a newer one is worth more."""
+        """Drop datagrams while the send buffer is full, since later ones supersede them."""
         self._paused = True
 
     def resume_writing(self) -> None:
-        """Send again."""
+        """Resume sending."""
         self._paused = False
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Take a peer's datagram."""
+        """Pass a received datagram to its handler."""
         peer = str(addr[0])
         try:
             kind, payload = unwrap(data, peer)
@@ -85,23 +85,23 @@
             logger.debug("datagram dropped", extra={"peer": error.peer, "error": error.message})
 
     def error_received(self, exc: Exception) -> None:
-        """Note a refused datagram: the peer is not there, which its silence will show."""
+        """Log a send error; the silence of a missing peer is detected elsewhere."""
         logger.debug("datagram refused", extra={"error": str(exc)})
 
     def close(self) -> None:
-        """Stop listening."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
 
     def _drop(self) -> None:
         if self.dropped == 0:
-            logger.warning("datagrams dropped: the network does not take them")
+            logger.warning("datagrams dropped: send buffer is full")
         self.dropped += 1
 
     def _endpoint(self, address: str) -> tuple[str, int]:
-        known = self._endpoints.get(address)
-        if known is None:
-            if len(self._endpoints) >= MAX_KNOWN_ADDRESSES:
+        endpoint = self._endpoints.get(address)
+        if endpoint is None:
+            if len(self._endpoints) >= MAX_PARSED_ADDRESSES:
                 self._endpoints.clear()
-            known = self._endpoints[address] = split_address(address)
-        return known
+            endpoint = self._endpoints[address] = split_address(address)
+        return endpoint
--- a/src/hillstack/daemon/peer_transport.py
+++ b/src/hillstack/daemon/peer_transport.py
@@ -1,7 +1,7 @@
 """Transports between nodes: UDP for gossip, TCP for requests with answers.
 
-A TCP frame is 4 bytes of length and 8 bytes of request number, both big endian, and a frame of the
-codec. Answers carry the number of their request, so many requests share a connection.
+A TCP frame consists of a 4-byte length and an 8-byte request number, both big endian, and a frame
+of the codec. Answers carry the number of their request, so that requests can share a connection.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class GossipProtocol(asyncio.DatagramProtocol):
-    """Receives and sends gossip over UDP; what is not authentic is dropped.
+    """Receives and sends gossip over UDP; drops datagrams that fail authentication.
 
     Args:
         codec: Codec with the shared key.
@@ -42,12 +42,12 @@
         self.bytes_sent = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         # The selector loop's transport does not derive from DatagramTransport on Python 3.11.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Decode and hand over a datagram."""
+        """Decode a datagram and pass it to the handler."""
         peer = f"{addr[0]}:{addr[1]}"
         try:
             message = self._codec.decode(data, peer)
@@ -57,10 +57,10 @@
         self._handler(message, peer)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore errors of single datagrams: probes find out who is gone."""
+        """Ignore send errors; the membership probes detect failed nodes."""
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message; it may be lost."""
+        """Send a message without a delivery guarantee."""
         if self._transport is None or self._transport.is_closing():
             return
         frame = self._codec.encode(message)
--- a/src/hillstack/daemon/pending_answers.py
+++ b/src/hillstack/daemon/pending_answers.py
@@ -1,4 +1,4 @@
-"""Questions in datagrams that wait for their answers."""
+"""Matches datagram answers to the questions that are waiting for them."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class PendingAnswers(Generic[Answer]):
-    """Numbers questions, and hands each answer to whoever asked.
+    """Numbers questions and passes each answer to the caller that asked.
 
     Args:
-        timeout_seconds: How long an answer is waited for.
-        first_number: Where numbers begin.
+        timeout_seconds: Time after which a question fails.
+        first_number: Questions are numbered from the number after this one.
     """
 
     def __init__(self, timeout_seconds: float, first_number: int = 0) -> None:
@@ -23,10 +23,10 @@
         self._waiting: dict[int, asyncio.Future[Answer]] = {}
 
     async def ask(self, send: Callable[[int], None]) -> Answer | None:
-        """Return the answer to a question, or None if none came in time.
+        """Return the answer to a question, or None on timeout.
 
         Args:
-            send: Sends the question under a number, which comes back in the answer.
+            send: Sends the question with a number, which the answer repeats.
         """
         self._number += 1
         number = self._number
@@ -42,7 +42,7 @@
             del self._waiting[number]
 
     def take(self, number: int, answer: Answer) -> None:
-        """Hand over an answer, if anybody still waits for it."""
+        """Deliver an answer if a caller still waits for it."""
         waiting = self._waiting.get(number)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
--- a/src/hillstack/daemon/relay_outbox.py
+++ b/src/hillstack/daemon/relay_outbox.py
@@ -1,4 +1,4 @@
-"""What a relay has collected for one kind of receiver, until it is sent in batches."""
+"""Collects the loads and notices that a relay sends to one kind of receiver in batches."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from hillstack.messages.peer_notices import PROTOCOL_VERSION, LoadNotice
 from hillstack.messages.relay_batches import RelayBatch, ZoneLoads
 
-# What a relay of a zone without news sends, so that its nodes know that it is there.
+# A relay without updates sends an empty batch at this interval to show that it is running.
 HEARTBEAT_SECONDS = 0.3
-# After that time without a datagram one is due. A relay looks each half of a heartbeat: a datagram
-# that were due only after a whole one could be late by a half.
+# A heartbeat is due after this time without a datagram. A relay checks twice per heartbeat
+# interval, so a heartbeat that were due only after the whole interval could be late by half of it.
 DUE_SECONDS = 0.75 * HEARTBEAT_SECONDS
-# A jumbo frame of 9,000 bytes carries a batch whole; a larger datagram is split, and lost if any of
-# its pieces is.
+# A jumbo frame of 9,000 bytes holds a whole batch. A larger datagram is fragmented, and lost if any
+# fragment is lost.
 MAX_BATCH_BYTES = 8_000
-# Bytes of a batch that are not its entries, and of one load, as encoded at the longest names seen.
+# Encoded size of a batch without its entries, and of one load with the longest names seen.
 BATCH_OVERHEAD_BYTES = 200
 LOAD_BYTES = 40
 
 
 class RelayOutbox:
-    """What is collected for one kind of receiver.
+    """The unsent loads and notices for one kind of receiver.
 
     Attributes:
         loads: Loads by zone and runner.
         notices: Encoded notices.
-        sent_at: When something was last sent.
+        sent_at: When a batch was last sent.
 
     Args:
-        region: Region that the batches cross from; empty where they do not cross.
+        region: Region that sends the batches; empty if they do not leave their region.
     """
 
     def __init__(self, region: str = "") -> None:
@@ -39,37 +39,37 @@
         self.sent_at = float("-inf")
 
     def add_zone(self, zone: str) -> None:
-        """Tell that a zone was heard."""
+        """Report that a zone is alive."""
         self.loads.setdefault(zone, {})
 
     def add_load(self, zone: str, load: LoadNotice) -> None:
-        """Tell the load that a zone has on a runner; it replaces what is not sent yet."""
+        """Report the load that a zone has on a runner; replaces an unsent one."""
         self.loads.setdefault(zone, {})[load.runner_id] = load
 
     def is_due(self, now: float) -> bool:
-        """Return whether there is something to send, or nothing was sent for long."""
-        return self.holds_words() or self.is_silent(now)
+        """Return whether there is anything to send, or a heartbeat is due."""
+        return self.has_updates() or self.is_silent(now)
 
     def is_silent(self, now: float) -> bool:
-        """Return whether nothing was sent for so long that a sign of life is due."""
+        """Return whether a heartbeat is due because nothing was sent for a while."""
         return now - self.sent_at >= DUE_SECONDS
 
-    def holds_words(self) -> bool:
-        """Return whether there is something to send."""
+    def has_updates(self) -> bool:
+        """Return whether there are loads or notices to send."""
         return bool(self.loads or self.notices)
 
     def batches(self, relay_id: str, zone: str) -> Iterator[RelayBatch]:
-        """Yield the batches that hold everything; one at least, and empty the collection."""
+        """Clear the outbox and yield its content in batches, at least one."""
         loads, notices = self.loads, self.notices
         self.loads, self.notices = {}, []
         by_zone = [ZoneLoads(zone_name, list(by_id.values())) for zone_name, by_id in loads.items()]
         load_count = sum(len(by_id) for by_id in loads.values())
-        room = MAX_BATCH_BYTES - BATCH_OVERHEAD_BYTES - LOAD_BYTES * load_count
+        free_bytes = MAX_BATCH_BYTES - BATCH_OVERHEAD_BYTES - LOAD_BYTES * load_count
         group: list[bytes] = []
         for notice in notices:
-            if group and len(notice) > room:
+            if group and len(notice) > free_bytes:
                 yield RelayBatch(PROTOCOL_VERSION, relay_id, zone, by_zone, group, self._region)
-                group, by_zone, room = [], [], MAX_BATCH_BYTES - BATCH_OVERHEAD_BYTES
+                group, by_zone, free_bytes = [], [], MAX_BATCH_BYTES - BATCH_OVERHEAD_BYTES
             group.append(notice)
-            room -= len(notice)
+            free_bytes -= len(notice)
         yield RelayBatch(PROTOCOL_VERSION, relay_id, zone, by_zone, group, self._region)
--- a/src/hillstack/daemon/store_check.py
+++ b/src/hillstack/daemon/store_check.py
@@ -1,8 +1,8 @@
-"""Compares what a node knows of the store with a whole list of it, now and then.
+"""Periodically compares a node's copy of the store with a full list.
 
-Changes lead from one revision to the next, by way of several nodes, and entries are not written
-again while nothing changes: a change that is lost on the way, by whatever fault, would stay lost
-until all nodes start anew. A runner would get neither requests nor orders meanwhile.
+Changes are passed from node to node, and an unchanged entry is not written again. So a change that
+is lost on the way, through any fault, would be missing until all nodes restart. Until then, a
+runner whose entry was lost would receive neither requests nor orders to load weights.
 """
 
 from __future__ import annotations
@@ -22,37 +22,39 @@
 
 logger = logging.getLogger(__name__)
 
-# Less than newer weights are due in (8 s and more), so that a runner that was missed is still
-# ordered in time. A list that may be old costs a tenth of a call: 0.02 calls a second and node.
+# Less than the time in which newer weights must be loaded (8 s and more), so that a missed runner
+# is still ordered in time. A list that may be stale counts as a tenth of a call: 0.02 calls per
+# second and node.
 CHECK_SECONDS = 5.0
-# In a large deployment less often: 400 bytes a key each 0.1 s are 4 KB/s, a third of what a node
-# may spend on control (12 KB/s).
-CHECK_SECONDS_A_KEY = 0.1
-# Spreads the checks of nodes that started together.
-SPREAD = 0.5
-# How often a node looks whether it has come as far as the list: half of its looks at the changes.
+# A large deployment is checked less often: 400 bytes per key each 0.1 s are 4 KB/s, a third of a
+# node's budget for control traffic (12 KB/s).
+CHECK_SECONDS_PER_KEY = 0.1
+# Jitter, as a fraction of the pause, that spreads the checks of nodes that started together.
+JITTER = 0.5
+# How often a node checks whether it has reached the revision of the list: half as often as it polls
+# the store for changes.
 POLL_SECONDS = 0.25
-# A node that is not as far by then hears no changes, which its freshness shows.
-PATIENCE_SECONDS = 5.0
-# Where there are regions, a node compares with a peer of its region, and each so many times with
-# the store, whose lists would cross a narrow link to each node: .026 instead of .027 GB on a day of
-# 67 nodes. A removal that the peer does not remember is found that much later: its runner takes no
-# connections meanwhile.
-STORE_ROUNDS = 8
+# A node that has not reached the list by then receives no changes, which its freshness reports.
+CATCH_UP_SECONDS = 5.0
+# In a deployment with regions, only every eighth check reads the store and the others read a peer
+# of the node's region, because full lists of the store cross a narrow link between regions: .026
+# instead of .027 GB on a day of 67 nodes. A removal that the peer does not remember is found only
+# with the store, that much later; until then the removed runner accepts no connections.
+ROUNDS_PER_STORE_CHECK = 8
 
 
 class StoreCheck:
-    """The loop that compares.
+    """Compares the local copy of the store with full lists.
 
     Args:
         store: The store.
-        state: What the node knows.
-        log: The changes that it went through.
-        read_anew: Called when something is known otherwise.
-        clock: Monotonic seconds.
+        state: State of this node.
+        log: The changes that this node has applied.
+        read_anew: Called when a difference is found, to reload the whole store.
+        clock: Monotonic clock in seconds.
         rng: Source of randomness.
-        peers: Peers that are asked for what they know.
-        nearer_peers: Returns those that are nearer than the store; none by default.
+        peers: Asks peers for their changes.
+        nearer_peers: Returns the peers that are nearer than the store; none by default.
     """
 
     def __init__(
@@ -74,71 +76,73 @@
         self._rng = rng
         self._peers = peers
         self._nearer_peers = nearer_peers
-        # Nodes that start together do not all ask the store in the same round.
-        self._round = rng.randrange(STORE_ROUNDS)
+        # Random, so that nodes that start together do not all read the store in the same round.
+        self._round = rng.randrange(ROUNDS_PER_STORE_CHECK)
 
     async def run(self) -> None:
-        """Compare now and then until cancelled."""
+        """Compare periodically until cancelled."""
         while True:
             if self._log.revision == NO_REVISION:
-                # How long a list is, is known once the node has read one itself.
+                # The length of the list is missing until the node has read the store.
                 await asyncio.sleep(POLL_SECONDS)
                 continue
-            pause = max(CHECK_SECONDS, CHECK_SECONDS_A_KEY * self._log.size())
-            await asyncio.sleep(pause * (1 - SPREAD * self._rng.random()))
+            pause = max(CHECK_SECONDS, CHECK_SECONDS_PER_KEY * self._log.size())
+            await asyncio.sleep(pause * (1 - JITTER * self._rng.random()))
             try:
                 await self._check()
             except PlatformError as error:
                 logger.info("store not compared", extra=error_fields(error))
 
     async def _check(self) -> None:
-        self._round = (self._round + 1) % STORE_ROUNDS
+        self._round = (self._round + 1) % ROUNDS_PER_STORE_CHECK
         if self._round and await self._compare_with_peer():
             return
         snapshot = await self._store.snapshot(may_be_old=True)
-        if not await self._has_come_to(snapshot.latest):
+        if not await self._has_reached(snapshot.latest):
             return
         items = [change.item for change in snapshot.changes]
-        missed = self._log.differences(items, snapshot.revision) or self._unknown(snapshot.changes)
-        self._take_missed(missed)
+        missed = self._log.differences(items, snapshot.revision) or self._missing_from_pool(
+            snapshot.changes
+        )
+        self._reload_if_missed(missed)
 
     async def _compare_with_peer(self) -> bool:
-        """Compare with all that a nearer peer knows; return whether one told it."""
+        """Compare with the full list of a nearer peer; return whether a peer sent one."""
         if self._peers is None:
             return False
         for node_id in self._nearer_peers():
             relayed = await self._peers.ask(node_id, NO_REVISION)
             if relayed is None or not relayed.is_complete:
                 continue
-            if await self._has_come_to(relayed.revision):
+            if await self._has_reached(relayed.revision):
                 listed = [item for item in relayed.items if item.value is not None]
-                unknown = self._unknown(self._store.read_items(listed))
-                self._take_missed(self._log.missed_among(relayed.items) or unknown)
+                not_in_pool = self._missing_from_pool(self._store.read_items(listed))
+                self._reload_if_missed(self._log.missed_among(relayed.items) or not_in_pool)
             return True
         return False
 
-    def _take_missed(self, missed: Sequence[str]) -> None:
+    def _reload_if_missed(self, missed: Sequence[str]) -> None:
         if missed:
             fields = {"missed": missed[:MAX_KEYS_LOGGED], "count": len(missed)}
             logger.warning("changes of the store were missed", extra=fields)
             self._read_anew()
 
-    async def _has_come_to(self, revision: StoreRevision) -> bool:
-        """Wait until the node's own knowledge goes as far as a list; return whether it does."""
-        until = self._clock() + PATIENCE_SECONDS
+    async def _has_reached(self, revision: StoreRevision) -> bool:
+        """Wait until this node has reached the revision of a list; return False on timeout."""
+        until = self._clock() + CATCH_UP_SECONDS
         while self._log.revision < revision:
             if self._clock() >= until:
                 return False
             await asyncio.sleep(POLL_SECONDS)
         return True
 
-    def _unknown(self, changes: Iterable[StoreChange]) -> Sequence[str]:
-        """Return the keys of runners that are listed, also by the log, and yet not known."""
-        unknown = [
+    def _missing_from_pool(self, changes: Iterable[StoreChange]) -> Sequence[str]:
+        """Return the keys of runners that the list and the log hold but the runner pool lacks."""
+        not_in_pool = [
             change.item.key
             for change in changes
             if isinstance(change.event, RunnerListed)
             and self._state.pool.listed_as(change.event.entry.directory_name) is None
         ]
-        # One that has left since the list was read is no longer in the log either.
-        return [key for key in unknown if self._log.has(key)]
+        # A runner that was removed after the list was read is missing from the log too.
+        return [key for key in not_in_pool if self._log.has(key)]
--- a/src/hillstack/daemon/store_relay.py
+++ b/src/hillstack/daemon/store_relay.py
@@ -1,13 +1,13 @@
-"""Changes of the store by way of other nodes, so that few nodes ask the store itself.
+"""Reads changes of the store through other nodes, so that few nodes query the store itself.
 
-A node asks those of its group that come before it in the order of relays, and the store only where
-none of them has fresh knowledge. So one node of a group, the first that reaches the store, watches
-it for all.
+A node asks the nodes of its group that precede it in the relay order, and queries the store only if
+none of them has a fresh copy. So one node of a group, the first one that can reach the store,
+watches it for the whole group.
 
-How fresh the knowledge is passes on as an age, never as a time of day: the asker counts from the
-moment when it sent the question, adds the age that the answer tells, and so never takes what it
-knows for younger than it is, whatever is delayed, paused or lost on the way. In the same way it
-learns when versions of weights were named.
+Freshness is transmitted as an age, never as a time of day. The asking node subtracts the age in the
+answer from the moment at which it sent the question. So it never considers its copy fresher than it
+is, however long a message is delayed or a node paused. The announcement times of weights versions
+are transmitted in the same way.
 """
 
 from __future__ import annotations
@@ -34,28 +34,29 @@
 
 logger = logging.getLogger(__name__)
 
-# Some ten times the way there and back between zones, and a relay's longest work in between; a
-# question or an answer that is lost costs this once.
+# About ten times the round trip between zones, plus the longest time for which a relay is busy.
+# Each lost question or answer costs this time once.
 ANSWER_SECONDS = 0.15
-# A larger answer is not sent: the asker goes to the store. Some 16 pieces on an ordinary network,
-# of which none may be lost.
+# A larger answer is not sent, and the asking node queries the store instead. On an ordinary network
+# an answer of this size takes about 16 fragments, none of which may be lost.
 MAX_ANSWER_BYTES = 24_000
 MILLISECONDS = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedChanges:
-    """What a peer knows of the store beyond a revision.
+    """A peer's changes of the store since a revision.
 
     Attributes:
         items: The changes.
-        revision: Up to where they go.
-        proved_at: Up to when the peer knew all that was acknowledged, on this node's clock.
-        outage_ended_at: When the store came back for the peer; None if it was not away.
-        keys: All keys that exist, where removals are not among the changes; else None.
-        is_complete: Whether the changes are there.
-        named: Versions of weights that were named lately, as far as the peer knows when; the times
-            are on this node's clock and not too late.
+        revision: The revision up to which the changes are complete.
+        proved_at: The time, on this node's clock, up to which the peer has all acknowledged writes.
+        outage_ended_at: When the store last became reachable again for the peer; None if the peer
+            saw no outage.
+        keys: All existing keys, if the changes lack some removals; else None.
+        is_complete: Whether the answer contains the changes; otherwise only the times are valid.
+        named: Recently announced weights versions. Their times are on this node's clock and never
+            later than the announcement.
     """
 
     items: list[StoredItem]
@@ -68,13 +69,13 @@
 
 
 class StoreRelay:
-    """Asks peers for changes, and answers theirs from what this node knows.
+    """Asks peers for changes of the store, and answers their questions from the change log.
 
     Args:
-        state: What the node knows.
-        log: The changes that this node knows of.
-        link: Where datagrams are sent and come from.
-        clock: Monotonic seconds.
+        state: State of this node.
+        log: Changes that this node has applied.
+        link: Sends and receives datagrams.
+        clock: Monotonic clock in seconds.
     """
 
     def __init__(
@@ -89,11 +90,13 @@
         link.handle(DatagramKind.CHANGES_ANSWER, self._take_answer)
 
     async def ask(self, node_id: str, revision: StoreRevision) -> RelayedChanges | None:
-        """Return what a peer knows beyond a revision; None if it does not answer or knows nothing.
+        """Return a peer's changes since a revision.
+
+        Returns None if the peer does not answer or has not read the store yet.
 
         Args:
             node_id: The peer.
-            revision: Up to where this node knows all.
+            revision: The revision up to which this node has all changes.
         """
         node = self._state.nodes.get(node_id)
         if node is None:
@@ -111,13 +114,13 @@
             return None
         if answer.era is not None:
             self._state.store_era.hear(answer.era, node_id)
-        return _relayed(answer, asked_at)
+        return _relayed_changes(answer, asked_at)
 
     def _take_question(self, payload: bytes, peer: str) -> None:
         question = unpack(payload, ChangesQuestion, peer)
         node = self._state.nodes.get(question.node_id)
         if node is None:
-            # It is new, and this node will hear of it from the store.
+            # The asking node is new; this node has not yet read its entry from the store.
             return
         if question.era is not None:
             self._state.store_era.hear(question.era, question.node_id)
@@ -133,9 +136,10 @@
         self._pending.take(answer.number, answer)
 
     def _answer(self, question: ChangesQuestion) -> ChangesAnswer:
-        asked = self._asked(question)
+        asked = self._asked_revision(question)
         if question.era is None and asked > self._log.revision:
-            # An earlier build, before a restore: it would take no news for fresh knowledge.
+            # An earlier build that has not noticed a restore of the store: it would take an empty
+            # list of changes as proof that its copy is fresh.
             return self._ages_only(question)
         changes = self._log.since(asked)
         return ChangesAnswer(
@@ -151,8 +155,8 @@
             era=changes.revision.era,
         )
 
-    def _asked(self, question: ChangesQuestion) -> StoreRevision:
-        """Return the revision of a question; an earlier build follows some era without a name."""
+    def _asked_revision(self, question: ChangesQuestion) -> StoreRevision:
+        """Return the revision in a question; a question of an earlier build names no era."""
         era = self._log.revision.era if question.era is None else question.era
         return StoreRevision(era, question.revision)
 
@@ -172,25 +176,25 @@
     def _named(self) -> list[NamedWeights]:
         recent = self._state.versions.recent(self._clock())
         return [
-            NamedWeights(entry.model, entry.version, self._rounded_up(entry.acknowledged_after))
+            NamedWeights(entry.model, entry.version, self._elapsed_ms(entry.acknowledged_after))
             for entry in recent
         ]
 
     def _age_ms(self, moment: float) -> int | None:
-        """Return how long ago a moment was, rounded up; None if there was none."""
+        """Return the age of a moment in milliseconds, rounded up; None for negative infinity."""
         if moment == float("-inf"):
             return None
-        return self._rounded_up(moment)
+        return self._elapsed_ms(moment)
 
-    def _rounded_up(self, moment: float) -> int:
+    def _elapsed_ms(self, moment: float) -> int:
         return int((self._clock() - moment) * MILLISECONDS) + 1
 
 
-def _relayed(answer: ChangesAnswer, asked_at: float) -> RelayedChanges | None:
+def _relayed_changes(answer: ChangesAnswer, asked_at: float) -> RelayedChanges | None:
     if answer.age_ms is None:
         return None
     outage = answer.outage_age_ms
-    # Changes that may be of any era are as good as none.
+    # Without an era the changes can't be ordered, so the answer counts as incomplete.
     era = answer.era or 0
     return RelayedChanges(
         [
--- a/tests/fleet/test_region_relays.py
+++ b/tests/fleet/test_region_relays.py
@@ -14,7 +14,7 @@
 from hillstack.core.topology import Topology
 from hillstack.daemon.cache_follower import CacheEntry
 from hillstack.daemon.change_log import StoredItem
-from hillstack.daemon.store_check import CHECK_SECONDS_A_KEY
+from hillstack.daemon.store_check import CHECK_SECONDS_PER_KEY
 from hillstack.messages import peer_notices
 from hillstack.messages.datagrams import DatagramKind, unwrap
 from hillstack.messages.packing import unpack
@@ -422,7 +422,7 @@
 
 def test_lists_of_the_store_are_compared_within_the_region_mostly(network: NodeNetwork) -> None:
     network.store.cheap_calls.clear()
-    seconds = 8 * CHECK_SECONDS_A_KEY * len(network.store.items)
+    seconds = 8 * CHECK_SECONDS_PER_KEY * len(network.store.items)
     network.run(seconds)
     assert network.store.cheap_calls.total() <= 0.25 * NODES * 8
     assert network.store.cheap_calls.total() >= 2
@@ -436,7 +436,7 @@
     node.log._removed.pop(item.key)
     node.state.pool.unlist("i-1", 0.0, 0.0)
     network.store.calls.clear()
-    network.run(2.5 * CHECK_SECONDS_A_KEY * len(network.store.items))
+    network.run(2.5 * CHECK_SECONDS_PER_KEY * len(network.store.items))
     assert node.state.pool.get("i-1") is not None
     others = set(network.store.calls) - {node.node_id}
     assert len(others) <= 2
--- a/tests/fleet/test_relays.py
+++ b/tests/fleet/test_relays.py
@@ -11,7 +11,7 @@
 from hillstack.core.store_era import StoreEra
 from hillstack.daemon.change_log import StoredItem
 from hillstack.daemon.node_registry import REMOVAL_SECONDS
-from hillstack.daemon.store_check import CHECK_SECONDS, CHECK_SECONDS_A_KEY
+from hillstack.daemon.store_check import CHECK_SECONDS, CHECK_SECONDS_PER_KEY
 from hillstack.errors import CodecError
 from hillstack.messages.packing import pack, unpack
 from hillstack.messages.peer_notices import PROTOCOL_VERSION
@@ -52,7 +52,7 @@
 
 def check_seconds(network: NodeNetwork) -> float:
     """Return the longest time between two comparisons with the store."""
-    return max(CHECK_SECONDS, CHECK_SECONDS_A_KEY * len(network.store.items))
+    return max(CHECK_SECONDS, CHECK_SECONDS_PER_KEY * len(network.store.items))
 
 
 def forget_runner(node: SimulatedNode, runner_id: str) -> None:
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -355,7 +355,7 @@
     Mutation(
         "words do not cross to other zones",
         "daemon/notice_relay.py",
-        "self._far.notices.append(report.notice)",
+        "self._remote_outbox.notices.append(report.notice)",
         "pass",
     ),
     Mutation(
@@ -524,7 +524,7 @@
     Mutation(
         "the runners that are known are not compared with the list",
         "daemon/store_check.py",
-        " or self._unknown(snapshot.changes)",
+        " or self._missing_from_pool(\n            snapshot.changes\n        )",
         "",
     ),
     Mutation(
