--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -1,9 +1,10 @@
-"""Notices to and from the other nodes, in datagrams.
+"""Exchange of notices with the other nodes, in datagrams.
 
-What changes is collected for a short time and sent together. Large prefills are told sooner than
-loads: there are few of them, and each counts. A small deployment's nodes tell each other directly;
-in a larger one each tells the relay of its zone, which hands it on (``notice_relay``), and one of
-the relays of a region tells the other regions (``region_crossing``).
+Changes are collected for a short time and sent together. Large prefills are sent sooner than loads,
+since they are few and each has a noticeable effect. In a small deployment the nodes send notices to
+each other directly. In a larger one each node reports to the relay of its zone, which forwards the
+notices (``notice_relay``), and one relay of each region sends to the other regions
+(``region_crossing``).
 """
 
 from __future__ import annotations
@@ -52,37 +53,40 @@
 
 logger = logging.getLogger(__name__)
 
-# A tenth of the shortest objective of a first event seen in a deployment (0.5 s).
+# Collection time without relays: a tenth of the shortest objective for a first event that was seen
+# in a deployment (0.5 s).
 FLUSH_SECONDS = 0.05
-# By way of relays: a load is no part of the expected delay until a runner is full. At half of that
-# a node sends a quarter more datagrams, each of which costs a turn of its relay.
+# Collection time with relays. It can be longer, since a load adds no expected delay until its
+# runner is full. Half of it makes a node send a quarter more datagrams, each of which costs its
+# relay an iteration of the event loop.
 RELAYED_FLUSH_SECONDS = 0.1
-# Until a peer hears of a large prefill it sends there too. So it goes with what the node does in
-# the same turns of its loop only; the relay waits for those of others (``notice_relay``).
+# Until a peer receives the notice of a large prefill, it may choose the same runner. So the notice
+# waits only for changes from the same few iterations of the event loop; the relay of the zone
+# collects for longer (``notice_relay``).
 PLACEMENT_SECONDS = 0.005
-# Loads that are not repeated are forgotten after 2 s (``runner_load``): two may be lost.
+# Loads that are not repeated expire after 2 s (``runner_load``), so two repetitions may be lost.
 REFRESH_SECONDS = 0.8
 INCARNATION_BITS = 32
-# A peer that tells of a limit which has ended is told so, no more often than that.
-LIMIT_END_AGAIN_SECONDS = 0.25
+# If a peer reports a limit that has ended, this node corrects it, at most once in this time.
+LIMIT_CORRECTION_SECONDS = 0.25
 MILLISECONDS = 1_000.0
-# Of all nodes that know of a runner that leaves, few tell it again with a heartbeat: the others
-# hear it from them and keep quiet. Of 1,500 nodes some 20 do within the 0.1 s that a word takes; of
-# 7, one within a second.
-HINT_AGAIN_CHANCE = 0.125
+# Probability with which a node that knows of a leaving or limited runner repeats this with a
+# heartbeat. Nodes that receive a repetition don't send one themselves. Of 1,500 nodes about 20
+# repeat it within the 0.1 s that a notice takes to arrive; of 7 nodes, one does within a second.
+REPEAT_PROBABILITY = 0.125
 
 PeerHandler = Callable[[str], None]
 
 
 class PeerExchange:
-    """Sends and takes notices.
+    """Sends and receives notices.
 
     Args:
-        state: What the node knows.
-        link: Where datagrams are sent and come from.
-        choice: Who relays.
+        state: State of this node.
+        link: Sends and receives datagrams.
+        choice: Selects the relays.
         zone: Zone of this node.
-        clock: Monotonic seconds.
+        clock: Monotonic clock in seconds.
         rng: Source of randomness.
     """
 
@@ -105,43 +109,47 @@
         self._outbox = NoticeOutbox(state.node_id, self._incarnation)
         self._liveness = NodeLiveness(state.node_id, state.nodes, zone, clock())
         self._reader = NoticeReader(state, zone)
-        self._reader.handle_outdated_limits(self._limit_outdated)
+        self._reader.handle_outdated_limits(self._correct_limit)
         self._relay = NoticeRelay(state, link, choice, zone, clock)
         self._crossing = RegionCrossing(state, link, choice, zone, self._relay.is_chosen, clock)
         self._flush_handle: asyncio.TimerHandle | None = None
         self._placement_handle: asyncio.TimerHandle | None = None
         self._on_new_peer: list[PeerHandler] = []
-        link.handle(DatagramKind.NOTICE, self._take_notice)
-        link.handle(DatagramKind.REPORT, self._take_report)
-        link.handle(DatagramKind.ZONE_BATCH, self._take_zone_batch)
-        link.handle(DatagramKind.FINAL_BATCH, self._take_final_batch)
-        link.handle(DatagramKind.REGION_BATCH, self._take_region_batch)
-        # Each node asks the store at its own times: the first to hear of a version tells the rest.
-        state.handle_weights_named(self._tell_announcements)
-        state.store_era.handle_new(self._tell_store_era)
+        link.handle(DatagramKind.NOTICE, self._on_notice)
+        link.handle(DatagramKind.REPORT, self._on_report)
+        link.handle(DatagramKind.ZONE_BATCH, self._on_zone_batch)
+        link.handle(DatagramKind.FINAL_BATCH, self._on_final_batch)
+        link.handle(DatagramKind.REGION_BATCH, self._on_region_batch)
+        # Nodes poll the store at different times; the first to read a new version notifies the
+        # rest.
+        state.handle_weights_named(self._report_announcements)
+        state.store_era.handle_new(self._report_store_era)
 
     def handle_placements(self, on_placement: PlacementHandler, on_read: ReadHandler) -> None:
-        """Call handlers for each placement that a peer tells of, and when its prompt is read."""
+        """Call handlers for each placement of a peer, and when its prompt has been processed."""
         self._reader.handle_placements(on_placement, on_read)
 
     def handle_rollouts(self, handler: RolloutHandler) -> None:
-        """Call a handler for each report of a peer on a rollout of software."""
+        """Call a handler for each report of a peer on a software rollout."""
         self._reader.handle_rollouts(handler)
 
     def handle_runner_ends(self, handler: RunnerEndHandler) -> None:
-        """Call a handler for each runner that a peer saw end."""
+        """Call a handler for each runner crash that a peer reports."""
         self._reader.handle_runner_ends(handler)
 
     def handle_new_peers(self, handler: PeerHandler) -> None:
-        """Call a handler with the name of each peer whose process is heard for the first time."""
+        """Call a handler with a peer's name at the first notice from each process of the peer."""
         self._on_new_peer.append(handler)
 
     def live_zones(self) -> dict[str, str]:
-        """Return the zone of each node that is alive; the same object until that changes."""
+        """Return the zone of each live node; the same object until the result changes."""
         return self._liveness.zones(self._clock())
 
     def silent_nodes(self, seconds: float) -> list[NodeEntry]:
-        """Return the nodes that this node relays for and has not heard of for some seconds."""
+        """Return the nodes of this node's group from which nothing came for a number of seconds.
+
+        Empty unless this node is the first live node of the group in relay order.
+        """
         now = self._clock()
         group = self._choice.group(self._zone)
         order = self._state.nodes.relay_order(group)
@@ -151,14 +159,15 @@
         return self._liveness.silent_for(seconds, group, now)
 
     def placed(self, notice: PlacementNotice) -> None:
-        """Tell what was sent to a runner, soon: until then the peers send there too."""
+        """Report a prompt sent to a runner, soon: until then peers may choose the same runner."""
         self._outbox.add_placement(notice)
         self._schedule_placements()
 
     def prompt_read(self, number: int) -> None:
-        """Tell that the prompt of a placement is read: its parts can be fetched from there.
+        """Report that the prompt of a placement was processed, so its parts can be fetched.
 
-        It can wait: until then the parts count as kept, and only a fetch from there does not.
+        The report is not urgent: until it arrives, peers already consider the parts cached and
+        only don't fetch them from that runner.
         """
         self._outbox.add_read(number)
         self._schedule()
@@ -169,27 +178,27 @@
             self._placement_handle = loop.call_later(PLACEMENT_SECONDS, self.flush)
 
     def load_changed(self, runner: Runner) -> None:
-        """Tell the load that this node has on a runner."""
+        """Report the load that this node has on a runner."""
         self._outbox.add_load(runner)
         self._schedule()
 
     def cached(self, holder_id: str, entry: CacheEntry) -> None:
-        """Tell what a holder keeps of a part."""
+        """Report how many tokens of a prompt part a holder has cached."""
         self._outbox.add_cached(holder_id, entry)
         self._schedule()
 
     def cache_lost(self, holder_id: str) -> None:
-        """Tell that a holder has lost everything, at once."""
+        """Report at once that a holder has lost its whole cache."""
         self._outbox.add_cache_lost(holder_id)
         self.flush(urgent=True)
 
     def store_unavailable(self, address: str) -> None:
-        """Tell that a store of kept KV cache does not answer, at once."""
+        """Report at once that a KV cache store does not answer."""
         self._outbox.add_unavailable(address)
         self.flush(urgent=True)
 
     def send_cache(self, node_id: str, holder_id: str, entries: Sequence[CacheEntry]) -> None:
-        """Tell one peer what a holder keeps."""
+        """Send the cached parts of a holder to one peer."""
         node = self._state.nodes.get(node_id)
         if node is None:
             return
@@ -197,22 +206,22 @@
             self._link.send(DatagramKind.NOTICE, peer_notices.encode(notice), node.address)
 
     def weights(self, notice: WeightsNotice) -> None:
-        """Tell that a runner loads weights or serves a version, at once."""
+        """Report at once that a runner loads weights or serves a version."""
         self._outbox.add_weights(notice)
         self.flush(urgent=True)
 
     def suspected(self, runner: Runner) -> None:
-        """Tell that a runner is silent, at once."""
+        """Report at once that a runner does not respond."""
         self._outbox.add_suspected(runner.runner_id)
         self.flush(urgent=True)
 
     def restarted(self, runner_id: str) -> None:
-        """Tell that a runner's process has ended and its next one answers, at once."""
+        """Report at once that a runner's process has ended and a new one answers."""
         self._outbox.add_restarted(runner_id)
         self.flush(urgent=True)
 
     def leaving(self, runner: Runner) -> None:
-        """Tell that a runner says that it leaves, unless peers know: by another, or the store."""
+        """Report that a runner announced that it leaves, unless a peer or the store reported it."""
         now = self._clock()
         if runner.entry.draining or now < runner.hinted_at + HINT_AGAIN_SECONDS:
             return
@@ -221,15 +230,15 @@
         self._schedule()
 
     def limit_changed(self, runner_id: str, limit: RunnerLimit) -> None:
-        """Tell what a runner has told this node of its limit."""
+        """Report the limit that a runner has announced to this node."""
         limit.told_at = self._clock()
         self._outbox.add_limit(_limit_notice(runner_id, limit, limit.told_at))
         self._schedule()
 
     def welcome(self, node_id: str) -> None:
-        """Tell a node that has just started of the limits that runners have named to this one.
+        """Send a newly started node the limits that runners have announced to this node.
 
-        Before its first answer of such a runner it would send there what it likes.
+        Without them it would send such a runner any number of requests until the first answer.
         """
         node, now = self._state.nodes.get(node_id), self._clock()
         limits = self._state.pool.own_limits(now)
@@ -240,19 +249,19 @@
         )
         self._link.send(DatagramKind.NOTICE, peer_notices.encode(notice), node.address)
 
-    def _limit_outdated(self, runner_id: str) -> None:
+    def _correct_limit(self, runner_id: str) -> None:
         limit = self._state.pool.limit_state(runner_id)
-        if limit is None or self._clock() < limit.told_at + LIMIT_END_AGAIN_SECONDS:
+        if limit is None or self._clock() < limit.told_at + LIMIT_CORRECTION_SECONDS:
             return
         self.limit_changed(runner_id, limit)
 
     def runner_ended(self, notice: RunnerEndNotice) -> None:
-        """Tell of a runner that ended while it worked on requests of this node, at once."""
+        """Report at once that a runner crashed while it processed requests of this node."""
         self._outbox.add_runner_end(notice)
         self.flush(urgent=True)
 
     def send_runner_ends(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
-        """Tell one peer of runners that have ended, each in a datagram of its own."""
+        """Send runner crashes to one peer, each in its own datagram."""
         node = self._state.nodes.get(node_id)
         if node is None:
             return
@@ -261,7 +270,7 @@
             self._link.send(DatagramKind.NOTICE, peer_notices.encode(notice), node.address)
 
     def tell_rollouts(self, reports: list[RolloutReport], *, urgent: bool = False) -> None:
-        """Tell what this node saw of the rollouts that are under way, soon or at once."""
+        """Report what this node observed of the running rollouts, soon or at once."""
         self._outbox.set_rollouts(reports)
         if urgent:
             self.flush(urgent=True)
@@ -269,9 +278,9 @@
             self._schedule()
 
     async def run(self) -> None:
-        """Repeat this node's loads now and then, until cancelled.
+        """Repeat this node's loads periodically, until cancelled.
 
-        The first notice goes out as soon as the peers are known: they answer with what is cached.
+        The first notice is sent as soon as the peers are known; they answer with the cached parts.
         """
         await self._state.start_gate.passed()
         while True:
@@ -279,17 +288,17 @@
             await asyncio.sleep(REFRESH_SECONDS)
 
     async def relay(self) -> None:
-        """Send a sign of life now and then while this node relays, until cancelled."""
+        """Send heartbeats while this node relays, until cancelled."""
         if self._choice.topology.has_regions():
             await asyncio.gather(self._relay.run(), self._crossing.run())
         else:
             await self._relay.run()
 
     def repeat_loads(self) -> None:
-        """Send all of this node's loads again, since peers forget them after a while.
+        """Send all of this node's loads again, because they expire at the peers.
 
-        Versions that were named lately go with them, for peers that have just started. It is the
-        node's heartbeat too, so it is sent when there is nothing to tell.
+        The notice includes the recently announced weights versions, for peers that have just
+        started. It is also the node's heartbeat, so it is sent even if it is empty.
         """
         for runner in self._state.pool.all():
             if len(runner.attempts):
@@ -297,29 +306,30 @@
         self._outbox.set_announcements(self._recent_announcements())
         now = self._clock()
         for runner in self._state.pool.to_hint(now):
-            if self._tells_again(runner.hinted_at, now):
+            if self._should_repeat(runner.hinted_at, now):
                 self.leaving(runner)
         for runner_id, limit in self._state.pool.limits_to_tell(now).items():
-            if self._tells_again(limit.told_at, now):
+            if self._should_repeat(limit.told_at, now):
                 self.limit_changed(runner_id, limit)
         self.flush()
 
-    def _tells_again(self, told_at: float, now: float) -> bool:
-        """Return whether this node repeats what a runner has told it, before the word lapses.
+    def _should_repeat(self, told_at: float, now: float) -> bool:
+        """Return whether this node now repeats an announcement of a runner, before it expires.
 
-        Few nodes may know it: a runner that leaves or is limited answers few requests.
+        Only few nodes may have received the announcement itself, since a runner that leaves or is
+        limited answers few requests.
         """
         is_overdue = now >= told_at + 2 * HINT_AGAIN_SECONDS
-        return is_overdue or self._rng.random() < HINT_AGAIN_CHANCE
+        return is_overdue or self._rng.random() < REPEAT_PROBABILITY
 
     def flush(self, *, urgent: bool = False) -> None:
         """Send everything that was collected.
 
-        Loads go with placements that are due, though they might wait longer: each datagram that a
-        node does not send saves a turn of its own loop and one of its relay's.
+        Loads are sent along with placements that are due, though they could wait longer: each
+        datagram saved spares this node and its relay an iteration of their event loops.
 
         Args:
-            urgent: Whether a relay should hand it on at once.
+            urgent: Whether a relay should forward it at once.
         """
         for handle in (self._flush_handle, self._placement_handle):
             if handle is not None:
@@ -337,12 +347,12 @@
             for entry in named
         ]
 
-    def _tell_announcements(self) -> None:
+    def _report_announcements(self) -> None:
         self._outbox.set_announcements(self._recent_announcements())
         self.flush(urgent=True)
 
-    def _tell_store_era(self, told_by: str) -> None:
-        """Tell at once that the store was restored, if this node has it from the store itself."""
+    def _report_store_era(self, told_by: str) -> None:
+        """Report a restore of the store at once, if this node learned of it from the store."""
         if told_by != STORE:
             return
         self._outbox.set_store_era(self._state.store_era.current)
@@ -356,10 +366,10 @@
             addresses = [node.address for node in others]
             self._link.send_to_all(DatagramKind.NOTICE, payload, addresses)
             return
-        self._report(notice, urgent)
+        self._send_report(notice, urgent)
 
-    def _report(self, notice: NodeNotice, urgent: bool) -> None:
-        """Tell the relay of this node's zone, which may be this node itself."""
+    def _send_report(self, notice: NodeNotice, urgent: bool) -> None:
+        """Send a notice to the relay of this node's zone, which may be this node itself."""
         now = self._clock()
         rest = msgspec.structs.replace(notice, loads=[])
         report = NodeReport(
@@ -374,37 +384,37 @@
         relay = self._choice.relay(self._zone, now)
         node = self._state.nodes.get(relay) if relay is not None else None
         if node is None or node.node_id == self._state.node_id:
-            self._hand_on(report, rest, now)
+            self._forward(report, rest, now)
         else:
             payload = pack(report)
             self._link.send(DatagramKind.REPORT, payload, node.address)
 
-    def _hand_on(self, report: NodeReport, notice: NodeNotice, now: float) -> None:
+    def _forward(self, report: NodeReport, notice: NodeNotice, now: float) -> None:
         sums = self._relay.take_report(report, now)
         self._reader.take_zone_loads(self._zone, sums, now)
         if self._choice.topology.has_regions():
             self._crossing.take_loads(self._zone, sums, now)
             self._crossing.take_notice(notice, now)
 
-    def _take_notice(self, payload: bytes, peer: str) -> None:
+    def _on_notice(self, payload: bytes, peer: str) -> None:
         now = self._clock()
         notice = peer_notices.decode(payload, peer)
         self._choice.heard(notice.node_id, now)
         self._reader.take_loads(notice.node_id, notice.loads, now)
-        self._take_words(notice, now)
+        self._apply_notice(notice, now)
 
-    def _take_report(self, payload: bytes, peer: str) -> None:
+    def _on_report(self, payload: bytes, peer: str) -> None:
         now = self._clock()
         report = unpack(payload, NodeReport, peer)
         notice = peer_notices.decode(report.notice, peer)
         self._choice.heard(report.node_id, now)
-        self._hand_on(report, notice, now)
-        self._take_words(notice, now)
+        self._forward(report, notice, now)
+        self._apply_notice(notice, now)
 
-    def _take_zone_batch(self, payload: bytes, peer: str) -> None:
+    def _on_zone_batch(self, payload: bytes, peer: str) -> None:
         batch = unpack(payload, RelayBatch, peer)
         now = self._clock()
-        notices = self._take_batch(batch, peer)
+        notices = self._apply_batch(batch, peer)
         self._relay.take_batch(batch, now, urgent=_is_urgent(notices))
         self._choice.heard_zone(batch.zone, now)
         if batch.region or not self._choice.topology.has_regions():
@@ -414,18 +424,18 @@
         for notice in notices:
             self._crossing.take_notice(notice, now)
 
-    def _take_region_batch(self, payload: bytes, peer: str) -> None:
+    def _on_region_batch(self, payload: bytes, peer: str) -> None:
         batch = unpack(payload, RelayBatch, peer)
         now = self._clock()
         self._choice.heard_speaker(batch.region, batch.relay_id, now)
-        notices = self._take_batch(batch, peer)
+        notices = self._apply_batch(batch, peer)
         self._relay.take_region_batch(batch, now, urgent=_is_urgent(notices))
 
-    def _take_final_batch(self, payload: bytes, peer: str) -> None:
-        self._take_batch(unpack(payload, RelayBatch, peer), peer)
+    def _on_final_batch(self, payload: bytes, peer: str) -> None:
+        self._apply_batch(unpack(payload, RelayBatch, peer), peer)
 
-    def _take_batch(self, batch: RelayBatch, peer: str) -> list[NodeNotice]:
-        """Take over a batch; return the notices of others in it."""
+    def _apply_batch(self, batch: RelayBatch, peer: str) -> list[NodeNotice]:
+        """Apply a batch; return the notices of other nodes in it."""
         now = self._clock()
         self._choice.heard(batch.relay_id, now)
         self._liveness.heard_zone(batch.zone, now)
@@ -435,11 +445,11 @@
         decoded = (peer_notices.decode(encoded, peer) for encoded in batch.notices)
         notices = [notice for notice in decoded if notice.node_id != self._state.node_id]
         for notice in notices:
-            self._take_words(notice, now)
+            self._apply_notice(notice, now)
         return notices
 
-    def _take_words(self, notice: NodeNotice, now: float) -> None:
-        """Take over what a node says of others than itself, and that it is alive."""
+    def _apply_notice(self, notice: NodeNotice, now: float) -> None:
+        """Apply a notice except for its loads, and record that its sender is alive."""
         self._state.nodes.note_heard(notice.node_id, now)
         is_new = self._liveness.heard(notice.node_id, notice.incarnation, now)
         self._reader.take(notice, now)
--- a/src/hillstack/daemon/store_sync.py
+++ b/src/hillstack/daemon/store_sync.py
@@ -1,7 +1,7 @@
-"""Keeps a node's state in step with the store.
+"""Keeps a node's state synchronized with the store.
 
-A paced look at what has changed, by way of a peer that knows or at the store itself. Each answer
-brings the changes and proves how fresh the node's knowledge is.
+At a fixed interval the node polls for changes, at a peer with a fresh copy or at the store itself.
+Each answer contains the changes and proves how fresh the node's copy is.
 """
 
 from __future__ import annotations
@@ -31,37 +31,39 @@
 
 logger = logging.getLogger(__name__)
 
-# The store answers at the next change, which comes within some ten milliseconds where runners write
-# heartbeats; without any, a call a second proves freshness well within the bounds.
+# Long-poll timeout. The store answers at the next change, which comes within about ten milliseconds
+# while runners write heartbeats. Without changes, a call per second proves freshness well within
+# the bounds.
 WATCH_WAIT_SECONDS = 1.0
-# Between failed looks: the freshness bound of 4.5 s leaves room for ten.
+# Pause after a failed poll; ten failed polls fit into the freshness bound of 4.5 s.
 RETRY_SECONDS = 0.3
-# Spreads the looks of nodes that hear of a restore at once: the first ones answer the others.
+# Spreads the polls of nodes that are notified of a restore at once, so that the first ones can
+# answer the others.
 RESTORED_SPREAD_SECONDS = 0.2
-# Before everything is read anew; history that is gone stays gone.
+# Pause before the whole store is reloaded. It is short, since lost history does not come back.
 RELOAD_SECONDS = 0.05
-# Shorter failures are lost answers: no entry of a runner lapses in them (three heartbeats).
+# Shorter failures count as lost answers, not as an outage: a runner's entry expires only after
+# three heartbeats, which take longer.
 OUTAGE_SECONDS = 0.8
-# A node whose peers answer, but with old knowledge, asks the store itself no more often than that:
-# in an outage hundreds of nodes do, and each call costs.
+# Least interval between direct calls to the store while peers answer with stale copies. In an
+# outage hundreds of nodes make these calls, and each one costs.
 DIRECT_PAUSE_SECONDS = 1.0
-# Peers that are asked before the store; a third would add its wait to a change that is due.
+# Peers asked before the store. A third one would add its timeout to the delay of a change.
 MAX_PEERS_ASKED = 2
-# A peer's knowledge is fresh while it is younger than two looks and the wait for a slow answer.
-FRESH_LOOKS = 2.0
+# A peer's copy is fresh while it is younger than two poll intervals and the delay of a slow answer.
+FRESH_INTERVALS = 2.0
 FRESH_MARGIN_SECONDS = 0.5
-# Up to so many nodes are one group, whose first node watches the store for all: its answers take a
-# percent of a core then. In a larger deployment each zone is one, so that what is handed on stays
-# inside it.
+# Up to this number of nodes form one group, whose first node watches the store for all; its answers
+# then take a percent of a core. In a larger deployment each zone forms a group, so that relayed
+# changes stay inside the zone.
 SINGLE_GROUP_NODES = 64
 
-
-# Keys in one line of the log; their count is told besides.
+# Keys in one log line; the total count is logged too.
 MAX_KEYS_LOGGED = 20
 
 
 class SnapshotView(Protocol):
-    """Everything that the store holds."""
+    """The whole content of the store."""
 
     @property
     def changes(self) -> Sequence[StoreChange]:
@@ -70,12 +72,12 @@
 
     @property
     def revision(self) -> StoreRevision:
-        """Revision from which to watch."""
+        """Revision from which to poll for changes."""
         ...
 
     @property
     def latest(self) -> StoreRevision:
-        """Revision up to which some of the items may go."""
+        """The latest revision that any of the items may have."""
         ...
 
 
@@ -89,15 +91,15 @@
 
     @property
     def revision(self) -> StoreRevision:
-        """Revision up to which they go."""
+        """Revision up to which the changes are complete."""
         ...
 
 
 class Store(Protocol):
-    """The calls that the sync needs, and the reading of what they bring."""
+    """The calls that the sync needs, and the decoding of their results."""
 
     async def snapshot(self, *, may_be_old: bool = False) -> SnapshotView:
-        """Return everything; raises ``PlatformError``."""
+        """Return the whole content; raises ``PlatformError``."""
         ...
 
     async def changes(self, revision: StoreRevision, wait_seconds: float) -> ChangesView:
@@ -109,36 +111,36 @@
         ...
 
     def read_items(self, items: Iterable[StoredItem]) -> list[StoreChange]:
-        """Return what items mean; one that can't be read counts as removed."""
+        """Decode items; one that can't be decoded counts as removed."""
         ...
 
     def listed(self, keys: Iterable[str]) -> ListedKeys:
-        """Return what a whole list of keys says."""
+        """Decode the list of all keys."""
         ...
 
 
 class Peers(Protocol):
-    """Peers that may know what has changed."""
+    """The peers that can be asked for changes."""
 
     async def ask(self, node_id: str, revision: StoreRevision) -> RelayedChanges | None:
-        """Return what a peer knows beyond a revision, or None."""
+        """Return a peer's changes since a revision, or None without an answer."""
         ...
 
 
 class StoreSync:
-    """The loop that follows the store.
+    """The loop that polls for changes and applies them.
 
     Args:
         store: The store.
-        state: What the node knows.
-        log: Where changes are kept for peers that ask.
-        peers: Peers that are asked before the store.
-        choice: Which of them.
-        own: What the others need to know of this node.
-        interval: Seconds between two looks.
-        clock: Monotonic seconds.
+        state: State of this node.
+        log: Stores the changes for peers that ask.
+        peers: Asks peers for changes, before the store.
+        choice: Selects the peers.
+        own: Entry of this node in the store.
+        interval: Seconds between two polls.
+        clock: Monotonic clock in seconds.
         rng: Source of randomness.
-        is_behind: Whether this node is late with its own reading, so that it may miss answers.
+        is_behind: Returns whether this node's event loop lags, so that it may miss answers.
     """
 
     def __init__(
@@ -165,19 +167,19 @@
         self._interval = interval
         self._clock = clock
         self._rng = rng
-        self._lost_at: float | None = None
+        self._unreachable_since: float | None = None
         self._failed_at = 0.0
-        self._direct_from = float("-inf")
-        self._refusal: PlatformError | None = None
+        self._next_direct_at = float("-inf")
+        self._store_failure: PlatformError | None = None
         self._source: str | None = None
-        self._must_read_anew = False
+        self._must_reload = False
         self._history_lost = False
-        self._woken = asyncio.Event()
+        self._restore_event = asyncio.Event()
         state.store_era.handle_new(self._wake)
         state.store_era.handle_fallen(self.read_anew)
 
     async def run(self) -> None:
-        """Follow the store until cancelled."""
+        """Poll and apply changes until cancelled."""
         revision: StoreRevision | None = None
         while True:
             started_at = self._clock()
@@ -187,44 +189,44 @@
                 elif self._history_lost:
                     revision = await self._load_or_ask_peers(revision)
                 else:
-                    revision = await self._follow(revision)
+                    revision = await self._poll(revision)
                 revision = await self._join(revision)
-                await self._ask_when_named(revision)
+                await self._ask_announcement_times(revision)
             except HistoryLostError as error:
                 logger.info("store history lost", extra=error_fields(error))
                 self._history_lost = True
                 await asyncio.sleep(RELOAD_SECONDS)
                 continue
             except PlatformError as error:
-                if error is not self._refusal:
-                    self._lost(error)
+                if error is not self._store_failure:
+                    self._note_failure(error)
                 await asyncio.sleep(RETRY_SECONDS * (0.5 + self._rng.random()))
                 continue
             self._state.expire(self._clock())
-            await self._pause_until(started_at + self._interval)
+            await self._wait_until(started_at + self._interval)
 
-    async def _pause_until(self, moment: float) -> None:
-        """Wait for the next look, or until the store is heard to be another one."""
+    async def _wait_until(self, moment: float) -> None:
+        """Wait for the next poll, or until this node is notified of a restore of the store."""
         wait = max(0.0, moment - self._clock())
-        if not self._woken.is_set():
+        if not self._restore_event.is_set():
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait):
-                    await self._woken.wait()
-        if self._woken.is_set():
-            self._woken.clear()
+                    await self._restore_event.wait()
+        if self._restore_event.is_set():
+            self._restore_event.clear()
             await asyncio.sleep(RESTORED_SPREAD_SECONDS * self._rng.random())
 
     def _wake(self, told_by: str) -> None:
-        """Look soon at a store that has come back with an older state."""
-        self._woken.set()
+        """Poll soon, because the store was restored to an older state."""
+        self._restore_event.set()
 
     def read_anew(self) -> None:
-        """Read the whole store at the next look, since something is known otherwise."""
-        self._must_read_anew = True
+        """Reload the whole store at the next poll, because the local copy differs from it."""
+        self._must_reload = True
 
     async def _load(self, started_at: float) -> StoreRevision:
         snapshot = await self._store.snapshot()
-        self._regained()
+        self._note_success()
         items = [change.item for change in snapshot.changes]
         self._note_era(snapshot.revision, [item.key for item in items])
         self._apply(snapshot.changes)
@@ -236,8 +238,8 @@
         return snapshot.revision
 
     async def _try_load(self) -> StoreRevision | None:
-        """Read the whole store; a node that it turns away goes on with what its peers know."""
-        self._must_read_anew = False
+        """Reload the whole store; None if it refuses, so that the caller asks peers instead."""
+        self._must_reload = False
         try:
             return await self._load(self._clock())
         except PlatformError as error:
@@ -245,10 +247,10 @@
             return None
 
     async def _load_or_ask_peers(self, revision: StoreRevision) -> StoreRevision:
-        """Read the whole store, which lacks the changes that this node needs, or ask its peers.
+        """Reload the whole store, which no longer has the needed changes, or ask peers for them.
 
         Raises:
-            PlatformError: The store turns this node away, and no peer knows more.
+            PlatformError: The store can't be read, and no peer has newer changes.
         """
         try:
             loaded = await self._load(self._clock())
@@ -256,62 +258,63 @@
             relayed = await self._ask_others(self._groups()[-1], [], revision)
             if relayed is None:
                 raise
-            loaded = self._take_relayed(relayed, revision)
+            loaded = self._apply_relayed(relayed, revision)
         self._history_lost = False
         return loaded
 
     async def _join(self, revision: StoreRevision) -> StoreRevision:
-        """Let the other nodes know this one, and know them; return up to where it knows all.
+        """Write this node's entry if needed, and find the other nodes; return the new revision.
 
-        What it reads before its own entry is written lacks those that start with it. Of any two
-        nodes the one that is listed later finds the other if it reads after that, and is heard.
+        A read of the store from before this node's entry was written can lack nodes that start at
+        the same time. Of any two nodes, the one whose entry is written later finds the other if it
+        reads the store after that, and then sends its notices to the other.
         """
         await self._announce_if_missing()
         own = self._state.nodes.get(self._state.node_id)
         if self._state.peers_known or own is None:
             return revision
         if revision < own.revision:
-            revision = await self._look_again(revision)
+            revision = await self._poll_again(revision)
         if revision >= own.revision:
             self._state.note_peers_known(self._clock())
         return revision
 
     async def _announce_if_missing(self) -> None:
-        """Write this node's entry if it is not listed, or was taken off the list."""
+        """Write this node's entry if it is missing from the store, differs or was removed."""
         known = self._state.nodes.get(self._state.node_id)
         if known is not None and known.is_same_but_revision(self._own):
             return
         own = self._own
         revision = await self._store.announce_node(own)
-        # Known at once: the change itself comes back only with a later look.
+        # Applied at once, because the change itself is returned only by a later poll.
         listed = NodeListed(own.node_id, own.address, own.zone, revision, own.link_megabits)
         self._state.apply(listed, self._clock())
 
-    async def _follow(self, revision: StoreRevision) -> StoreRevision:
-        """Take over what has changed, from the first peer with fresh knowledge or the store."""
-        if self._must_read_anew:
+    async def _poll(self, revision: StoreRevision) -> StoreRevision:
+        """Apply the changes from the first peer with a fresh copy, or from the store."""
+        if self._must_reload:
             loaded = await self._try_load()
             if loaded is not None:
                 return loaded
         groups = self._groups()
-        was_known = self._refusal is None
+        had_no_failure = self._store_failure is None
         asked = self._peers_before_this(groups)
         relayed = await self._ask_peers(asked, revision)
         if relayed is not None:
-            return self._take_relayed(relayed, revision)
+            return self._apply_relayed(relayed, revision)
         failure = await self._try_store(revision, may_pause=len(self._state.nodes) > 1)
         if isinstance(failure, StoreRevision):
             return failure
-        # The store turns this node away: it may serve others.
+        # The store refuses this node, but may serve others.
         relayed = await self._ask_others(groups[-1], asked, revision)
         if relayed is not None:
-            return self._take_relayed(relayed, revision)
-        if was_known and isinstance(failure, PlatformOutcomeUnknownError):
-            return await self._look_again(revision)
+            return self._apply_relayed(relayed, revision)
+        if had_no_failure and isinstance(failure, PlatformOutcomeUnknownError):
+            return await self._poll_again(revision)
         raise failure
 
     def nearer_peers(self) -> list[str]:
-        """Return the peers that may be asked in the place of a store in another region."""
+        """Return the peers that may be asked instead of a store in another region."""
         return self._peers_before_this(self._groups()) if self._spans_regions() else []
 
     def _spans_regions(self) -> bool:
@@ -320,7 +323,7 @@
     def _groups(self) -> list[NodeGroup]:
         """Return the groups in which this node looks for a peer to ask, the nearest first.
 
-        Where there are regions, the changes of the store cross to each of them once.
+        In a deployment with regions, the changes of the store are sent to each region once.
         """
         if self._spans_regions():
             region = self._choice.region_group(self._choice.topology.region)
@@ -330,33 +333,34 @@
         return [None if len(self._state.nodes) <= SINGLE_GROUP_NODES else self._own.zone]
 
     def _peers_before_this(self, groups: list[NodeGroup]) -> list[str]:
-        """Return the first nodes of the nearest group in which any come before this one."""
+        """Return the first nodes of the nearest group that has nodes before this one."""
         now = self._clock()
         before = (self._choice.before_this(group, now) for group in groups)
         return next((nodes[:MAX_PEERS_ASKED] for nodes in before if nodes), [])
 
-    async def _look_again(self, revision: StoreRevision) -> StoreRevision:
-        """Look at once after a first look without an answer, and without waiting for a change.
+    async def _poll_again(self, revision: StoreRevision) -> StoreRevision:
+        """Poll again at once, without waiting for a change, after a first poll without an answer.
 
-        Its connection may have gone silent while new ones work. This answer comes over a new one
-        and proves freshness right away. With looks a second apart, knowledge grows 4.2 s old where
-        a pause comes first, 3.7 s at most without one; the shortest bound seen is 4.5 s.
+        The connection of the first poll may be broken while new ones work. The second poll uses a
+        new connection and proves freshness right away. With a poll each second, the copy becomes
+        4.2 s old if there is a pause before the second poll, and 3.7 s at most without one; the
+        shortest freshness bound seen is 4.5 s.
         """
-        revision = await self._follow_store(revision, wait_seconds=0.0)
-        self._refusal = None
+        revision = await self._poll_store(revision, wait_seconds=0.0)
+        self._store_failure = None
         return revision
 
     async def _ask_others(
         self, group: NodeGroup, asked: list[str], revision: StoreRevision
     ) -> RelayedChanges | None:
-        """Return what a few nodes of a group say that were not asked before; None without one."""
+        """Ask a few nodes of a group that were not asked yet; return the first fresh answer."""
         usable = self._choice.others(group, self._clock())
         others = [node for node in usable if node not in asked]
         chosen = self._rng.sample(others, min(MAX_PEERS_ASKED, len(others)))
         return await self._ask_peers(self._with_last_source(chosen, others), revision)
 
     def _with_last_source(self, chosen: list[str], others: list[str]) -> list[str]:
-        """Return the peers to ask, the one that helped the last time first."""
+        """Return the peers to ask, first of all the last one that gave a fresh answer."""
         if self._source is None or self._source not in others:
             return chosen
         return [self._source, *(node for node in chosen if node != self._source)]
@@ -364,7 +368,7 @@
     async def _ask_peers(
         self, node_ids: Iterable[str], revision: StoreRevision
     ) -> RelayedChanges | None:
-        """Return what the first of several peers with fresh knowledge says; None without one."""
+        """Return the answer of the first peer with a fresh copy; None if no peer has one."""
         for node_id in node_ids:
             relayed = await self._peers.ask(node_id, revision)
             if relayed is None:
@@ -374,18 +378,19 @@
                 return relayed
         return None
 
-    def _take_named(self, relayed: RelayedChanges, node_id: str) -> None:
-        """Take over when versions of weights were named, of those that are known here."""
+    def _apply_announcement_times(self, relayed: RelayedChanges, node_id: str) -> None:
+        """Apply a peer's announcement times of the weights versions that this node knows."""
         now = self._clock()
         for named in relayed.named:
             self._state.narrow_weights_named(named, node_id, now)
 
-    async def _ask_when_named(self, revision: StoreRevision) -> None:
-        """Ask peers when versions were named that this node has found at its start.
+    async def _ask_announcement_times(self, revision: StoreRevision) -> None:
+        """Ask peers when the weights versions were announced that this node found at its start.
 
-        They may have been named long ago, for all it knows: without an answer all runners with
-        older weights are too old once it has run for a while, though its peers use them on. Nodes
-        that follow peers are told anyway; the first one of a group asks nobody else.
+        This node can't tell how long ago that was. Without an answer, it would after a while
+        consider all runners with older weights outdated, though its peers still use them. Nodes
+        that poll peers get the times with each answer, but the first node of a group polls the
+        store only.
         """
         if not self._state.versions.lacks_naming(self._clock()):
             return
@@ -393,40 +398,41 @@
         for node_id in self._rng.sample(others, min(MAX_PEERS_ASKED, len(others))):
             relayed = await self._peers.ask(node_id, revision)
             if relayed is not None:
-                self._take_named(relayed, node_id)
+                self._apply_announcement_times(relayed, node_id)
 
     async def _try_store(
         self, revision: StoreRevision, *, may_pause: bool
     ) -> StoreRevision | PlatformError:
-        """Return the new revision, or why the store could not be asked now.
+        """Poll the store; return the new revision, or the reason why the store can't be polled.
 
         Args:
-            revision: Up to where this node knows all.
-            may_pause: Whether the last failure may stand for a while, since peers are asked too.
+            revision: The revision up to which this node has all changes.
+            may_pause: Whether the last failure may be returned again for a while without a call,
+                because peers are asked too.
         """
-        if may_pause and self._refusal is not None and self._clock() < self._direct_from:
-            return self._refusal
+        if may_pause and self._store_failure is not None and self._clock() < self._next_direct_at:
+            return self._store_failure
         try:
-            revision = await self._follow_store(revision)
+            revision = await self._poll_store(revision)
         except HistoryLostError:
             raise
         except PlatformError as error:
             pause = DIRECT_PAUSE_SECONDS * (0.5 + self._rng.random())
-            self._direct_from = self._clock() + pause
-            self._refusal = error
-            self._lost(error)
+            self._next_direct_at = self._clock() + pause
+            self._store_failure = error
+            self._note_failure(error)
             return error
-        self._refusal = None
+        self._store_failure = None
         return revision
 
-    async def _follow_store(
+    async def _poll_store(
         self, revision: StoreRevision, wait_seconds: float = WATCH_WAIT_SECONDS
     ) -> StoreRevision:
         started_at = self._clock()
         if revision.era < self._state.store_era.current:
             raise HistoryLostError(f"restored since {revision}", step="watch")
         changes = await self._store.changes(revision, wait_seconds)
-        self._regained()
+        self._note_success()
         self._note_source(None)
         self._apply(changes.changes)
         self._log.take([change.item for change in changes.changes], changes.revision)
@@ -434,17 +440,17 @@
         return changes.revision
 
     def _is_fresh(self, relayed: RelayedChanges) -> bool:
-        """Return whether a peer's knowledge is of the store as it stands, and young."""
+        """Return whether a peer's copy belongs to the store's current era and is recent."""
         if relayed.revision.era < self._state.store_era.current:
             return False
         return self._clock() - relayed.proved_at <= self._fresh_seconds()
 
     def _fresh_seconds(self) -> float:
-        return FRESH_LOOKS * self._interval + FRESH_MARGIN_SECONDS
+        return FRESH_INTERVALS * self._interval + FRESH_MARGIN_SECONDS
 
-    def _take_relayed(self, relayed: RelayedChanges, revision: StoreRevision) -> StoreRevision:
+    def _apply_relayed(self, relayed: RelayedChanges, revision: StoreRevision) -> StoreRevision:
         changes = self._store.read_items(relayed.items)
-        self._take_outage(relayed)
+        self._apply_outage(relayed)
         if relayed.keys is not None:
             self._note_era(relayed.revision, relayed.keys)
         self._apply(changes)
@@ -452,18 +458,18 @@
         if relayed.keys is not None:
             self._log.retain(relayed.keys, relayed.revision)
             self._retain(relayed.keys, relayed.revision)
-        self._take_named(relayed, self._source or "")
+        self._apply_announcement_times(relayed, self._source or "")
         self._state.note_proof(relayed.revision, relayed.proved_at)
         return max(revision, relayed.revision)
 
-    def _take_outage(self, relayed: RelayedChanges) -> None:
-        """Take over that the store was away, if this node had no fresh knowledge meanwhile either.
+    def _apply_outage(self, relayed: RelayedChanges) -> None:
+        """Apply a peer's report of an outage, if this node's own copy was stale during it too.
 
-        An outage that one peer alone has seen moves nobody else's bounds.
+        An outage that only one peer has seen must not extend the time bounds of other nodes.
         """
-        if self._lost_at is not None:
+        if self._unreachable_since is not None:
             logger.info("store known again", extra={"by_way_of": self._source})
-            self._lost_at = None
+            self._unreachable_since = None
             self._outage.answered()
         ended_at = relayed.outage_ended_at
         if ended_at is None:
@@ -472,7 +478,7 @@
             self._state.store_regained(ended_at, self._clock())
 
     def _retain(self, keys: Collection[str], revision: StoreRevision) -> None:
-        """Drop what a whole list, as of a revision, no longer has."""
+        """Remove everything that is missing from a full key list read at a revision."""
         listed = self._store.listed(keys)
         now = self._clock()
         self._state.retain_runners(listed.runner_ids, now, revision)
@@ -482,7 +488,7 @@
             self._state.apply(DutyHeld(None), now)
 
     def _note_era(self, revision: StoreRevision, keys: Sequence[str]) -> None:
-        """Note that a whole list is of a later era than what this node knew."""
+        """Record a restore of the store if a full list is of a later era than this node's copy."""
         before = self._log.revision
         if before == NO_REVISION or before.era >= revision.era:
             return
@@ -512,27 +518,30 @@
                 not_before = self._state.proofs.latest_before(change.item.revision)
                 self._state.apply(change.event, not_before, now)
 
-    def _lost(self, error: PlatformError) -> None:
+    def _note_failure(self, error: PlatformError) -> None:
         now = self._clock()
         self._state.start_gate.open()
         self._failed_at = now
         is_explained = isinstance(error, PlatformThrottledError) or self._is_behind()
         self._outage.failed(now, is_explained=is_explained)
-        if self._lost_at is None:
-            self._lost_at = now
+        if self._unreachable_since is None:
+            self._unreachable_since = now
             age = self._state.freshness.age(now)
             fields = error_fields(error) | {"age_seconds": round(age, 2)}
             logger.warning("store lost", extra=fields)
 
-    def _regained(self) -> None:
-        if self._lost_at is None:
+    def _note_success(self) -> None:
+        if self._unreachable_since is None:
             return
-        lasted = self._failed_at - self._lost_at
-        self._lost_at = None
-        away_until = self._outage.answered()
-        fields = {"lost_seconds": round(lasted, 2), "was_outage": away_until is not None}
+        failure_seconds = self._failed_at - self._unreachable_since
+        self._unreachable_since = None
+        outage_ended_at = self._outage.answered()
+        fields = {
+            "lost_seconds": round(failure_seconds, 2),
+            "was_outage": outage_ended_at is not None,
+        }
         logger.info("store regained", extra=fields)
-        if lasted >= OUTAGE_SECONDS:
+        if failure_seconds >= OUTAGE_SECONDS:
             self._state.note_calls_failed(self._failed_at)
-        if away_until is not None:
-            self._state.store_regained(away_until, self._clock())
+        if outage_ended_at is not None:
+            self._state.store_regained(outage_ended_at, self._clock())
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -235,7 +235,7 @@
     Mutation(
         "versions are heard of from the store alone",
         "daemon/peer_exchange.py",
-        "state.handle_weights_named(self._tell_announcements)",
+        "state.handle_weights_named(self._report_announcements)",
         "pass",
     ),
     Mutation(
@@ -560,7 +560,7 @@
     Mutation(
         "the store is not looked at again at once after a silent look",
         "daemon/store_sync.py",
-        "if was_known and isinstance(failure, PlatformOutcomeUnknownError):",
+        "if had_no_failure and isinstance(failure, PlatformOutcomeUnknownError):",
         "if False:",
     ),
     Mutation(
@@ -614,7 +614,7 @@
     Mutation(
         "a store that stays silent is asked twice each time",
         "daemon/store_sync.py",
-        "if was_known and isinstance(failure, PlatformOutcomeUnknownError):",
+        "if had_no_failure and isinstance(failure, PlatformOutcomeUnknownError):",
         "if isinstance(failure, PlatformOutcomeUnknownError):",
     ),
     Mutation(
@@ -842,7 +842,7 @@
     Mutation(
         "a node takes its part before it knows the others",
         "daemon/store_sync.py",
-        "            revision = await self._look_again(revision)\n        if",
+        "            revision = await self._poll_again(revision)\n        if",
         "            revision = own.revision\n        if",
     ),
     Mutation(
