--- a/src/hillstack/daemon/region_crossing.py
+++ b/src/hillstack/daemon/region_crossing.py
@@ -32,9 +32,8 @@
 )
 from hillstack.serving.fleet_state import FleetState
 
-# How long control notices, which all nodes need soon, are collected so that those of several nodes
-# on the same event share a datagram: about twice the one-way latency seen between two regions (12
-# ms).
+# How long control notices, which all nodes need soon, are collected, so that those of several nodes
+# on the same event share a datagram: about twice the latency seen between two regions (12 ms).
 CONTROL_DELAY_SECONDS = 0.02
 # Interval for loads and prompts at runners of the other region. A request that is sent to another
 # region takes several times the one-way latency and is late anyway, so its runner is chosen by
@@ -85,7 +84,7 @@
         self._clock = clock
         # Unsent notices: control notices for all regions, and by region those sent with the loads.
         self._control: list[NodeNotice] = []
-        self._remote_prompts: dict[str, list[NodeNotice]] = {}
+        self._remote_notices: dict[str, list[NodeNotice]] = {}
         # Loads of this region by runner; and as last sent, by receiving region and runner.
         self._loads: dict[str, ReportedLoads] = {}
         self._sent_loads: dict[str, dict[str, LoadNotice]] = {}
@@ -125,7 +124,7 @@
         for region in self._choice.other_regions():
             rest = self._remote_notice(notice, region, cached_parts)
             if rest.is_news():
-                self._remote_prompts.setdefault(region, []).append(rest)
+                self._remote_notices.setdefault(region, []).append(rest)
 
     async def run(self) -> None:
         """Send due notices and loads periodically, until cancelled."""
@@ -136,7 +135,7 @@
                 self._flush()
             else:
                 # Unsent notices are stale by now; the current border relay sends its own.
-                self._remote_prompts.clear()
+                self._remote_notices.clear()
                 self._sent_loads.clear()
             self._discard_idle_runners(now)
             await asyncio.sleep(REMOTE_RUNNERS_SECONDS if is_border_relay else HEARTBEAT_SECONDS)
@@ -154,7 +153,7 @@
         now = self._clock()
         for region in self._choice.other_regions():
             outbox = RelayOutbox(self._choice.topology.region)
-            rest = self._remote_prompts.pop(region, [])
+            rest = self._remote_notices.pop(region, [])
             outbox.notices.extend(peer_notices.encode(notice) for notice in rest)
             self._add_loads(outbox, region, now)
             silent_seconds = now - self._sent_at.get(region, float("-inf"))
--- a/src/hillstack/daemon/store_check.py
+++ b/src/hillstack/daemon/store_check.py
@@ -31,8 +31,8 @@
 CHECK_SECONDS_PER_KEY = 0.1
 # Jitter, as a fraction of the pause, that spreads the checks of nodes that started together.
 JITTER = 0.5
-# How often a node checks whether it has reached the revision of the list: half as often as it polls
-# the store for changes.
+# Pause between checks whether this node has reached the revision of the list: half the default
+# interval between its polls for changes.
 POLL_SECONDS = 0.25
 # A node that has not reached the list by then receives no changes, which its freshness reports.
 CATCH_UP_SECONDS = 5.0
--- a/src/hillstack/daemon/store_sync.py
+++ b/src/hillstack/daemon/store_sync.py
@@ -53,7 +53,7 @@
 # A peer's copy is fresh while it is younger than two poll intervals and the delay of a slow answer.
 FRESH_INTERVALS = 2.0
 FRESH_MARGIN_SECONDS = 0.5
-# Up to this number of nodes form one group, whose first node watches the store for all; its answers
+# Up to this number of nodes form one group, whose first node polls the store for all; its answers
 # then take a percent of a core. In a larger deployment each zone forms a group, so that relayed
 # changes stay inside the zone.
 SINGLE_GROUP_NODES = 64
@@ -167,7 +167,7 @@
         self._interval = interval
         self._clock = clock
         self._rng = rng
-        self._unreachable_since: float | None = None
+        self._failing_since: float | None = None
         self._failed_at = 0.0
         self._next_direct_at = float("-inf")
         self._store_failure: PlatformError | None = None
@@ -175,7 +175,7 @@
         self._must_reload = False
         self._history_lost = False
         self._restore_event = asyncio.Event()
-        state.store_era.handle_new(self._wake)
+        state.store_era.handle_new(self._on_new_era)
         state.store_era.handle_fallen(self.read_anew)
 
     async def run(self) -> None:
@@ -216,7 +216,7 @@
             self._restore_event.clear()
             await asyncio.sleep(RESTORED_SPREAD_SECONDS * self._rng.random())
 
-    def _wake(self, told_by: str) -> None:
+    def _on_new_era(self, told_by: str) -> None:
         """Poll soon, because the store was restored to an older state."""
         self._restore_event.set()
 
@@ -467,9 +467,9 @@
 
         An outage that only one peer has seen must not extend the time bounds of other nodes.
         """
-        if self._unreachable_since is not None:
+        if self._failing_since is not None:
             logger.info("store known again", extra={"by_way_of": self._source})
-            self._unreachable_since = None
+            self._failing_since = None
             self._outage.answered()
         ended_at = relayed.outage_ended_at
         if ended_at is None:
@@ -524,17 +524,17 @@
         self._failed_at = now
         is_explained = isinstance(error, PlatformThrottledError) or self._is_behind()
         self._outage.failed(now, is_explained=is_explained)
-        if self._unreachable_since is None:
-            self._unreachable_since = now
+        if self._failing_since is None:
+            self._failing_since = now
             age = self._state.freshness.age(now)
             fields = error_fields(error) | {"age_seconds": round(age, 2)}
             logger.warning("store lost", extra=fields)
 
     def _note_success(self) -> None:
-        if self._unreachable_since is None:
+        if self._failing_since is None:
             return
-        failure_seconds = self._failed_at - self._unreachable_since
-        self._unreachable_since = None
+        failure_seconds = self._failed_at - self._failing_since
+        self._failing_since = None
         outage_ended_at = self._outage.answered()
         fields = {
             "lost_seconds": round(failure_seconds, 2),
--- a/tests/fleet/node_network.py
+++ b/tests/fleet/node_network.py
@@ -1,4 +1,4 @@
-"""Many nodes that tell each other and follow one store, over datagrams in virtual time."""
+"""A network of nodes that exchange datagrams and poll one store, in virtual time."""
 
 from __future__ import annotations
 
@@ -55,40 +55,40 @@
 DATAGRAM_HEADER_BYTES = 28
 STORE_SECONDS = 0.004
 INTERVAL_SECONDS = 1.0
-# Machines start within that of each other.
+# Machines start within this time of each other.
 START_SPREAD_SECONDS = 0.3
 TOLERANCE = LimitTolerance(window_seconds=8.0, overshoot=0.1, slack=110_000.0)
 
 
 @dataclass(frozen=True)
 class StoreCopy:
-    """What a store held at some moment."""
+    """A copy of the state of a store, from which it can be restored."""
 
     items: dict[str, StoredItem]
     history: list[StoredItem]
-    forgotten: int
+    compacted_revision: int
     revision: int
 
 
 class MemoryStore:
-    """The store, with the adapter's own reading of items.
+    """The store in memory, whose items are decoded by the real adapter.
 
     Attributes:
-        era: Rises each time that it is restored from a copy.
+        era: Rises with each restore from a copy.
     """
 
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
         self.items: dict[str, StoredItem] = {}
         self.history: list[StoredItem] = []
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.revision = 1
         self.era = 0
         self.down_for: set[str] | None = set()
         self.calls: Counter[str] = Counter()
-        # Lists that may be old, which cost a tenth of a call.
-        self.cheap_calls: Counter[str] = Counter()
-        # Between the two pages of a list; 0 where it is read in one piece.
+        # Calls for lists that may be old; each counts as a tenth of a call.
+        self.stale_read_calls: Counter[str] = Counter()
+        # Seconds between the two pages of a list; 0 if it is read in one page.
         self.page_pause = 0.0
 
     def put(self, key: str, value: bytes | None) -> int:
@@ -102,15 +102,17 @@
         return self.revision
 
     def copy(self) -> StoreCopy:
-        """Return what the store holds now, from which it may be restored later."""
-        return StoreCopy(dict(self.items), list(self.history), self.forgotten, self.revision)
+        """Return a copy of the current state."""
+        return StoreCopy(
+            dict(self.items), list(self.history), self.compacted_revision, self.revision
+        )
 
     def restore(self, copy: StoreCopy) -> None:
-        """Come back from an earlier copy: what was written since is gone, numbers come again."""
+        """Restore a copy: later writes are lost, and their revision numbers are reused."""
         self.era += 1
         self.items = {key: self._of_era(item) for key, item in copy.items.items()}
         self.history = [self._of_era(item) for item in copy.history]
-        self.forgotten = copy.forgotten
+        self.compacted_revision = copy.compacted_revision
         self.revision = copy.revision
 
     def _of_era(self, item: StoredItem) -> StoredItem:
@@ -120,8 +122,8 @@
         return self.down_for is None or node_id in self.down_for
 
 
-class StoreClient:
-    """One node's access to the store."""
+class MemoryStoreClient:
+    """The store client of one node."""
 
     def __init__(self, store: MemoryStore, node_id: str, store_era: StoreEra) -> None:
         self._store = store
@@ -130,7 +132,7 @@
 
     async def snapshot(self, *, may_be_old: bool = False) -> Snapshot:
         if may_be_old:
-            self._store.cheap_calls[self._node_id] += 1
+            self._store.stale_read_calls[self._node_id] += 1
         else:
             self._store.calls[self._node_id] += 1
         await self._answer()
@@ -138,7 +140,7 @@
         revision = rev(self._store.revision, self._store.era)
         if self._store.page_pause <= 0:
             return Snapshot(self.read_items(items), revision, revision)
-        # Two pages, of which the second is read later.
+        # Two pages; the second one is read later.
         half = [item for item in items[: len(items) // 2]]
         await asyncio.sleep(self._store.page_pause)
         beyond = items[len(items) // 2].key if items else ""
@@ -153,7 +155,7 @@
         await self._call()
         if revision.era != self._store.era:
             raise HistoryLostError("restored", step="watch", peer="store")
-        if not self._store.forgotten <= revision.number <= self._store.revision:
+        if not self._store.compacted_revision <= revision.number <= self._store.revision:
             raise HistoryLostError("history gone", step="watch", peer="store")
         items = [item for item in self._store.history if item.revision > revision]
         return Changes(self.read_items(items), rev(self._store.revision, self._store.era))
@@ -221,7 +223,7 @@
         return self.state.topology.region
 
     def sent(self, runner_id: str, attempt_id: str) -> None:
-        """Send an attempt to a runner, and tell."""
+        """Send an attempt to a runner, and report load and placement."""
         runner = self.state.pool.get(runner_id)
         assert runner is not None
         runner.attempts.add(attempt_id, OwnAttempt(0, 100, 0.0, 9.0))
@@ -245,21 +247,22 @@
     """Nodes of several zones, a store, and the datagrams between them.
 
     Args:
-        count: Nodes.
-        zones: Zones that they are spread over.
-        loss: Share of the datagrams that are lost.
-        own_loops: Whether each node has a loop of its own, which can be frozen; slower.
-        table: Configuration that the nodes begin with.
-        seed: Decides which datagrams are lost, and how late each one is.
-        ways: The shortest and the longest way of a datagram inside of a region, in seconds.
+        count: Number of nodes.
+        zones: Number of zones.
+        loss: Fraction of the datagrams that are lost.
+        own_loops: Whether each node has its own event loop, which can be paused; slower.
+        table: Initial configuration of the nodes.
+        seed: Seed for losses and latencies of datagrams.
+        ways: The least and the greatest one-way latency within a region, in seconds.
         regions: Region of each zone; one region by default.
+        start_spread: The nodes start within this time of each other, in seconds.
 
     Attributes:
-        crossing_bytes: Bytes of datagrams between zones.
-        region_bytes: Bytes of datagrams between regions, with 28 for each as its headers.
-        crossed: Datagrams between regions, as they were sent.
-        region_loss: Share of the datagrams between regions that are lost.
-        cut_ways: Pairs of regions of which the first does not reach the second.
+        cross_zone_bytes: Bytes of datagrams between zones.
+        cross_region_bytes: Bytes of datagrams between regions, including 28 of headers for each.
+        crossed: Datagrams that were sent between regions.
+        region_loss: Fraction of the datagrams between regions that are lost.
+        cut_links: Pairs of regions; datagrams from the first to the second are lost.
     """
 
     def __init__(
@@ -277,30 +280,30 @@
     ) -> None:
         self._start_spread = start_spread
         self.regions = dict(regions or {})
-        self.region_bytes = 0
+        self.cross_region_bytes = 0
         self.crossed: list[bytes] = []
         self.region_loss = 0.0
-        self.cut_ways: set[tuple[str, str]] = set()
+        self.cut_links: set[tuple[str, str]] = set()
         self._table = table or make_table(make_route())
         self.scheduler = Scheduler()
         self.store = MemoryStore(self.scheduler)
         self.nodes: dict[str, SimulatedNode] = {}
         self._addresses: dict[str, str] = {}
         self._by_address: dict[str, SimulatedNode] = {}
-        self.taken: Counter[str] = Counter()
-        self.crossing_bytes = 0
+        self.received: Counter[str] = Counter()
+        self.cross_zone_bytes = 0
         self.runner_ids = [f"i-{number}" for number in range(6)]
         self._loss = loss
-        self._ways = ways
+        self._latencies = ways
         self._rng = Random(seed)
-        # Apart from losses, so that a test of these is not changed by the ways.
-        self._ways_rng = Random(f"ways/{seed}")
+        # A separate generator, so that latencies do not change which datagrams are lost.
+        self._latency_rng = Random(f"ways/{seed}")
         self._shared_loop = None if own_loops else self.scheduler.new_loop()
         for number in range(count):
             self.add(f"node-{number}", f"zone-{number % zones}")
 
     def add(self, node_id: str, zone: str) -> SimulatedNode:
-        """Start a node; one of that name that runs already is left behind without a sign."""
+        """Start a node; a running node of the same name is killed."""
         number = len(self._addresses)
         if node_id in self.nodes:
             self.kill(node_id)
@@ -309,7 +312,7 @@
         entries = [make_entry(runner_id, ENGINES, weights=1) for runner_id in self.runner_ids]
         state = make_state(self._table, *entries)
         state.node_id = node_id
-        # Which nodes there are, it reads from the store.
+        # The node reads the list of nodes from the store.
         state.directory_known = state.peers_known = False
         state.budget.set_node_count(MOST_NODES)
         link = PeerLink()
@@ -365,7 +368,7 @@
         self.scheduler.close()
 
     def kill(self, node_id: str) -> None:
-        """End a node without a word."""
+        """Kill a node without any notice to its peers."""
         node = self.nodes.pop(node_id)
         del self._by_address[node.address]
         node.alive = False
@@ -373,43 +376,47 @@
         node.work.cancel()
 
     def at_node(self, node: SimulatedNode, work: Any) -> None:
-        """Call something in a node's loop."""
+        """Call a function in a node's event loop."""
         node.loop.call_soon(work)
 
     def carry(self, data: bytes, source: str, target: str) -> None:
-        """Carry a datagram, or lose it."""
+        """Deliver a datagram after its latency, or lose it."""
         sender = self._by_address.get(source)
         receiver = self._by_address.get(target)
         if sender is None or receiver is None or sender.cut or receiver.cut:
             return
         if self._rng.random() < self._loss:
             return
-        is_far = sender.region != receiver.region
-        if is_far and not self._crosses(data, sender, receiver):
+        is_cross_region = sender.region != receiver.region
+        if is_cross_region and not self._arrives_across_regions(data, sender, receiver):
             return
-        self.taken[receiver.node_id] += 1
+        self.received[receiver.node_id] += 1
         if sender.zone != receiver.zone:
-            self.crossing_bytes += len(data)
+            self.cross_zone_bytes += len(data)
         host, _, port = source.rpartition(":")
 
         def arrive() -> None:
             if receiver.alive:
                 receiver.loop.call_soon(receiver.link.datagram_received, data, (host, int(port)))
 
-        delay = REGION_DELAY_SECONDS if is_far else self._ways_rng.uniform(*self._ways)
+        delay = (
+            REGION_DELAY_SECONDS if is_cross_region else self._latency_rng.uniform(*self._latencies)
+        )
         self.scheduler.at(self.scheduler.now + delay, arrive)
 
-    def _crosses(self, data: bytes, sender: SimulatedNode, receiver: SimulatedNode) -> bool:
-        """Note a datagram between two regions; return whether it arrives."""
-        self.region_bytes += len(data) + DATAGRAM_HEADER_BYTES
+    def _arrives_across_regions(
+        self, data: bytes, sender: SimulatedNode, receiver: SimulatedNode
+    ) -> bool:
+        """Count a datagram between two regions; return whether it arrives."""
+        self.cross_region_bytes += len(data) + DATAGRAM_HEADER_BYTES
         self.crossed.append(data)
-        if (sender.region, receiver.region) in self.cut_ways:
+        if (sender.region, receiver.region) in self.cut_links:
             return False
         return self._rng.random() >= self.region_loss
 
     def _start(self, node: SimulatedNode, rng: Random) -> None:
         clock = self.scheduler.clock
-        client = StoreClient(self.store, node.node_id, node.state.store_era)
+        client = MemoryStoreClient(self.store, node.node_id, node.state.store_era)
         registry = NodeRegistry(client, node.state, node.exchange.silent_nodes, clock)
         relay = StoreRelay(node.state, node.log, node.link, clock)
         sync = StoreSync(
@@ -445,7 +452,7 @@
 
 
 def list_runners(network: NodeNetwork) -> None:
-    """Write the runners to the store."""
+    """Write the entries of all runners to the store."""
     for runner_id in network.runner_ids:
         write_runner(network, runner_id)
 
@@ -457,7 +464,7 @@
     seq: int = 1,
     zone: str = "zone-0",
 ) -> None:
-    """Write a runner's entry, as its heartbeat or with news."""
+    """Write a runner's entry, as a heartbeat or with changes."""
     body = (
         f'{{"service":"{ENGINES}","address":"10.9.0.1:1","zone":"{zone}","slots":8,'
         f'"state":"{state}","models":[{{"name":"model-a","version":1}}],"seq":{seq}}}'
--- a/tests/fleet/test_change_log.py
+++ b/tests/fleet/test_change_log.py
@@ -1,4 +1,4 @@
-"""What a node hands on of the store: at any moment, all that the store holds, by whatever way."""
+"""The change log matches the store at its revision, whatever the order of reads and relays."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StoreModel:
-    """A store that keeps its whole history."""
+    """A store that retains its whole history."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -42,12 +42,12 @@
         return held
 
 
-def known(log: ChangeLog) -> dict[str, StoredItem]:
+def existing_items(log: ChangeLog) -> dict[str, StoredItem]:
     return {item.key: item for item in log.since(rev(-1)).items if item.value is not None}
 
 
 class ChangeLogMachine(RuleBasedStateMachine):
-    """Three nodes, each of which looks at the store or at another node, when it likes."""
+    """Three nodes that read the store or each other's logs in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -64,14 +64,14 @@
             self.store.write(key, None)
 
     @rule(key=st.sampled_from(KEYS))
-    def lapse_and_return(self, key: str) -> None:
+    def remove_and_rewrite(self, key: str) -> None:
         held = self.store.held.get(key)
         if held is not None:
             self.store.write(key, None)
             self.store.write(key, held.value)
 
     @rule(node=st.sampled_from(LOGS))
-    def watch(self, node: int) -> None:
+    def poll_store(self, node: int) -> None:
         log = self.logs[node]
         log.take(self.store.changes(log.revision.number), rev(self.store.revision))
 
@@ -80,7 +80,7 @@
         self.logs[node].load(self.store.held.values(), rev(self.store.revision))
 
     @rule(node=st.sampled_from(LOGS), peer=st.sampled_from(LOGS))
-    def follow(self, node: int, peer: int) -> None:
+    def poll_peer(self, node: int, peer: int) -> None:
         log = self.logs[node]
         since = self.logs[peer].since(log.revision)
         if since.revision < log.revision:
@@ -90,23 +90,25 @@
             log.retain(since.keys, since.revision)
 
     @invariant()
-    def what_is_known_is_what_the_store_held(self) -> None:
+    def logs_match_the_store_at_their_revision(self) -> None:
         for log in self.logs:
-            assert known(log) == self.store.held_at(log.revision.number)
+            assert existing_items(log) == self.store.held_at(log.revision.number)
 
     @invariant()
-    def nothing_was_missed(self) -> None:
+    def lists_show_no_differences(self) -> None:
         for log in self.logs:
             for revision in range(self.store.revision + 1):
                 held = self.store.held_at(revision)
-                if revision <= log.revision.number and not any(k not in known(log) for k in held):
+                if revision <= log.revision.number and not any(
+                    k not in existing_items(log) for k in held
+                ):
                     assert log.differences(list(held.values()), rev(revision)) == []
 
 
 TestChangeLog = ChangeLogMachine.TestCase
 
 
-def test_what_was_missed_shows_in_a_list() -> None:
+def test_missed_changes_are_found_by_a_full_list() -> None:
     store = StoreModel()
     for key in KEYS:
         store.write(key, VALUES[0])
@@ -124,7 +126,7 @@
     assert sorted(missed) == [KEYS[1], KEYS[2]]
 
 
-def test_an_older_list_shows_nothing_missed() -> None:
+def test_an_older_list_shows_no_differences() -> None:
     store = StoreModel()
     log = ChangeLog()
     store.write(KEYS[0], VALUES[0])
@@ -137,7 +139,7 @@
     assert log.differences(older, rev(revision)) == []
 
 
-def test_a_change_that_a_list_of_pages_went_beyond_is_not_taken_back() -> None:
+def test_a_change_newer_than_a_paginated_lists_revision_is_kept() -> None:
     store = StoreModel()
     store.write(KEYS[0], VALUES[0])
     store.write(KEYS[0], None)
@@ -145,4 +147,4 @@
     log = ChangeLog()
     log.load(store.held.values(), rev(1))
     log.take(store.history[1:2], rev(2))
-    assert known(log) == store.held
+    assert existing_items(log) == store.held
--- a/tests/fleet/test_peer_exchange.py
+++ b/tests/fleet/test_peer_exchange.py
@@ -1,4 +1,4 @@
-"""Notices between nodes: what one tells, another believes."""
+"""Notices between nodes: a peer applies what a node reports."""
 
 from __future__ import annotations
 
@@ -66,12 +66,12 @@
     return state, PeerExchange(state, link, choice, "zone-a", clock, make_rng()), transport
 
 
-def give(receiver: PeerExchange, notice: NodeNotice, sender: str = "10.0.0.1") -> None:
+def deliver_notice(receiver: PeerExchange, notice: NodeNotice, sender: str = "10.0.0.1") -> None:
     datagram = wrap(DatagramKind.NOTICE, peer_notices.encode(notice))
     receiver._link.datagram_received(datagram, (sender, 1))
 
 
-def test_a_notice_survives_its_codec() -> None:
+def test_a_notice_is_unchanged_by_its_codec() -> None:
     notice = NodeNotice(
         PROTOCOL_VERSION,
         "node-1",
@@ -114,72 +114,73 @@
     exchange.weights(WeightsNotice("i-1", MODEL, 2, WeightsPhase.LOADING))
     exchange.suspected(runner)
     deliver(transport, other)
-    believed = other_state.pool.get("i-1")
-    assert believed is not None
-    assert (believed.running(100.0), believed.committed_tokens(100.0)) == (1, 700)
-    assert believed.long_running(100.0) == 1
-    assert not believed.accepts(100.1)
+    peer_runner = other_state.pool.get("i-1")
+    assert peer_runner is not None
+    assert (peer_runner.running(100.0), peer_runner.committed_tokens(100.0)) == (1, 700)
+    assert peer_runner.long_running(100.0) == 1
+    assert not peer_runner.accepts(100.1)
 
 
 def test_served_weights_end_the_exclusion() -> None:
     _, exchange, transport = make_node()
     other_state, other, _ = make_node()
-    believed = other_state.pool.get("i-1")
-    assert believed is not None
+    peer_runner = other_state.pool.get("i-1")
+    assert peer_runner is not None
     exchange.weights(WeightsNotice("i-1", MODEL, 2, WeightsPhase.LOADING))
     exchange.weights(WeightsNotice("i-1", MODEL, 2, WeightsPhase.SERVED))
     deliver(transport, other)
-    assert believed.weights_version(MODEL) == 2 and believed.accepts(100.0)
+    assert peer_runner.weights_version(MODEL) == 2 and peer_runner.accepts(100.0)
 
 
 def test_a_peer_knows_when_a_runner_was_last_ordered() -> None:
-    # Was told as an age that nothing read; what a holder waits for is each runner's own order.
+    # Notices once contained the age of the order, which was unused: the lease holder waits for the
+    # answer to the order of each runner itself.
     _, exchange, transport = make_node()
     other_state, other, _ = make_node()
     exchange.weights(WeightsNotice("i-1", MODEL, 2, WeightsPhase.LOADING))
     deliver(transport, other)
-    believed = other_state.pool.get("i-1")
-    assert believed is not None and believed.peer_ordered_at == 100.0
+    peer_runner = other_state.pool.get("i-1")
+    assert peer_runner is not None and peer_runner.peer_ordered_at == 100.0
 
 
-def tell_cached(exchange: PeerExchange, *parts: PromptPart) -> None:
-    async def tell() -> None:
+def report_cached(exchange: PeerExchange, *parts: PromptPart) -> None:
+    async def report() -> None:
         for part in parts:
             exchange.cached("i-1", CacheEntry("salt", part))
         exchange.flush()
 
-    asyncio.run(tell())
+    asyncio.run(report())
 
 
-def test_what_a_watcher_sees_corrects_the_beliefs_of_its_peers() -> None:
+def test_cache_reports_correct_the_cache_index_of_peers() -> None:
     _, exchange, transport = make_node()
     other_state, other, _ = make_node()
     index = other_state.index
     index.note("i-1", "salt", [PromptPart("stale", 900)])
-    tell_cached(exchange, PromptPart("kept", 800), PromptPart("stale", 0))
+    report_cached(exchange, PromptPart("kept", 800), PromptPart("stale", 0))
     deliver(transport, other)
     assert index.matched_tokens("i-1", "salt", [PromptPart("kept", 800)]) == 800
     assert index.matched_tokens("i-1", "salt", [PromptPart("stale", 900)]) == 0
 
 
-def test_what_a_holder_lost_is_gone_for_peers_and_what_it_got_since_is_not() -> None:
+def test_a_lost_cache_removes_earlier_parts_and_keeps_later_ones() -> None:
     _, exchange, transport = make_node()
     other_state, other, _ = make_node()
     index = other_state.index
     index.note("i-1", "salt", [PromptPart("before", 900)])
-    tell_cached(exchange, PromptPart("before", 900))
+    report_cached(exchange, PromptPart("before", 900))
     exchange.cache_lost("i-1")
-    tell_cached(exchange, PromptPart("since", 700))
+    report_cached(exchange, PromptPart("since", 700))
     deliver(transport, other)
     assert index.matched_tokens("i-1", "salt", [PromptPart("before", 900)]) == 0
     assert index.matched_tokens("i-1", "salt", [PromptPart("since", 700)]) == 700
 
 
-def test_much_news_of_caches_is_spread_over_datagrams() -> None:
+def test_many_cache_changes_are_split_into_datagrams() -> None:
     _, exchange, transport = make_node()
     other_state, other, _ = make_node()
     parts = [PromptPart(f"part-{number}", 300) for number in range(300)]
-    tell_cached(exchange, *parts)
+    report_cached(exchange, *parts)
     assert len(transport.sent) == 4
     assert max(len(datagram) for datagram, _ in transport.sent) < 1_400
     deliver(transport, other)
@@ -189,18 +190,18 @@
 def test_each_process_of_a_peer_is_announced_once() -> None:
     _, exchange, transport = make_node()
     _, other, _ = make_node()
-    heard: list[str] = []
-    other.handle_new_peers(heard.append)
+    received: list[str] = []
+    other.handle_new_peers(received.append)
     exchange.repeat_loads()
     exchange.repeat_loads()
     deliver(transport, other)
-    assert heard == ["node-1"]
+    assert received == ["node-1"]
     restarted = NodeNotice(PROTOCOL_VERSION, "node-1", incarnation=7)
-    give(other, restarted)
-    assert heard == ["node-1", "node-1"]
+    deliver_notice(other, restarted)
+    assert received == ["node-1", "node-1"]
 
 
-def test_a_store_that_does_not_answer_is_left_alone_by_peers_for_a_while() -> None:
+def test_peers_avoid_a_cache_store_that_does_not_answer_for_a_while() -> None:
     store = KeptCacheStore("10.0.0.9:1", "zone-a", 1_000_000, 200_000.0)
     _, exchange, transport = make_node()
     other_state, other, _ = make_node()
@@ -212,7 +213,7 @@
     assert other_state.kept_cache_store("zone-a", 103.0) == store
 
 
-def test_strangers_and_unknown_runners_change_nothing() -> None:
+def test_invalid_datagrams_and_unknown_runners_change_nothing() -> None:
     state, exchange, _ = make_node()
     exchange._link.datagram_received(b"garbage", ("10.0.0.9", 9))
     exchange._link.datagram_received(b"", ("10.0.0.9", 9))
@@ -224,13 +225,13 @@
         cache_lost=["i-9"],
         cache=[CacheNotice("i-9", "salt", [("p", 10)])],
     )
-    give(exchange, notice, "10.0.0.9")
+    deliver_notice(exchange, notice, "10.0.0.9")
     assert len(state.pool.all()) == 1
     assert state.index.part_count() == 0
 
 
 @pytest.mark.parametrize("known", [float("-inf"), 90.0, 99.0])
-def test_a_word_that_comes_unasked_does_not_tell_when_a_version_was_named(known: float) -> None:
+def test_an_announcement_notice_does_not_change_the_announcement_time(known: float) -> None:
     state, exchange, transport = make_node()
     other_state, other, _ = make_node()
     state.apply(WeightsNamed(MODEL, 2), 97.0)
@@ -240,8 +241,8 @@
     assert other_state.versions.named_after(MODEL, 1) == known
 
 
-def test_the_first_node_that_hears_of_a_version_tells_the_others_at_once() -> None:
-    # Nodes ask the store once a second, and the holder of the duty may be the last to hear.
+def test_the_first_node_that_reads_a_version_reports_it_at_once() -> None:
+    # Nodes poll the store once a second, and the lease holder may be the last to read the version.
     first, _, transport = make_node()
     second, receiver, answers = make_node()
     second.node_id = "node-2"
@@ -250,17 +251,17 @@
     first.apply(WeightsNamed(MODEL, 7, revision=rev(42)), 99.5, 100.0)
     deliver(transport, receiver)
     assert second.versions.newest(MODEL) == 7
-    # It counts from what this node knows itself: how late the word was nobody knows.
+    # It counts from this node's own proof, because the delay of the notice is unknown.
     assert second.versions.named_after(MODEL, 6) == 98.0
-    assert not answers.sent  # Only who heard of it from the store tells it on.
+    assert not answers.sent  # Only a node that read it from the store reports it.
 
 
-def test_a_node_that_has_just_started_may_use_what_it_finds_for_a_while() -> None:
+def test_a_newly_started_node_may_use_older_weights_for_a_while() -> None:
     state, exchange, transport = make_node()
     state.unjudged_until = 102.6
     state.apply(WeightsNamed(MODEL, 2), float("-inf"))
     assert state.versions.deadline(MODEL, 1) == pytest.approx(102.6)
-    # That is its own allowance: peers that were there all the while must not take it over.
+    # The allowance is for this node only: peers that were running must not adopt it.
     other_state, other, _ = make_node()
     other_state.apply(WeightsNamed(MODEL, 2), 95.0)
     exchange.repeat_loads()
@@ -281,9 +282,9 @@
     assert other_state.versions.named_after(MODEL, 1) == 95.0
 
 
-def test_placements_are_told_sooner_than_loads_which_go_with_them() -> None:
-    # Grown Tampere: 79 nodes told each other of prefills after 0.33 s; until then all of them sent
-    # to the runner that looked best, where requests waited for over a second.
+def test_placements_are_sent_sooner_than_loads_and_with_them() -> None:
+    # Grown Tampere: 79 nodes notified each other of prefills after 0.33 s. Until then all of them
+    # chose the same best runner, where requests waited for over a second.
     scheduler = Scheduler()
     state = make_state(make_table(make_route()), make_entry("i-1", ENGINES, weights=1))
     for number in range(DIRECT_NODES):
@@ -303,7 +304,7 @@
         state.pool.finished(runner, "r-1/1")
         exchange.load_changed(runner)
 
-    def told() -> list[NodeNotice]:
+    def sent_notices() -> list[NodeNotice]:
         payloads = [unwrap(datagram, "peer")[1] for datagram, _ in transport.sent]
         return [peer_notices.decode(payload, "peer") for payload in payloads]
 
@@ -311,49 +312,49 @@
     scheduler.spawn(loop, send())
     scheduler.run_until(0.04)
     others = DIRECT_NODES - 1
-    first = told()
+    first = sent_notices()
     assert len(first) == others
     assert all(len(n.placements) == 1 and [x.running for x in n.loads] == [1] for n in first)
-    # Nothing is left to tell until the load changes, and that alone may wait longer.
+    # Nothing is sent until the load changes, and a load alone may wait longer.
     scheduler.run_until(1.0)
-    assert len(told()) == others
+    assert len(sent_notices()) == others
     scheduler.spawn(loop, end())
     scheduler.run_until(1.04)
-    assert len(told()) == others
+    assert len(sent_notices()) == others
     scheduler.run_until(1.06)
-    later = told()[others:]
+    later = sent_notices()[others:]
     assert len(later) == others
     assert all([x.running for x in n.loads] == [0] and not n.placements for n in later)
     scheduler.close()
 
 
-def test_a_runner_that_ended_is_told_at_once_with_what_was_there() -> None:
+def test_a_runner_crash_is_reported_at_once_with_its_requests() -> None:
     _, exchange, transport = make_node()
     _, other, _ = make_node()
-    heard: list[tuple[str, RunnerEndNotice]] = []
-    other.handle_runner_ends(lambda peer, notice, _: heard.append((peer, notice)))
+    received: list[tuple[str, RunnerEndNotice]] = []
+    other.handle_runner_ends(lambda peer, notice, _: received.append((peer, notice)))
     requests = [RequestAtEnd(2**64 - 1, 115, True, 20), RequestAtEnd(7, 3, False)]
     notice = RunnerEndNotice("i-1", 4, requests, 9, [5], taken_back=False)
     exchange.runner_ended(notice)
     assert len(transport.sent) == 1
     deliver(transport, other)
-    assert heard == [("node-1", notice)]
+    assert received == [("node-1", notice)]
 
 
-def test_runner_ends_can_be_told_to_one_peer() -> None:
+def test_runner_crashes_can_be_sent_to_one_peer() -> None:
     _, exchange, transport = make_node()
     _, other, _ = make_node()
-    heard: list[RunnerEndNotice] = []
-    other.handle_runner_ends(lambda peer, notice, _: heard.append(notice))
+    received: list[RunnerEndNotice] = []
+    other.handle_runner_ends(lambda peer, notice, _: received.append(notice))
     notices = [RunnerEndNotice(f"i-{number}", 0, []) for number in range(3)]
     exchange.send_runner_ends("node-2", notices)
     exchange.send_runner_ends("node-9", notices)
     assert len(transport.sent) == 3
     deliver(transport, other)
-    assert heard == notices
+    assert received == notices
 
 
-def test_all_who_ask_hear_of_new_peers() -> None:
+def test_all_handlers_are_called_for_new_peers() -> None:
     _, exchange, transport = make_node()
     _, other, _ = make_node()
     first: list[str] = []
--- a/tests/fleet/test_region_relays.py
+++ b/tests/fleet/test_region_relays.py
@@ -1,4 +1,4 @@
-"""Nodes of two regions: a word crosses once, and each region goes on without the other."""
+"""Nodes of two regions: each notice crosses once, and each region works without the other."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 NODES = 66
 # Three zones each; the store is in the north.
 REGIONS = {f"zone-{number}": NEAR if number < 3 else FAR for number in range(ZONES)}
-RUNNERS_A_REGION = 3
+RUNNERS_PER_REGION = 3
 
 
 def make_network(count: int = NODES, **options: float) -> NodeNetwork:
@@ -48,7 +48,7 @@
 
 
 def list_runners_of_both(network: NodeNetwork, seq: int = 1) -> None:
-    """Write the runners: those with even numbers are in the north."""
+    """Write the entries of the runners; those with even numbers are in the north."""
     for number, runner_id in enumerate(network.runner_ids):
         write_runner(network, runner_id, seq=seq, zone="zone-0" if number % 2 == 0 else "zone-4")
 
@@ -57,15 +57,17 @@
     return [node for node in network.nodes.values() if node.region == region]
 
 
-def speaker_of(network: NodeNetwork, region: str) -> SimulatedNode:
+def border_relay_of(network: NodeNetwork, region: str) -> SimulatedNode:
     now = network.scheduler.now
-    speakers = [node for node in nodes_of(network, region) if node.exchange._crossing.speaks(now)]
-    assert len(speakers) == 1, [node.node_id for node in speakers]
-    return speakers[0]
+    border_relays = [
+        node for node in nodes_of(network, region) if node.exchange._crossing.is_border_relay(now)
+    ]
+    assert len(border_relays) == 1, [node.node_id for node in border_relays]
+    return border_relays[0]
 
 
 def ordinary_of(network: NodeNetwork, region: str) -> SimulatedNode:
-    """Return a node of a region that relays for nobody."""
+    """Return a node of a region that is not a relay."""
     now = network.scheduler.now
     nodes = nodes_of(network, region)
     return next(n for n in nodes if n.choice.relay(n.zone, now) != n.node_id)
@@ -87,8 +89,8 @@
     node.exchange.weights(WeightsNotice(runner_id, MODEL, version, WeightsPhase.SERVED))
 
 
-def without(network: NodeNetwork, runner_id: str, version: int = 2) -> list[str]:
-    """Return the nodes that do not know that a runner serves a version."""
+def nodes_lacking(network: NodeNetwork, runner_id: str, version: int = 2) -> list[str]:
+    """Return the nodes that don't know that a runner serves a version."""
     missing = []
     for node in network.nodes.values():
         runner = node.state.pool.get(runner_id)
@@ -97,12 +99,12 @@
     return missing
 
 
-def tell_weights(network: NodeNetwork, sender: SimulatedNode, runner_id: str) -> list[str]:
-    """Let a node tell of weights; return the other nodes that have not heard of it soon."""
+def report_weights(network: NodeNetwork, sender: SimulatedNode, runner_id: str) -> list[str]:
+    """Make a node report weights; return the other nodes that don't know of it soon after."""
     network.crossed.clear()
     network.at_node(sender, partial(load_weights, sender, runner_id))
     network.run(0.25)
-    return [node_id for node_id in without(network, runner_id) if node_id != sender.node_id]
+    return [node_id for node_id in nodes_lacking(network, runner_id) if node_id != sender.node_id]
 
 
 def running(node: SimulatedNode, runner_id: str, now: float) -> int:
@@ -112,20 +114,20 @@
 
 
 @pytest.mark.parametrize("region", [NEAR, FAR])
-def test_an_urgent_word_crosses_once_and_reaches_all_at_once(
+def test_an_urgent_notice_crosses_once_and_reaches_all_at_once(
     network: NodeNetwork, region: str
 ) -> None:
-    assert tell_weights(network, ordinary_of(network, region), "i-0") == []
-    told = [notice for notice in crossed_notices(network) if notice.weights]
-    assert len(told) == 1
+    assert report_weights(network, ordinary_of(network, region), "i-0") == []
+    sent = [notice for notice in crossed_notices(network) if notice.weights]
+    assert len(sent) == 1
 
 
-def test_a_word_of_the_node_that_speaks_for_its_region_crosses_once(network: NodeNetwork) -> None:
-    assert tell_weights(network, speaker_of(network, FAR), "i-0") == []
+def test_a_notice_of_the_border_relay_itself_crosses_once(network: NodeNetwork) -> None:
+    assert report_weights(network, border_relay_of(network, FAR), "i-0") == []
     assert len([notice for notice in crossed_notices(network) if notice.weights]) == 1
 
 
-def test_ends_suspicions_and_lost_caches_cross_at_once(network: NodeNetwork) -> None:
+def test_crashes_suspicions_and_lost_caches_cross_at_once(network: NodeNetwork) -> None:
     sender = ordinary_of(network, FAR)
     ended: list[str] = []
     for node in nodes_of(network, NEAR):
@@ -144,7 +146,9 @@
     assert [n.cache_lost for n in crossed if n.cache_lost] == [["i-3"]]
 
 
-def test_prompts_at_own_runners_stay_and_borrowed_ones_cross_once(network: NodeNetwork) -> None:
+def test_prompts_at_local_runners_stay_and_those_at_remote_runners_cross_once(
+    network: NodeNetwork,
+) -> None:
     sender = ordinary_of(network, FAR)
     network.crossed.clear()
     network.at_node(sender, partial(sender.sent, "i-1", "own"))
@@ -159,7 +163,7 @@
     assert len([notice for notice in crossed_notices(network) if notice.placements]) == 1
 
 
-def test_a_shared_part_that_a_prompt_brings_is_told_once_until_it_is_dropped(
+def test_a_newly_cached_shared_part_is_reported_once_until_it_is_dropped(
     network: NodeNetwork,
 ) -> None:
     sender = ordinary_of(network, FAR)
@@ -237,102 +241,104 @@
     assert running(other, "i-0", network.scheduler.now) == 0
 
 
-def test_nothing_is_kept_of_runners_without_load(network: NodeNetwork) -> None:
+def test_idle_runners_are_discarded(network: NodeNetwork) -> None:
     for node in nodes_of(network, FAR):
         network.at_node(node, partial(node.sent, "i-1", "a"))
     network.run(1.0)
-    kept = [len(node.exchange._crossing._loads) for node in network.nodes.values()]
-    assert max(kept) == 1
+    counts = [len(node.exchange._crossing._loads) for node in network.nodes.values()]
+    assert max(counts) == 1
     for node in nodes_of(network, FAR):
         runner = node.state.pool.get("i-1")
         assert runner is not None
         runner.attempts.remove("a")
     network.run(4.0)
-    kept = [len(node.exchange._crossing._loads) for node in network.nodes.values()]
-    assert max(kept) == 0
+    counts = [len(node.exchange._crossing._loads) for node in network.nodes.values()]
+    assert max(counts) == 0
     now = network.scheduler.now
     assert not any(running(node, "i-1", now) for node in network.nodes.values())
 
 
-def test_a_version_that_all_nodes_name_crosses_once_a_repetition(network: NodeNetwork) -> None:
+def test_a_version_announced_by_all_nodes_crosses_once_per_repetition(network: NodeNetwork) -> None:
     network.store.put(f"op/version/{MODEL}", b'{"model":"%s","version":2}' % MODEL.encode())
     network.crossed.clear()
     network.run(4.0)
     newest = [node.state.versions.newest(MODEL) for node in network.nodes.values()]
     assert newest == [2] * NODES
     named = [notice for notice in crossed_notices(network) if notice.announcements]
-    # Each region repeats it each 0.8 s; what first comes from the store makes it later at times.
+    # Each region repeats it each 0.8 s; a first notice from the store can shift the repetitions.
     assert 2 <= len(named) <= 2 * (4.0 / 0.8 + 4)
 
 
 @pytest.mark.parametrize("region", [NEAR, FAR])
-def test_when_the_speaker_dies_another_speaks(network: NodeNetwork, region: str) -> None:
-    network.kill(speaker_of(network, region).node_id)
+def test_a_failed_border_relay_is_replaced(network: NodeNetwork, region: str) -> None:
+    network.kill(border_relay_of(network, region).node_id)
     network.run(4.0)
-    assert tell_weights(network, ordinary_of(network, region), "i-0") == []
-    assert tell_weights(network, ordinary_of(network, FAR if region == NEAR else NEAR), "i-1") == []
-    assert speaker_of(network, region)
+    assert report_weights(network, ordinary_of(network, region), "i-0") == []
+    assert (
+        report_weights(network, ordinary_of(network, FAR if region == NEAR else NEAR), "i-1") == []
+    )
+    assert border_relay_of(network, region)
 
 
-def test_when_the_speakers_zone_dies_another_zone_speaks(network: NodeNetwork) -> None:
-    zone = speaker_of(network, FAR).zone
+def test_a_border_relay_is_replaced_by_another_zone_if_its_zone_fails(network: NodeNetwork) -> None:
+    zone = border_relay_of(network, FAR).zone
     for node in [node for node in network.nodes.values() if node.zone == zone]:
         network.kill(node.node_id)
     network.run(5.0)
-    assert tell_weights(network, ordinary_of(network, FAR), "i-0") == []
-    assert tell_weights(network, ordinary_of(network, NEAR), "i-1") == []
-    assert speaker_of(network, FAR).zone != zone
+    assert report_weights(network, ordinary_of(network, FAR), "i-0") == []
+    assert report_weights(network, ordinary_of(network, NEAR), "i-1") == []
+    assert border_relay_of(network, FAR).zone != zone
 
 
-def test_a_speaker_that_was_cut_off_speaks_again_alone(network: NodeNetwork) -> None:
-    speaker = speaker_of(network, FAR)
-    speaker.cut = True
+def test_a_border_relay_that_was_cut_off_is_the_only_one_afterwards(network: NodeNetwork) -> None:
+    border_relay = border_relay_of(network, FAR)
+    border_relay.cut = True
     network.run(5.0)
-    sender = next(n for n in nodes_of(network, FAR) if n.zone != speaker.zone)
-    missing = tell_weights(network, sender, "i-0")
-    assert [node_id for node_id in missing if node_id != speaker.node_id] == []
-    speaker.cut = False
+    sender = next(n for n in nodes_of(network, FAR) if n.zone != border_relay.zone)
+    missing = report_weights(network, sender, "i-0")
+    assert [node_id for node_id in missing if node_id != border_relay.node_id] == []
+    border_relay.cut = False
     network.run(8.0)
-    assert tell_weights(network, ordinary_of(network, NEAR), "i-1") == []
+    assert report_weights(network, ordinary_of(network, NEAR), "i-1") == []
     assert len([notice for notice in crossed_notices(network) if notice.weights]) == 1
 
 
-def test_a_paused_speaker_is_replaced_and_what_waited_in_it_is_taken_once() -> None:
+def test_a_paused_border_relay_is_replaced_and_its_waiting_notices_are_applied_once() -> None:
     network = NodeNetwork(36, ZONES, regions=REGIONS, own_loops=True)
     list_runners_of_both(network)
     network.run(5.0)
-    paused = speaker_of(network, FAR)
+    paused = border_relay_of(network, FAR)
     paused.loop.frozen = True
     network.run(4.0)
     sender = next(n for n in nodes_of(network, FAR) if n.zone != paused.zone)
-    assert set(tell_weights(network, sender, "i-0")) <= {paused.node_id}
+    assert set(report_weights(network, sender, "i-0")) <= {paused.node_id}
     near = ordinary_of(network, NEAR)
-    assert set(tell_weights(network, near, "i-1")) <= {paused.node_id}
+    assert set(report_weights(network, near, "i-1")) <= {paused.node_id}
     paused.loop.frozen = False
     network.run(6.0)
-    assert speaker_of(network, FAR) is paused
-    # A node does not tell itself.
-    assert without(network, "i-0") == [sender.node_id]
-    assert without(network, "i-1") == [near.node_id]
-    assert tell_weights(network, sender, "i-2") == []
+    assert border_relay_of(network, FAR) is paused
+    # A node doesn't apply its own report.
+    assert nodes_lacking(network, "i-0") == [sender.node_id]
+    assert nodes_lacking(network, "i-1") == [near.node_id]
+    assert report_weights(network, sender, "i-2") == []
     assert len([notice for notice in crossed_notices(network) if notice.weights]) == 1
     network.close()
 
 
-def test_a_lossy_link_loses_single_words_and_no_loads() -> None:
+def test_a_lossy_link_loses_single_notices_and_no_loads() -> None:
     network = make_network()
     network.region_loss = 0.2
     for number, node in enumerate(network.nodes.values()):
         network.at_node(node, partial(node.sent, f"i-{number % 2}", "a"))
-    heard = 0
+    complete = 0
     for number in range(40):
         sender = ordinary_of(network, FAR)
         network.at_node(sender, partial(load_weights, sender, "i-0", 10 + number))
         network.run(0.25)
-        missing = set(without(network, "i-0", 10 + number)) - {sender.node_id}
-        heard += not missing
+        missing = set(nodes_lacking(network, "i-0", 10 + number)) - {sender.node_id}
+        complete += not missing
         assert not {n.node_id for n in nodes_of(network, FAR)} & missing
-    assert heard >= 24
+    assert complete >= 24
     now = network.scheduler.now
     counts = sorted(running(node, "i-1", now) for node in nodes_of(network, NEAR))
     assert counts[0] == NODES // 2
@@ -340,25 +346,25 @@
 
 
 @pytest.mark.parametrize("ways", [[(NEAR, FAR), (FAR, NEAR)], [(NEAR, FAR)], [(FAR, NEAR)]])
-def test_with_a_cut_link_each_region_goes_on_and_a_healed_one_is_used_soon(
+def test_regions_work_while_their_link_is_cut_and_use_it_soon_when_restored(
     network: NodeNetwork, ways: list[tuple[str, str]]
 ) -> None:
-    network.cut_ways = set(ways)
+    network.cut_links = set(ways)
     network.run(8.0)
     for region, other, runner_id in ((NEAR, FAR, "i-0"), (FAR, NEAR, "i-1")):
-        missing = tell_weights(network, ordinary_of(network, region), runner_id)
+        missing = report_weights(network, ordinary_of(network, region), runner_id)
         cut_off = (
             {n.node_id for n in nodes_of(network, other)} if (region, other) in ways else set()
         )
         assert set(missing) == cut_off
-    network.cut_ways = set()
+    network.cut_links = set()
     network.run(7.0)
     for region, runner_id in ((NEAR, "i-2"), (FAR, "i-3")):
-        assert tell_weights(network, ordinary_of(network, region), runner_id) == []
+        assert report_weights(network, ordinary_of(network, region), runner_id) == []
         assert len([notice for notice in crossed_notices(network) if notice.weights]) == 1
 
 
-def test_a_region_that_restarts_whole_is_told_again(network: NodeNetwork) -> None:
+def test_a_completely_restarted_region_receives_notices_again(network: NodeNetwork) -> None:
     for node in nodes_of(network, FAR):
         network.kill(node.node_id)
     network.run(6.0)
@@ -366,12 +372,12 @@
         if REGIONS[f"zone-{number % ZONES}"] == FAR:
             network.add(f"node-{number}", f"zone-{number % ZONES}")
     network.run(8.0)
-    assert tell_weights(network, ordinary_of(network, FAR), "i-0") == []
-    assert tell_weights(network, ordinary_of(network, NEAR), "i-1") == []
+    assert report_weights(network, ordinary_of(network, FAR), "i-0") == []
+    assert report_weights(network, ordinary_of(network, NEAR), "i-1") == []
     assert len([notice for notice in crossed_notices(network) if notice.weights]) == 1
 
 
-def test_one_node_of_a_region_asks_the_store_and_all_stay_fresh(network: NodeNetwork) -> None:
+def test_one_node_of_a_region_polls_the_store_and_all_stay_fresh(network: NodeNetwork) -> None:
     network.run(3.0)
     network.store.calls.clear()
     oldest = 0.0
@@ -386,7 +392,7 @@
     assert oldest <= 2 * 1.0 + 0.2
 
 
-def test_when_the_node_that_asks_the_store_dies_the_next_of_its_region_does(
+def test_when_the_node_that_polls_the_store_fails_the_next_of_its_region_polls(
     network: NodeNetwork,
 ) -> None:
     network.store.calls.clear()
@@ -404,7 +410,7 @@
 def test_a_region_without_the_store_is_not_fresh_and_recovers(network: NodeNetwork) -> None:
     far = nodes_of(network, FAR)
     network.store.down_for = {node.node_id for node in far}
-    network.cut_ways = {(NEAR, FAR), (FAR, NEAR)}
+    network.cut_links = {(NEAR, FAR), (FAR, NEAR)}
     network.run(8.0)
     now = network.scheduler.now
     assert not any(node.state.freshness.is_fresh(now) for node in far)
@@ -414,21 +420,21 @@
     of_far = sum(network.store.calls[node.node_id] for node in far)
     assert of_far <= 5 * (len(far) * 1.2 + 4)
     network.store.down_for = set()
-    network.cut_ways = set()
+    network.cut_links = set()
     network.run(3.0)
     now = network.scheduler.now
     assert all(node.state.freshness.is_fresh(now) for node in far)
 
 
-def test_lists_of_the_store_are_compared_within_the_region_mostly(network: NodeNetwork) -> None:
-    network.store.cheap_calls.clear()
+def test_store_lists_are_usually_compared_within_the_region(network: NodeNetwork) -> None:
+    network.store.stale_read_calls.clear()
     seconds = 8 * CHECK_SECONDS_PER_KEY * len(network.store.items)
     network.run(seconds)
-    assert network.store.cheap_calls.total() <= 0.25 * NODES * 8
-    assert network.store.cheap_calls.total() >= 2
+    assert network.store.stale_read_calls.total() <= 0.25 * NODES * 8
+    assert network.store.stale_read_calls.total() >= 2
 
 
-def test_what_a_node_of_a_region_missed_is_found_by_way_of_its_peers(network: NodeNetwork) -> None:
+def test_a_missed_change_is_found_through_peers_of_the_region(network: NodeNetwork) -> None:
     node = ordinary_of(network, FAR)
     item = StoredItem(names.RUNNERS_PREFIX + "i-1", node.log.revision, None)
     node.log.take([item], node.log.revision)
@@ -448,26 +454,26 @@
     assert all(node.state.pool.get("i-2") is None for node in network.nodes.values())
 
 
-def crossing_bytes_a_second(count: int, *, is_busy: bool) -> float:
-    """Return the bytes of control that cross between the regions in a second."""
+def cross_region_bytes_per_second(count: int, *, is_busy: bool) -> float:
+    """Return the bytes per second of control traffic between the regions."""
     network = make_network(count)
     nodes = list(network.nodes.values())
     for step in range(60):
-        # The first word of each process crosses, whatever it says: not counted.
+        # The first notice of each process crosses regardless of its content, so it is not counted.
         if step == 20:
-            network.region_bytes = 0
+            network.cross_region_bytes = 0
         for node in nodes[step % 7 :: 7] if is_busy else ():
             runner = f"i-{2 * (step % 3) + (0 if node.region == NEAR else 1)}"
-            # The shared parts of these prompts have been told by the time from which bytes count.
+            # The shared parts of these prompts have been reported before bytes are counted.
             network.at_node(node, partial(node.sent, runner, f"part-{step % 6}"))
         network.run(0.1)
     network.close()
-    return network.region_bytes / 4.0
+    return network.cross_region_bytes / 4.0
 
 
-def test_what_crosses_grows_neither_with_the_nodes_nor_with_their_prompts() -> None:
-    calm, small = (crossing_bytes_a_second(36, is_busy=busy) for busy in (False, True))
-    large = crossing_bytes_a_second(144, is_busy=True)
+def test_cross_region_traffic_grows_neither_with_nodes_nor_with_prompts() -> None:
+    calm, small = (cross_region_bytes_per_second(36, is_busy=busy) for busy in (False, True))
+    large = cross_region_bytes_per_second(144, is_busy=True)
     assert calm <= 1_200
     assert small <= 1.5 * calm
     assert large <= 1.2 * small
--- a/tests/fleet/test_relays.py
+++ b/tests/fleet/test_relays.py
@@ -1,4 +1,4 @@
-"""Many nodes by way of relays: what one tells reaches all, at a cost that does not grow."""
+"""Relays in large deployments: notices reach all nodes, and the cost per node is constant."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from tests.fleet.builders import ENGINES, MODEL, rev
 from tests.fleet.node_network import (
     INTERVAL_SECONDS,
+    MemoryStoreClient,
     NodeNetwork,
     SimulatedNode,
-    StoreClient,
     list_runners,
     write_runner,
 )
@@ -56,7 +56,7 @@
 
 
 def forget_runner(node: SimulatedNode, runner_id: str) -> None:
-    """Let a node take a runner for removed, as if it had missed its return."""
+    """Make a node consider a runner removed, as if it had missed the runner's return."""
     node.log.take(
         [StoredItem(names.RUNNERS_PREFIX + runner_id, node.log.revision, None)], node.log.revision
     )
@@ -71,7 +71,7 @@
         assert len(node.placements) == (0 if node is sender else 1), node.node_id
 
 
-def test_what_a_relay_sends_itself_reaches_each_other_node_once(network: NodeNetwork) -> None:
+def test_a_placement_of_a_relay_reaches_each_other_node_once(network: NodeNetwork) -> None:
     sender = relay_of(network, "zone-2")
     network.at_node(sender, partial(sender.sent, "i-1", "a"))
     network.run(0.12)
@@ -79,22 +79,22 @@
         assert len(node.placements) == (0 if node is sender else 1), node.node_id
 
 
-def test_a_runner_that_ended_is_known_to_all_before_a_new_try_ends_another_one(
+def test_a_runner_crash_is_known_to_all_before_a_retry_crashes_another(
     network: NodeNetwork,
 ) -> None:
-    heard: list[str] = []
+    notified: list[str] = []
 
     def note(name: str, peer: str, notice: RunnerEndNotice, now: float) -> None:
-        heard.append(name)
+        notified.append(name)
 
     for node in network.nodes.values():
         node.exchange.handle_runner_ends(partial(note, node.node_id))
     sender = other_than(network, *(relay_of(network, f"zone-{n}") for n in range(ZONES)))
     notice = RunnerEndNotice("i-1", 0, [RequestAtEnd(7, 115, False)])
     network.at_node(sender, partial(sender.exchange.runner_ended, notice))
-    # Half of the age at which fatal runs were seen to end their runners.
+    # Half of the time after which poison requests were seen to crash their runners.
     network.run(0.05)
-    assert sorted(heard) == sorted(name for name in network.nodes if name != sender.node_id)
+    assert sorted(notified) == sorted(name for name in network.nodes if name != sender.node_id)
 
 
 def test_all_nodes_know_the_load_of_all(network: NodeNetwork) -> None:
@@ -124,13 +124,13 @@
     network.close()
 
 
-def test_when_a_relay_dies_the_next_of_its_zone_takes_over(network: NodeNetwork) -> None:
+def test_when_a_relay_fails_the_next_node_of_its_zone_relays(network: NodeNetwork) -> None:
     relay = relay_of(network, "zone-3")
     network.kill(relay.node_id)
     network.run(3.0)
-    near = next(node for node in network.nodes.values() if node.zone == "zone-3")
-    far = next(node for node in network.nodes.values() if node.zone == "zone-1")
-    for sender in (near, far):
+    same_zone = next(node for node in network.nodes.values() if node.zone == "zone-3")
+    other_zone = next(node for node in network.nodes.values() if node.zone == "zone-1")
+    for sender in (same_zone, other_zone):
         network.at_node(sender, partial(sender.sent, "i-1", sender.node_id))
     network.run(0.2)
     missing = [n.node_id for n in network.nodes.values() if len(n.placements) < 1]
@@ -138,25 +138,25 @@
     assert max(len(node.placements) for node in network.nodes.values()) == 2
 
 
-def test_a_relay_that_comes_back_relays_again(network: NodeNetwork) -> None:
+def test_a_restarted_relay_relays_again(network: NodeNetwork) -> None:
     relay = relay_of(network, "zone-3")
     network.kill(relay.node_id)
     network.run(6.0)
-    back = network.add(relay.node_id, "zone-3")
+    restarted = network.add(relay.node_id, "zone-3")
     network.run(7.0)
-    member = next(n for n in network.nodes.values() if n.zone == "zone-3" and n is not back)
-    assert member.choice.relay("zone-3", network.scheduler.now) == back.node_id
+    member = next(n for n in network.nodes.values() if n.zone == "zone-3" and n is not restarted)
+    assert member.choice.relay("zone-3", network.scheduler.now) == restarted.node_id
     network.at_node(member, partial(member.sent, "i-1", "a"))
     network.run(0.2)
     assert all(len(n.placements) == 1 for n in network.nodes.values() if n is not member)
 
 
-def test_a_duty_that_fell_free_while_its_peer_started_anew_is_known_to_be_free(
+def test_a_duty_lease_that_expired_while_a_peer_restarted_is_known_to_be_free(
     network: NodeNetwork,
 ) -> None:
-    # zamudio-reg, trouble-3: a new machine read the store after the outage in which the lease
-    # had lapsed, and the others asked it. They believed the duty held for good, so that nobody
-    # ordered weights: VERSION broken.
+    # zamudio-reg, trouble-3: the lease expired during an outage. A new machine read the store after
+    # it, and the other nodes read from that machine. They considered the duty held forever, so no
+    # node ordered weights, which broke VERSION.
     network.store.put("hillstack/duties/weights", b"node-5")
     network.run(3.0)
     assert {node.state.duty_holder for node in network.nodes.values()} == {"node-5"}
@@ -171,11 +171,13 @@
     assert {node.state.duty_holder for node in network.nodes.values()} == {None}
 
 
-def test_a_duty_that_fell_free_in_a_lost_history_is_known_to_be_free(network: NodeNetwork) -> None:
+def test_a_duty_lease_that_expired_in_a_lost_history_is_known_to_be_free(
+    network: NodeNetwork,
+) -> None:
     network.store.put("hillstack/duties/weights", b"node-5")
     network.run(3.0)
     network.store.put("hillstack/duties/weights", None)
-    network.store.forgotten = network.store.revision
+    network.store.compacted_revision = network.store.revision
     network.store.history.clear()
     write_runner(network, "i-1", seq=40)
     network.run(4.0)
@@ -189,35 +191,35 @@
         directory.list_node(NodeEntry(f"node-{number}", "10.0.0.1:1", "a", rev(1), link))
     order = directory.relay_order("a")
     assert set(order[:4]) == {"node-0", "node-10", "node-20", "node-30"}
-    # A link that is a little faster changes nothing: the order stays as it is.
+    # A slightly faster link does not change the order.
     directory.list_node(NodeEntry("node-1", "10.0.0.1:1", "a", rev(2), 14.0))
     assert directory.relay_order("a") == order
 
 
-def taken_a_second(count: int) -> tuple[float, float]:
-    """Return datagrams that an ordinary node takes, and bytes that cross zones a node, a second."""
+def received_per_second(count: int) -> tuple[float, float]:
+    """Return datagrams received by the median node, and cross-zone bytes per node, per second."""
     network = NodeNetwork(count, ZONES)
     list_runners(network)
     network.run(4.0)
-    network.taken.clear()
-    network.crossing_bytes = 0
+    network.received.clear()
+    network.cross_zone_bytes = 0
     nodes = list(network.nodes.values())
     for step in range(20):
         for node in nodes[step % 7 :: 7]:
             network.at_node(node, partial(node.sent, f"i-{step % 6}", f"{step}"))
         network.run(0.1)
-    counts = sorted(network.taken[node_id] for node_id in network.nodes)
+    counts = sorted(network.received[node_id] for node_id in network.nodes)
     network.close()
-    return counts[count // 2] / 2.0, network.crossing_bytes / 2.0 / count
+    return counts[count // 2] / 2.0, network.cross_zone_bytes / 2.0 / count
 
 
-def test_what_an_ordinary_node_takes_does_not_grow_with_the_deployment() -> None:
-    small, large = taken_a_second(30), taken_a_second(180)
+def test_traffic_per_node_does_not_grow_with_the_deployment() -> None:
+    small, large = received_per_second(30), received_per_second(180)
     assert large[0] <= 1.5 * small[0] and large[0] <= 80
     assert large[1] <= 1.5 * small[1]
 
 
-def test_few_nodes_ask_the_store_and_all_stay_fresh(network: NodeNetwork) -> None:
+def test_few_nodes_poll_the_store_and_all_stay_fresh(network: NodeNetwork) -> None:
     network.run(3.0)
     network.store.calls.clear()
     oldest = 0.0
@@ -232,7 +234,7 @@
     assert oldest <= 2 * INTERVAL_SECONDS + 0.2
 
 
-def test_a_change_reaches_all_nodes_within_two_looks(network: NodeNetwork) -> None:
+def test_a_change_reaches_all_nodes_within_two_polls(network: NodeNetwork) -> None:
     write_runner(network, "i-1", state="draining", seq=9)
     network.run(2 * INTERVAL_SECONDS + 0.2)
     for node in network.nodes.values():
@@ -243,14 +245,14 @@
     assert all(node.state.pool.get("i-2") is None for node in network.nodes.values())
 
 
-def test_a_version_is_known_to_all_as_soon_as_one_has_heard_of_it(network: NodeNetwork) -> None:
+def test_a_version_is_known_to_all_as_soon_as_one_node_reads_it(network: NodeNetwork) -> None:
     network.store.put(f"op/version/{MODEL}", b'{"model":"%s","version":2}' % MODEL.encode())
     network.run(INTERVAL_SECONDS + 0.2)
     newest = [node.state.versions.newest(MODEL) for node in network.nodes.values()]
     assert newest == [2] * len(network.nodes)
 
 
-def test_nodes_that_the_store_turns_away_stay_fresh_through_their_peers(
+def test_nodes_that_the_store_refuses_stay_fresh_through_their_peers(
     network: NodeNetwork,
 ) -> None:
     relays = [relay_of(network, f"zone-{n}").node_id for n in range(ZONES)]
@@ -265,7 +267,7 @@
     assert oldest < 4.0
 
 
-def test_in_an_outage_the_store_is_asked_at_a_bounded_rate_and_all_recover(
+def test_in_an_outage_the_store_is_polled_at_a_bounded_rate_and_all_recover(
     network: NodeNetwork,
 ) -> None:
     network.store.down_for = None
@@ -281,7 +283,7 @@
     assert all(node.state.freshness.is_fresh(now) for node in network.nodes.values())
 
 
-def test_runners_that_lapsed_in_an_outage_are_used_on_by_nodes_that_ask_peers(
+def test_runners_that_expired_in_an_outage_stay_in_use_at_nodes_that_ask_peers(
     network: NodeNetwork,
 ) -> None:
     network.store.down_for = None
@@ -293,14 +295,14 @@
     assert all(known)
 
 
-def test_runners_that_lapsed_and_came_back_between_two_looks_are_known_to_all_nodes() -> None:
-    # Seen: 25 s after new weights were named, two of nine runners had the old ones and got neither
-    # requests nor orders. The store had been down for 4 s, the entries of all runners had lapsed,
-    # and these two were the first to write theirs again.
-    # How: the first node that reached the store found both, removal and return, in one answer. Its
-    # peers were told of the removal only, and a runner's entry is not written again.
-    # Cause: whether an entry was news was asked before the removal ahead of it was taken over.
-    # Proof: the nodes that were told by a peer lacked just the two, until all nodes started anew.
+def test_runners_that_expired_and_returned_between_two_polls_are_known_to_all_nodes() -> None:
+    # Failure: 25 s after new weights were announced, two of nine runners still had the old ones and
+    # got neither requests nor orders. The store had been down for 4 s, the entries of all runners
+    # had expired, and these two runners were the first to write theirs again.
+    # Cause: the first node that reached the store received removal and return in one answer. It
+    # decided whether the entry was new before it had applied the removal, so it sent its peers the
+    # removal only. The peers lacked these two runners until all nodes were restarted, because an
+    # unchanged entry is not written again.
     network = NodeNetwork(7, 3)
     list_runners(network)
     network.run(4.0)
@@ -324,11 +326,11 @@
 
 
 @pytest.mark.parametrize("outage_seconds", [4.0 + 0.5 * number for number in range(12)])
-def test_returned_runners_are_known_whichever_nodes_have_heard_of_the_removals(
+def test_returned_runners_are_known_whichever_nodes_received_the_removals(
     outage_seconds: float,
 ) -> None:
-    # One node hears of the removals alone; all others hear of removal and return together, by way
-    # of the only node that the store serves then.
+    # One node receives the removals alone. All others receive removal and return together, through
+    # the only node that the store serves at that time.
     network = NodeNetwork(7, 3)
     list_runners(network)
     network.run(4.0)
@@ -351,8 +353,8 @@
     network.close()
 
 
-def test_a_change_that_was_lost_once_is_found_by_all_nodes(network: NodeNetwork) -> None:
-    # A runner comes and a runner goes, and the store tells nobody: only a whole list shows it.
+def test_a_lost_change_is_found_by_all_nodes(network: NodeNetwork) -> None:
+    # A runner is added and one removed without a change in the history: only a full list shows it.
     network.runner_ids.append("i-new")
     write_runner(network, "i-new")
     network.store.put("servers/i-1", None)
@@ -363,7 +365,7 @@
         assert node.state.pool.get("i-1") is None, node.node_id
 
 
-def test_a_node_that_missed_a_change_reads_all_anew_once(network: NodeNetwork) -> None:
+def test_a_node_that_missed_a_change_reloads_the_store_once(network: NodeNetwork) -> None:
     node = other_than(network, *(relay_of(network, f"zone-{n}") for n in range(ZONES)))
     forget_runner(node, "i-2")
     network.store.calls.clear()
@@ -372,14 +374,14 @@
     assert network.store.calls[node.node_id] == 1
 
 
-def test_a_runner_that_the_log_has_and_the_pool_has_not_is_found(network: NodeNetwork) -> None:
+def test_a_runner_in_the_log_but_not_in_the_pool_is_found(network: NodeNetwork) -> None:
     node = other_than(network, *(relay_of(network, f"zone-{n}") for n in range(ZONES)))
     node.state.pool.unlist("i-2", 0.0, 0.0)
     network.run(check_seconds(network) + 2 * INTERVAL_SECONDS)
     assert node.state.pool.get("i-2") is not None
 
 
-def test_what_a_relay_missed_and_handed_on_is_found_by_all(network: NodeNetwork) -> None:
+def test_a_change_missed_by_a_whole_zone_is_found(network: NodeNetwork) -> None:
     for node in network.nodes.values():
         if node.zone == "zone-3":
             forget_runner(node, "i-2")
@@ -387,7 +389,7 @@
     assert all(node.state.pool.get("i-2") is not None for node in network.nodes.values())
 
 
-def test_a_relay_that_is_wrong_makes_nobody_else_read_all(network: NodeNetwork) -> None:
+def test_a_relay_that_missed_a_change_causes_no_reloads_elsewhere(network: NodeNetwork) -> None:
     relay = relay_of(network, "zone-3")
     network.store.calls.clear()
     before = network.store.calls.total()
@@ -398,12 +400,12 @@
     assert before == 0 and reads <= relays
 
 
-def test_what_is_compared_costs_little_and_finds_nothing_in_steady_state(
+def test_comparisons_are_cheap_and_find_nothing_in_steady_state(
     network: NodeNetwork, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # Lists of two pages, between which runners change and come and go.
+    # Runners change, and are added and removed, between the two pages of a list.
     network.store.page_pause = 0.02
-    network.store.cheap_calls.clear()
+    network.store.stale_read_calls.clear()
     for number in range(60):
         runner_id = network.runner_ids[number % 6]
         if number % 4 == 3:
@@ -411,24 +413,24 @@
             network.run(0.013)
         write_runner(network, runner_id, state="ready" if number % 3 else "draining", seq=number)
         network.run(0.487 if number % 4 == 3 else 0.5)
-    assert 0 < network.store.cheap_calls.total() <= 30.0 / (check_seconds(network) / 2) * 71
+    assert 0 < network.store.stale_read_calls.total() <= 30.0 / (check_seconds(network) / 2) * 71
     assert "missed" not in caplog.text
 
 
-def test_nodes_that_start_do_not_all_read_a_long_list_at_once() -> None:
-    # 301 nodes before 3,001 runners: each read the whole list a second time within its first 5 s.
+def test_starting_nodes_do_not_all_read_a_long_list_at_once() -> None:
+    # With 301 nodes and 3,001 runners, each node read the full list twice within its first 5 s.
     network = NodeNetwork(20, 2)
     network.runner_ids = [f"i-{number}" for number in range(200)]
     list_runners(network)
     network.run(check_seconds(network) / 2)
-    assert network.store.cheap_calls.total() == 0
-    # By now the nodes are listed too, and their lists are that much longer.
+    assert network.store.stale_read_calls.total() == 0
+    # The nodes are listed too by now, which makes the lists longer.
     network.run(check_seconds(network) + 1.0 - network.scheduler.now)
-    assert network.store.cheap_calls.total() >= 20
+    assert network.store.stale_read_calls.total() >= 20
     network.close()
 
 
-def test_a_node_that_the_store_turns_away_goes_on_with_what_its_peers_know(
+def test_a_node_that_the_store_refuses_continues_with_its_peers(
     network: NodeNetwork,
 ) -> None:
     node = other_than(network, *(relay_of(network, f"zone-{n}") for n in range(ZONES)))
@@ -442,7 +444,7 @@
     assert runner is not None and runner.entry.draining
 
 
-def test_an_outage_that_one_relay_alone_has_seen_moves_nobody_elses_bounds(
+def test_an_outage_that_only_one_relay_saw_moves_no_bounds_elsewhere(
     network: NodeNetwork,
 ) -> None:
     relay = relay_of(network, "zone-1")
@@ -450,7 +452,7 @@
     network.run(6.0)
     network.store.down_for = set()
     network.run(3.0)
-    # As if it had been without peers too: then it counts from the end of its outage itself.
+    # As if the relay's peers had been unreachable too: its own bounds count from the outage's end.
     relay.state.store_regained(network.scheduler.now)
     network.run(3.0)
     others = [node for node in network.nodes.values() if node is not relay]
@@ -458,8 +460,8 @@
     assert all(node.state.outage_ended_at() == float("-inf") for node in others)
 
 
-def test_an_answer_that_waited_while_its_asker_was_frozen_is_as_old_as_the_wait() -> None:
-    # A node that wakes finds answers in its socket; they must not pass for news.
+def test_an_answer_received_during_a_pause_is_as_old_as_the_pause() -> None:
+    # A resumed node finds old answers in its socket, which must not count as fresh.
     network = NodeNetwork(20, 1, own_loops=True)
     list_runners(network)
     network.run(4.0)
@@ -475,8 +477,8 @@
     network.close()
 
 
-def test_a_node_that_lost_the_change_log_of_its_peer_gets_everything(network: NodeNetwork) -> None:
-    # The relay starts anew, knows no removals from before, and its first reader missed one.
+def test_a_node_whose_peer_lost_its_change_log_gets_all_keys(network: NodeNetwork) -> None:
+    # The restarted relay knows no earlier removals, and its first reader has missed one.
     relay = relay_of(network, "zone-1")
     network.kill(relay.node_id)
     network.store.put("servers/i-3", None)
@@ -486,23 +488,23 @@
         assert node.state.pool.get("i-3") is None, node.node_id
 
 
-def test_a_node_that_is_gone_for_good_is_taken_off_the_list_and_one_that_lives_is_not() -> None:
+def test_a_stopped_node_is_removed_and_a_running_one_is_not() -> None:
     network = NodeNetwork(24, 2, own_loops=True)
     list_runners(network)
     network.run(4.0)
-    gone = relay_of(network, "zone-1")
+    stopped = relay_of(network, "zone-1")
     paused = next(n for n in network.nodes.values() if n.zone == "zone-0")
-    network.kill(gone.node_id)
+    network.kill(stopped.node_id)
     network.run(20.0)
     replacement = network.add("node-new", "zone-1")
     network.run(25.0)
-    assert "hillstack/nodes/" + gone.node_id not in network.store.items
+    assert "hillstack/nodes/" + stopped.node_id not in network.store.items
     listed = {node.node_id for node in paused.state.nodes.all()}
     assert listed == set(network.nodes) and replacement.node_id in listed
     assert paused.state.nodes.sharing_count(network.scheduler.now) == 24 + 1
     network.run(25.0)
     assert paused.state.nodes.sharing_count(network.scheduler.now) == 24
-    # One that was away for as long is removed too, and lists itself again as soon as it can.
+    # A node paused for that long is removed too, and writes its entry again once it is resumed.
     paused.loop.frozen = True
     network.run(40.0)
     assert "hillstack/nodes/" + paused.node_id not in network.store.items
@@ -513,14 +515,14 @@
     network.close()
 
 
-def test_an_entry_that_was_written_anew_is_not_removed() -> None:
+def test_a_rewritten_entry_is_not_removed() -> None:
     network = NodeNetwork(4, 1)
     network.run(3.0)
     key = "hillstack/nodes/node-1"
     known = network.store.items[key]
     assert known.value is not None
     network.store.put(key, known.value)
-    removing = StoreClient(network.store, "node-0", StoreEra()).remove_node(
+    removing = MemoryStoreClient(network.store, "node-0", StoreEra()).remove_node(
         "node-1", known.revision
     )
     task = network.scheduler.spawn(network.scheduler.new_loop(), removing)
@@ -529,9 +531,9 @@
     network.close()
 
 
-def test_lost_history_is_read_again_by_few(network: NodeNetwork) -> None:
+def test_lost_history_is_reloaded_by_few_nodes(network: NodeNetwork) -> None:
     network.store.calls.clear()
-    network.store.forgotten = network.store.revision + 5
+    network.store.compacted_revision = network.store.revision + 5
     network.store.history.clear()
     for number in range(6):
         write_runner(network, "i-1", seq=20 + number)
@@ -543,7 +545,7 @@
 
 
 @pytest.mark.parametrize("cut", [0, 1, 20])
-def test_a_malformed_or_cut_message_is_refused(cut: int) -> None:
+def test_a_malformed_or_truncated_message_is_refused(cut: int) -> None:
     batch = RelayBatch(PROTOCOL_VERSION, "node-1", "zone-1", [], [b"\x00\xff notice"])
     payload = pack(batch)
     assert unpack(payload, RelayBatch, "peer") == batch
@@ -556,9 +558,9 @@
         unpack(pack(other_version), ChangesQuestion, "peer")
 
 
-# Guards against nodes of other zones that are taken off the list though they are heard all along.
+# Guards against removing the entries of nodes of other zones although their notices arrive.
 @pytest.mark.parametrize("count", [5, 7, 9])
-def test_a_small_deployment_takes_no_node_that_lives_off_the_list(count: int) -> None:
+def test_a_small_deployment_removes_no_running_node(count: int) -> None:
     network = NodeNetwork(count, 3)
     network.run(3.0)
     before = dict(network.store.items)
--- a/tests/fleet/test_relays_at_rest.py
+++ b/tests/fleet/test_relays_at_rest.py
@@ -1,4 +1,4 @@
-"""What relays do when nothing happens, and what repeated words do not change."""
+"""Idle traffic of relays, repeated announcements and loads, and urgent notices."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from tests.fleet.builders import MODEL
 from tests.fleet.node_network import DELAY_SECONDS, NodeNetwork, list_runners
 
-REST_SECONDS = 20.0
+IDLE_SECONDS = 20.0
 
 
 @pytest.mark.parametrize(("count", "zones"), [(64, 3), (70, 5), (66, 6)])
 def test_one_node_of_a_zone_relays(count: int, zones: int) -> None:
-    # Seen: at 70 nodes in five zones 25 nodes relayed, and each node took 15 to 19 batches a
-    # second at rest.
-    # Cause: a node that relayed without being its zone's relay was not told by the relays of other
-    # zones, took their silence for their end, and went on to the next nodes, which then relayed.
+    # Failure: with 70 nodes in five zones 25 nodes relayed, and each node received 15 to 19 batches
+    # per second when idle.
+    # Cause: a node that relayed without being its zone's relay got no batches from the relays of
+    # other zones, considered them failed, and sent to the next nodes, which then relayed as well.
     network = NodeNetwork(count, zones)
     list_runners(network)
-    network.run(REST_SECONDS)
-    network.taken.clear()
+    network.run(IDLE_SECONDS)
+    network.received.clear()
     network.run(5.0)
     now = network.scheduler.now
     relaying = [n for n in network.nodes.values() if n.exchange._relay._is_relaying(now)]
     assert len(relaying) == zones
-    counts = sorted(network.taken[node_id] / 5.0 for node_id in network.nodes)
-    # Batches of its relay, some of them with words that another node is alive, and answers on
-    # what has changed at the store.
+    counts = sorted(network.received[node_id] / 5.0 for node_id in network.nodes)
+    # Batches of the zone's relay, some with heartbeats of other nodes, and answers with changes of
+    # the store.
     assert counts[count // 2] <= 12
     network.close()
 
 
-def test_repeating_when_a_version_was_named_does_not_make_it_later() -> None:
-    # Seen: with 64 nodes each second made it 0.3 s later, so that old weights would have been used
-    # for three seconds longer than allowed.
-    # Cause: a word tells an age, and counts from when it comes: late by its way. Each node took
-    # the latest that it heard, and told it again.
+def test_repeated_announcements_do_not_make_the_announcement_time_later() -> None:
+    # Failure: with 64 nodes the announcement time became 0.3 s later each second, so that old
+    # weights would have been used for three seconds longer than allowed. Cause: notices contained
+    # an age, which was subtracted from the time of receipt and so was wrong by the one-way latency.
+    # Each node adopted the latest time it received, and sent it on.
     network = NodeNetwork(64, 3)
     list_runners(network)
     network.run(4.0)
@@ -51,7 +51,7 @@
     network.close()
 
 
-def test_an_urgent_word_waits_at_no_relay() -> None:
+def test_an_urgent_notice_is_forwarded_without_delay() -> None:
     network = NodeNetwork(64, 3)
     list_runners(network)
     network.run(6.0)
@@ -60,7 +60,7 @@
     runner = sender.state.pool.get("i-1")
     assert runner is not None
     network.at_node(sender, partial(sender.exchange.suspected, runner))
-    # Three ways: to the relay of its zone, to that of another one, and to the nodes there.
+    # Three hops: to the relay of the zone, to the relay of another zone, and to the nodes there.
     network.run(3 * DELAY_SECONDS + 0.001)
     for node in network.nodes.values():
         known = node.state.pool.get("i-1")
@@ -68,9 +68,9 @@
     network.close()
 
 
-def test_loads_outlast_two_lost_repetitions_in_a_row_at_most_places() -> None:
-    # Sums that had not changed were once told less often, which saved 3 in 100 of the time; then
-    # nodes lacked the loads of whole zones for some seconds.
+def test_loads_survive_two_consecutive_lost_repetitions_at_most_nodes() -> None:
+    # Sending unchanged sums less often saved 3 in 100 of the time, but then nodes lacked the loads
+    # of whole zones for some seconds.
     network = NodeNetwork(70, 5, loss=0.05, seed=3)
     list_runners(network)
     network.run(4.0)
--- a/tests/fleet/test_standing_work.py
+++ b/tests/fleet/test_standing_work.py
@@ -1,4 +1,4 @@
-"""What a node does beside its requests: servers that rest, signs of life that are handed on."""
+"""Background work of a node: timers of idle servers, forwarded heartbeats, relay checks."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 from hillstack.simulation.virtual_loop import Scheduler
 from tests.fleet.builders import make_route, make_state, make_table
 
-LOOK_SECONDS = 0.35
+OBSERVATION_SECONDS = 0.35
 QUESTION = f"GET {READY_PATH} HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n".encode()
 
 
-def test_a_server_without_a_date_header_sets_no_timers_while_it_rests(
+def test_an_idle_server_without_a_date_header_sets_no_timers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def run() -> tuple[int, bytes]:
@@ -42,7 +42,7 @@
         while not server.started:  # noqa: ASYNC110 (uvicorn offers no event)
             await asyncio.sleep(0.01)
         made = _count_timers(monkeypatch)
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(OBSERVATION_SECONDS)
         own_sleep = 1
         timers = len(made) - own_sleep
         answer = await _ask(server.servers[0].sockets[0].getsockname()[1])
@@ -57,7 +57,7 @@
     assert b"date:" not in answer.lower()
 
 
-def test_a_server_that_was_told_to_end_before_it_began_ends_at_once() -> None:
+def test_a_server_that_is_stopped_before_it_starts_ends_at_once() -> None:
     async def run() -> bool:
         server = make_server(Readiness(lambda: True), "127.0.0.1:0", date_header=False)
         server.should_exit = True
@@ -90,8 +90,8 @@
     return made
 
 
-class _KeptLink(PeerLink):
-    """A link that keeps what it is told to send."""
+class _RecordingLink(PeerLink):
+    """A link that records the batches to send."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -100,8 +100,8 @@
     def send_to_all(self, kind: DatagramKind, payload: bytes, addresses: Iterable[str]) -> None:
         self.sent.append((kind, unpack(payload, RelayBatch, "relay")))
 
-    def handed_on(self, kind: DatagramKind) -> list[NodeNotice]:
-        notices = [n for told, batch in self.sent if told is kind for n in batch.notices]
+    def forwarded(self, kind: DatagramKind) -> list[NodeNotice]:
+        notices = [n for sent_kind, batch in self.sent if sent_kind is kind for n in batch.notices]
         return [decode(notice, "relay") for notice in notices]
 
 
@@ -112,8 +112,8 @@
     return NodeReport(PROTOCOL_VERSION, "node-2", 7, [load], encode(notice), is_news=is_news)
 
 
-def test_a_relay_does_not_repeat_that_a_node_is_alive_with_each_of_its_loads() -> None:
-    link = _KeptLink()
+def test_a_relay_does_not_forward_a_heartbeat_with_each_load() -> None:
+    link = _RecordingLink()
     state = make_state(make_table(make_route()))
     choice = RelayChoice(state.node_id, state.nodes)
     now = 0.0
@@ -128,18 +128,18 @@
             relay.flush()
 
     asyncio.run(run())
-    near = link.handed_on(DatagramKind.FINAL_BATCH)
-    told = [n.placements[0].number for n in near if n.placements]
-    assert told == [10, 60, 110, 160]
-    # It is heard at least each 0.8 s, which is as often as a node at rest sends.
-    assert len(near) - len(told) <= 4
-    far = link.handed_on(DatagramKind.ZONE_BATCH)
-    assert [n.placements[0].number for n in far if n.placements] == told
+    zone_notices = link.forwarded(DatagramKind.FINAL_BATCH)
+    placement_numbers = [n.placements[0].number for n in zone_notices if n.placements]
+    assert placement_numbers == [10, 60, 110, 160]
+    # Its heartbeat is forwarded at least each 0.8 s, which is how often an idle node sends one.
+    assert len(zone_notices) - len(placement_numbers) <= 4
+    remote_notices = link.forwarded(DatagramKind.ZONE_BATCH)
+    assert [n.placements[0].number for n in remote_notices if n.placements] == placement_numbers
     loads = [load for _, batch in link.sent for zone in batch.loads for load in zone.loads]
     assert len(loads) == 2 * 200
 
 
-def test_a_node_that_does_not_relay_looks_less_often_whether_it_should(
+def test_a_node_that_does_not_relay_checks_less_often_whether_it_should(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scheduler = Scheduler()
--- a/tests/fleet/test_store_era.py
+++ b/tests/fleet/test_store_era.py
@@ -1,4 +1,4 @@
-"""The era of the store: which answers count, what is asked for by number, and bad headers."""
+"""The era of the store: outdated answers, revisions of earlier eras, and invalid headers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def with_store(scenario: Scenario) -> None:
-    """Play a scenario with the stand-in of the store, over HTTP."""
+    """Run a scenario with the emulated store, over HTTP."""
 
     async def play() -> None:
         stand_in = FleetStore()
@@ -52,7 +52,7 @@
 
 
 class NewEras:
-    """Notes who told of each new era."""
+    """Records the source of each new era."""
 
     def __init__(self) -> None:
         self.told_by: list[str] = []
@@ -65,39 +65,39 @@
         self.fallen += 1
 
 
-def test_the_first_era_that_is_named_is_no_new_one() -> None:
-    heard = NewEras()
-    assert heard.era.of_answer(7, 0, may_be_old=False) == 7
-    assert heard.told_by == []
-    assert heard.era.of_answer(9, 7, may_be_old=False) == 9
-    heard.era.hear(10, "node-2")
-    assert heard.told_by == [STORE, "node-2"]
+def test_the_first_era_received_is_not_reported_as_new() -> None:
+    eras = NewEras()
+    assert eras.era.of_answer(7, 0, may_be_old=False) == 7
+    assert eras.told_by == []
+    assert eras.era.of_answer(9, 7, may_be_old=False) == 9
+    eras.era.hear(10, "node-2")
+    assert eras.told_by == [STORE, "node-2"]
 
 
-# Guards against an answer of before a restore that arrives after the news of it.
-def test_an_answer_that_crosses_a_restore_is_outdated() -> None:
-    heard = NewEras()
-    heard.era.hear(3, STORE)
-    heard.era.hear(4, "node-2")
-    assert heard.era.of_answer(3, 3, may_be_old=False) is None
-    assert heard.era.of_answer(None, 3, may_be_old=False) is None
-    assert heard.fallen == 0
+# Guards against accepting an answer from before a restore that arrives after the notice of it.
+def test_an_answer_from_before_a_restore_is_outdated() -> None:
+    eras = NewEras()
+    eras.era.hear(3, STORE)
+    eras.era.hear(4, "node-2")
+    assert eras.era.of_answer(3, 3, may_be_old=False) is None
+    assert eras.era.of_answer(None, 3, may_be_old=False) is None
+    assert eras.fallen == 0
 
 
-def test_a_list_that_may_be_old_says_nothing_of_an_era_that_fell() -> None:
-    heard = NewEras()
-    heard.era.hear(4, STORE)
-    assert heard.era.of_answer(3, 4, may_be_old=True) is None
-    assert heard.fallen == 0
+def test_a_list_that_may_be_old_does_not_show_a_decreased_era() -> None:
+    eras = NewEras()
+    eras.era.hear(4, STORE)
+    assert eras.era.of_answer(3, 4, may_be_old=True) is None
+    assert eras.fallen == 0
 
 
-# Guards against a platform whose era falls: nodes would hear nothing of it any more.
-def test_a_store_that_names_a_lower_era_again_is_read_anew_once_and_followed() -> None:
-    heard = NewEras()
-    heard.era.hear(4, STORE)
+# Guards against rejecting all answers of a store whose era decreases.
+def test_a_store_with_a_decreased_era_is_reloaded_once_and_followed() -> None:
+    eras = NewEras()
+    eras.era.hear(4, STORE)
     for _ in range(3):
-        assert heard.era.of_answer(2, 4, may_be_old=False) == 4
-    assert heard.fallen == 1
+        assert eras.era.of_answer(2, 4, may_be_old=False) == 4
+    assert eras.fallen == 1
 
 
 def test_a_store_without_eras_stays_in_the_first_one() -> None:
@@ -111,7 +111,7 @@
     with_store(scenario)
 
 
-def test_what_is_asked_for_after_a_restore_counts_in_its_era() -> None:
+def test_reads_after_a_restore_are_of_the_new_era() -> None:
     async def scenario(stand_in: FleetStore, store: MetadataStore) -> None:
         stand_in.put("key", b"1")
         copy = stand_in.copy()
@@ -129,7 +129,7 @@
     with_store(scenario)
 
 
-# Guards against a condition on a number that the restored store has given to another change.
+# Guards against a condition on a revision number that the restored store has reused.
 def test_a_condition_of_an_earlier_era_never_holds() -> None:
     async def scenario(stand_in: FleetStore, store: MetadataStore) -> None:
         copy = stand_in.copy()
@@ -139,7 +139,7 @@
         stand_in.restore(copy)
         number = stand_in.put("key", b"another")
         assert number == known.mod_revision.number
-        # Once before the node has heard of the restore, once after it.
+        # Once before the node has learned of the restore, once after it.
         with pytest.raises(PlatformOutcomeUnknownError):
             await store.transact([RevisionIs("key", known.mod_revision)], [Put("x", b"")])
         assert (
@@ -150,7 +150,7 @@
     with_store(scenario)
 
 
-def test_pages_of_two_eras_are_no_list() -> None:
+def test_pages_of_two_eras_are_rejected() -> None:
     async def scenario(stand_in: FleetStore, store: MetadataStore) -> None:
         for number in range(4):
             stand_in.put(f"key-{number}", b"1")
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("text", ["-1", "three", "1.5", "9" * 40, "\u00b2"])
-def test_a_header_that_is_no_number_is_told_once_and_passed_over(
+def test_an_invalid_era_header_is_logged_once_and_ignored(
     text: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scenario(stand_in: FleetStore, store: MetadataStore) -> None:
@@ -176,12 +176,12 @@
 
     with caplog.at_level(logging.ERROR):
         with_store(scenario)
-    told = [line for line in caplog.records if line.message == "store era can't be read"]
-    assert len(told) == 1
+    logged = [line for line in caplog.records if line.message == "store era can't be read"]
+    assert len(logged) == 1
 
 
-# Guards against knowledge of before a restore that passes for fresh since it was proved just now.
-def test_a_peer_that_has_not_heard_of_the_restore_proves_nothing() -> None:
+# Guards against accepting a copy from before a restore as fresh because it was proved recently.
+def test_a_peer_that_does_not_know_of_the_restore_proves_no_freshness() -> None:
     network = NodeNetwork(2, 1)
     list_runners(network)
     network.run(4.0)
@@ -196,8 +196,8 @@
     network.close()
 
 
-# Guards against a node that hears nothing while the store turns it away and its history is gone.
-def test_a_node_that_the_store_turns_away_learns_of_a_restore_from_its_peers() -> None:
+# Guards against a node that gets no changes while the store refuses it and its history is lost.
+def test_a_node_that_the_store_refuses_learns_of_a_restore_from_its_peers() -> None:
     network = NodeNetwork(2, 1)
     list_runners(network)
     network.run(4.0)
@@ -215,7 +215,7 @@
     assert runner is not None and runner.leaves
 
 
-def test_an_answer_of_an_earlier_build_says_nothing_of_changes() -> None:
+def test_an_answer_of_an_earlier_build_counts_as_incomplete() -> None:
     sent: list[bytes] = []
     link = PeerLink()
     state = make_state(make_table(make_route()))
--- a/tests/fleet/test_store_sync.py
+++ b/tests/fleet/test_store_sync.py
@@ -1,4 +1,4 @@
-"""Following the store: changes, freshness, lost history, outages."""
+"""Synchronization with the store: changes, freshness, lost history and outages."""
 
 from __future__ import annotations
 
@@ -62,18 +62,18 @@
 
 
 def as_changes(events: list[StoreEvent], first_revision: int = 1) -> list[StoreChange]:
-    """Return changes of which each has a value that stands for its meaning."""
+    """Return changes with one revision each; each value is the text form of its event."""
     changes = []
     for revision, event in enumerate(events, first_revision):
-        gone = isinstance(event, RunnerUnlisted | NodeUnlisted)
-        value = None if gone else repr(event).encode()
+        is_removed = isinstance(event, RunnerUnlisted | NodeUnlisted)
+        value = None if is_removed else repr(event).encode()
         changes.append(StoreChange(StoredItem(key_of(event), rev(revision), value), event))
     return changes
 
 
 @dataclass
 class FakeStore:
-    """A store whose answers the test scripts."""
+    """A store with scripted answers."""
 
     snapshots: list[Snapshot] = field(default_factory=list)
     listed_nodes: set[str] = field(default_factory=set)
@@ -84,47 +84,47 @@
     calls: int = 0
     loads: int = 0
     held: dict[str, StoreChange] = field(default_factory=dict)
-    held_of: Snapshot | None = None
+    loaded_snapshot: Snapshot | None = None
     history: list[StoreChange] = field(default_factory=list)
     revision: int = 0
-    silent_looks: int = 0
-    # Changes are made, and watches hear nothing of them.
-    is_deaf: bool = False
+    unanswered_polls: int = 0
+    # Whether polls return no changes although changes are made.
+    hides_changes: bool = False
 
     async def snapshot(self, *, may_be_old: bool = False) -> Snapshot:
         self.calls += 1
         self.loads += 1
         if isinstance(self.failure, PlatformUnavailableError):
             raise self.failure
-        self._hold_snapshot()
-        self._carry_out_pending()
+        self._load_snapshot()
+        self._apply_pending()
         return Snapshot(list(self.held.values()), rev(self.revision), rev(self.revision))
 
     async def changes(self, revision: StoreRevision, wait_seconds: float) -> Changes:
         self.calls += 1
         if self.failure is not None:
             raise self.failure
-        if self.silent_looks > 0:
-            self.silent_looks -= 1
+        if self.unanswered_polls > 0:
+            self.unanswered_polls -= 1
             await asyncio.sleep(wait_seconds + CALL_LIMIT_SECONDS)
             raise PlatformOutcomeUnknownError("no answer", step="watch", peer="store")
-        if self.is_deaf:
-            heard = len(self.history)
-            self._carry_out_pending()
-            del self.history[heard:]
+        if self.hides_changes:
+            seen_changes = len(self.history)
+            self._apply_pending()
+            del self.history[seen_changes:]
             return Changes([], rev(self.revision))
-        self._carry_out_pending()
-        news = [change for change in self.history if change.item.revision > revision]
-        return Changes(news, rev(self.revision))
+        self._apply_pending()
+        newer = [change for change in self.history if change.item.revision > revision]
+        return Changes(newer, rev(self.revision))
 
-    def _hold_snapshot(self) -> None:
+    def _load_snapshot(self) -> None:
         scripted = self.snapshots[0]
-        if scripted is not self.held_of:
-            self.held_of = scripted
+        if scripted is not self.loaded_snapshot:
+            self.loaded_snapshot = scripted
             self.held = {change.item.key: change for change in scripted.changes}
             self.revision = scripted.revision.number
 
-    def _carry_out_pending(self) -> None:
+    def _apply_pending(self) -> None:
         events, self.pending = self.pending, []
         changes = as_changes(events, self.revision + 1)
         self.revision += len(events)
@@ -150,7 +150,7 @@
 
 @dataclass
 class Bench:
-    """A node's sync over a scripted store, in virtual time."""
+    """The store sync of one node with a scripted store, in virtual time."""
 
     state: FleetState
     store: FakeStore
@@ -163,7 +163,7 @@
 
 @dataclass
 class FakePeers:
-    """Peers whose answers the test scripts."""
+    """Peers with scripted answers."""
 
     answers: dict[str, RelayedChanges | None] = field(default_factory=dict)
     asked: list[str] = field(default_factory=list)
@@ -222,13 +222,13 @@
     assert bench.store.announced == ["10.0.0.1:1 zone-a"]
 
 
-def test_a_runner_that_is_gone_gets_no_work_at_once(bench: Bench) -> None:
+def test_a_removed_runner_gets_no_work_at_once(bench: Bench) -> None:
     bench.store.pending.append(RunnerUnlisted("i-1"))
     bench.run(1.1)
     assert accepting(bench) == []
 
 
-def test_after_lost_history_everything_is_read_again(bench: Bench) -> None:
+def test_lost_history_reloads_the_whole_store(bench: Bench) -> None:
     bench.store.failure = HistoryLostError("history gone", step="watch", peer="store")
     bench.store.snapshots[0] = Snapshot(
         as_changes([RunnerListed(make_entry("i-2", ENGINES, weights=1))]),
@@ -240,37 +240,37 @@
     assert accepting(bench) == []
 
 
-def test_in_an_outage_what_is_known_stays_and_grows_old(bench: Bench) -> None:
+def test_an_outage_keeps_runners_and_ends_freshness(bench: Bench) -> None:
     bench.store.failure = PlatformUnavailableError("down", step="watch", peer="store")
     bench.run(5.0)
     assert accepting(bench) == ["i-1"]
     assert not bench.state.freshness.is_fresh(bench.scheduler.now)
 
 
-def test_a_look_over_a_silent_connection_costs_no_freshness(bench: Bench) -> None:
-    # No peer knows more: where all open connections went silent, theirs did too.
+def test_a_poll_over_a_broken_connection_keeps_freshness(bench: Bench) -> None:
+    # The peer has no answer either: a failure that breaks all open connections breaks its own too.
     bench.state.apply(NodeListed("node-2", "10.0.0.2:1", "zone-a"), bench.scheduler.now)
     bench.run(2.0)
     for _ in range(5):
-        bench.store.silent_looks = 1
+        bench.store.unanswered_polls = 1
         oldest = 0.0
         for _ in range(100):
             bench.run(0.1)
             oldest = max(oldest, bench.state.freshness.age(bench.scheduler.now))
-        assert bench.store.silent_looks == 0
+        assert bench.store.unanswered_polls == 0
         assert oldest <= 1.2 + WATCH_WAIT_SECONDS + CALL_LIMIT_SECONDS
 
 
-def test_a_store_that_stays_silent_is_not_asked_twice_each_time(bench: Bench) -> None:
+def test_a_store_that_never_answers_is_not_polled_twice_each_time(bench: Bench) -> None:
     bench.state.apply(NodeListed("node-2", "10.0.0.2:1", "zone-a"), bench.scheduler.now)
     bench.run(2.0)
     before = bench.store.calls
-    bench.store.silent_looks = 1_000
+    bench.store.unanswered_polls = 1_000
     bench.run(20.0)
     assert bench.store.calls - before <= 8
 
 
-def test_runners_whose_entries_lapsed_in_an_outage_serve_on_until_they_are_back(
+def test_runners_whose_entries_expired_in_an_outage_stay_in_use_until_relisted(
     bench: Bench,
 ) -> None:
     runner = bench.state.pool.get("i-1")
@@ -287,7 +287,7 @@
     assert bench.state.pool.get("i-2") is None
 
 
-def test_a_runner_that_is_listed_again_is_still_known(bench: Bench) -> None:
+def test_a_relisted_runner_keeps_its_state(bench: Bench) -> None:
     runner = bench.state.pool.get("i-2")
     assert runner is not None
     bench.state.pool.observe_weights(runner, MODEL, 3)
@@ -301,10 +301,10 @@
 
 
 @pytest.mark.parametrize("removal_revision", [None, rev(45)])
-def test_an_entry_that_is_told_again_after_its_removal_is_kept(
+def test_an_entry_that_is_listed_again_after_its_removal_is_kept(
     bench: Bench, removal_revision: StoreRevision | None
 ) -> None:
-    # The entry is known ahead of its removal where a list of several pages has shown it.
+    # A paginated list can show an entry before the removal that precedes it has been applied.
     entry = make_entry("i-9", ENGINES, weights=1, revision=46)
     now = bench.scheduler.now
     bench.state.apply(RunnerListed(entry), now)
@@ -315,7 +315,7 @@
     assert bench.state.pool.get("i-9") is not None
 
 
-def test_a_removal_that_is_older_than_the_entry_is_passed_over(bench: Bench) -> None:
+def test_a_removal_older_than_the_entry_is_ignored(bench: Bench) -> None:
     entry = make_entry("i-9", ENGINES, weights=1, revision=46)
     bench.state.apply(RunnerListed(entry), bench.scheduler.now)
     bench.state.apply(RunnerUnlisted("i-9", rev(45)), bench.scheduler.now)
@@ -324,9 +324,9 @@
     assert bench.state.pool.get("i-9") is None
 
 
-def test_versions_named_in_an_outage_count_from_its_end(bench: Bench) -> None:
-    # inc-1e0b: versions named in an outage of 6 s counted from before it, so that all runners were
-    # too old at once when the store was back, and nothing was served for 3 s.
+def test_versions_announced_in_an_outage_count_from_its_end(bench: Bench) -> None:
+    # inc-1e0b: versions announced during an outage of 6 s counted from before the outage. When the
+    # store was back, all runners were outdated at once, and nothing was served for 3 s.
     bench.scheduler.run_until(3.0)
     bench.store.failure = PlatformUnavailableError("status 503", step="watch", peer="store")
     bench.scheduler.run_until(9.0)
@@ -338,7 +338,7 @@
     assert bench.state.versions.superseded_at(MODEL, 6) <= 3.0
 
 
-def test_versions_count_again_after_an_outage_but_not_after_one_lost_answer(
+def test_an_outage_restarts_version_deadlines_but_a_lost_answer_does_not(
     bench: Bench,
 ) -> None:
     bench.store.pending = [WeightsNamed(MODEL, 2)]
@@ -359,12 +359,10 @@
 
 
 @pytest.mark.parametrize("reason", ["throttled", "late itself", "late itself at last"])
-def test_calls_that_fail_though_the_store_is_there_begin_no_bound_again(
-    bench: Bench, reason: str
-) -> None:
-    # A store that refuses a call for its rate is there, and a node that is late with its own
-    # reading misses answers. Each of these began all bounds again, so that older weights were used
-    # for longer than allowed.
+def test_failed_calls_to_a_running_store_restart_no_bounds(bench: Bench, reason: str) -> None:
+    # A store that throttles calls is up, and a node whose event loop lags misses answers. Both were
+    # taken for outages and restarted all bounds, so that older weights were used longer than
+    # allowed.
     bench.store.pending = [WeightsNamed(MODEL, 2)]
     bench.run(1.1)
     before = bench.state.versions.deadline(MODEL, 1)
@@ -376,7 +374,7 @@
     bench.is_behind = reason != "throttled"
     bench.run(0.5)
     bench.store.failure = None
-    # Entries may have lapsed all the same: a runner that is gone from the list is used on.
+    # Entries may have expired anyway, so a runner that is missing from the list stays in use.
     bench.store.pending = [RunnerUnlisted("i-1")]
     bench.run(1.0)
     assert bench.state.versions.deadline(MODEL, 1) == before
@@ -392,16 +390,16 @@
     assert bench.state.versions.named_after(MODEL, 4) == proved_at
 
 
-def test_a_version_that_a_watch_did_not_show_counts_from_before_it(bench: Bench) -> None:
-    # Watches hear nothing while changes are made, and the history is lost after that: the looks in
-    # between seem to prove that the version was not there yet.
+def test_a_version_that_a_poll_did_not_return_counts_from_before_the_poll(bench: Bench) -> None:
+    # Polls return no changes while changes are made, and then the history is lost. The polls in
+    # between seem to prove that the version did not exist yet.
     bench.run(5.0)
     proved_at = bench.state.freshness.proved_at()
-    bench.store.is_deaf = True
+    bench.store.hides_changes = True
     bench.store.pending = [WeightsNamed(MODEL, 5)]
     bench.run(3.1)
     assert bench.state.versions.newest(MODEL) == 1
-    bench.store.is_deaf = False
+    bench.store.hides_changes = False
     bench.store.failure = HistoryLostError("gone", step="watch", peer="store")
     bench.run(1.1)
     bench.store.failure = None
@@ -410,7 +408,7 @@
     assert bench.state.versions.named_after(MODEL, 4) == proved_at
 
 
-def test_requests_wait_for_the_first_read_of_the_store_but_not_for_a_store_that_is_down() -> None:
+def test_requests_wait_for_the_first_store_read_but_not_for_a_store_that_is_down() -> None:
     for failure in (None, PlatformUnavailableError("refused", step="list", peer="store")):
         state = FleetState("node-1", Freshness(4.0), WeightsVersions(8.0), make_budget())
         store = FakeStore([Snapshot([], rev(10), rev(10))], failure=failure)
