--- a/src/hillstack/daemon/change_log.py
+++ b/src/hillstack/daemon/change_log.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedKeys:
-    """What can be read from the list of all keys of the store.
+    """The decoded list of all keys of the store.
 
     Attributes:
         runner_ids: The listed runners.
--- a/src/hillstack/daemon/node_registry.py
+++ b/src/hillstack/daemon/node_registry.py
@@ -1,7 +1,7 @@
 """Removes the store entries of nodes whose machines were permanently removed.
 
 A node writes its entry at its first start and leaves it in the store when it stops, because it
-usually restarts. The relay of a zone receives a sign of life from each node of the zone at least
+usually restarts. The relay of a zone receives a heartbeat of each node of the zone at least
 once a second, and removes the entry of a node that has been silent for long. The removal is
 conditional on the entry's revision, so an entry that the node has rewritten meanwhile stays. A
 running node whose entry was removed, because its messages were lost for that long, writes the entry
@@ -51,7 +51,7 @@
 
     Args:
         store: The store.
-        state: State of the node.
+        state: State of this node.
         silent_nodes: Returns the nodes of this node's group from which nothing was received for a
             number of seconds; empty while removing them is another node's task.
         clock: Monotonic clock in seconds.
--- a/src/hillstack/daemon/notice_reader.py
+++ b/src/hillstack/daemon/notice_reader.py
@@ -73,7 +73,7 @@
         if not notice.is_news():
             return
         for weights in notice.weights:
-            self._take_weights(weights, now)
+            self._apply_weights(weights, now)
         for runner_id in notice.suspected:
             runner = self._state.pool.get(runner_id)
             if runner is not None:
@@ -87,12 +87,12 @@
             if runner is not None:
                 self._state.pool.hint_leaving(runner, now)
         for limit in notice.limits:
-            self._take_limit(limit, now)
-        self._take_cache(notice, now)
+            self._apply_limit(limit, now)
+        self._apply_cache(notice, now)
         if notice.store_era is not None:
             self._state.store_era.hear(notice.store_era, notice.node_id)
         for entry in notice.announcements:
-            self._take_announcement(notice.node_id, entry, now)
+            self._apply_announcement(notice.node_id, entry, now)
         if self._on_placement is not None:
             for placement in notice.placements:
                 self._on_placement(notice.node_id, placement, now)
@@ -129,8 +129,8 @@
                 load = load.without(runner.attempts.load())
             pool.note_peer_load(runner, reporter, load, now)
 
-    def _take_announcement(self, peer: str, entry: AnnouncementNotice, now: float) -> None:
-        """Apply the announcement of a weights version before the next read of the store.
+    def _apply_announcement(self, peer: str, entry: AnnouncementNotice, now: float) -> None:
+        """Apply the announcement of a weights version that was not read from the store yet.
 
         The version was announced after the latest moment at which this node knows that the store
         did not have it. The time of receipt at the peer is not used, since it is later than the
@@ -153,27 +153,27 @@
             era = self._state.proofs.earliest_era() or 0
         return StoreRevision(era, entry.revision)
 
-    def _take_limit(self, limit: LimitNotice, now: float) -> None:
+    def _apply_limit(self, limit: LimitNotice, now: float) -> None:
         pool, age_seconds = self._state.pool, max(0.0, limit.age_ms / MILLISECONDS)
         if limit.rate == NO_LIMIT:
             pool.hint_limit_end(limit.runner_id, age_seconds, now)
         elif pool.hint_limit(limit.runner_id, limit.rate, age_seconds, now):
             self._on_outdated_limit(limit.runner_id)
 
-    def _take_cache(self, notice: NodeNotice, now: float) -> None:
+    def _apply_cache(self, notice: NodeNotice, now: float) -> None:
         for holder_id in notice.cache_lost:
             self._state.index.clear(holder_id)
         for cached in notice.cache:
-            self._take_cached(cached)
+            self._apply_cached(cached)
         for address in notice.unavailable:
             self._state.note_unavailable(address, now)
 
-    def _take_cached(self, notice: CacheNotice) -> None:
+    def _apply_cached(self, notice: CacheNotice) -> None:
         self._state.note_cache_heard(notice.holder_id)
         for part in notice.prompt_parts():
             self._state.index.confirm(notice.holder_id, notice.salt, part)
 
-    def _take_weights(self, notice: WeightsNotice, now: float) -> None:
+    def _apply_weights(self, notice: WeightsNotice, now: float) -> None:
         runner = self._state.pool.get(notice.runner_id)
         if runner is None:
             return
--- a/src/hillstack/daemon/notice_relay.py
+++ b/src/hillstack/daemon/notice_relay.py
@@ -72,7 +72,7 @@
         self._discarded_at = float("-inf")
         self._timer: asyncio.TimerHandle | None = None
 
-    def take_report(self, report: NodeReport, now: float) -> list[LoadNotice]:
+    def forward_report(self, report: NodeReport, now: float) -> list[LoadNotice]:
         """Forward a report of a node of this zone, or of this node itself.
 
         Returns:
@@ -90,13 +90,13 @@
             self._schedule(urgent=report.is_urgent)
         return sums
 
-    def take_batch(self, batch: RelayBatch, now: float, *, urgent: bool = False) -> None:
+    def forward_batch(self, batch: RelayBatch, now: float, *, urgent: bool = False) -> None:
         """Forward a batch of the relay of another zone to the nodes of this zone.
 
         Args:
             batch: The batch.
             now: Time on the node's clock.
-            urgent: Whether it contains urgent notices, which are forwarded without delay.
+            urgent: Whether the batch contains urgent notices, so that it is forwarded at once.
         """
         self._received_at = now
         for zone_loads in batch.loads:
@@ -107,15 +107,15 @@
         if batch.loads or batch.notices:
             self._schedule(urgent=urgent)
 
-    def take_region_batch(self, batch: RelayBatch, now: float, *, urgent: bool) -> None:
+    def forward_region_batch(self, batch: RelayBatch, now: float, *, urgent: bool) -> None:
         """Forward a batch of another region to the relays of this region, and to this zone.
 
-        The relays get the batch at once. It keeps the name of the region that it comes from, so
-        that it is not sent to other regions again.
+        The relays get the batch at once. The batch keeps the name of the region that it comes from,
+        so that it is not sent to other regions again.
         """
         forwarded = msgspec.structs.replace(batch, relay_id=self._state.node_id, zone=self._zone)
         self._link.send_to_all(DatagramKind.ZONE_BATCH, pack(forwarded), self._relay_addresses(now))
-        self.take_batch(batch, now, urgent=urgent)
+        self.forward_batch(batch, now, urgent=urgent)
 
     async def run(self) -> None:
         """Send heartbeats while this node relays, until cancelled."""
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -120,8 +120,7 @@
         link.handle(DatagramKind.ZONE_BATCH, self._on_zone_batch)
         link.handle(DatagramKind.FINAL_BATCH, self._on_final_batch)
         link.handle(DatagramKind.REGION_BATCH, self._on_region_batch)
-        # Nodes poll the store at different times; the first to read a new version notifies the
-        # rest.
+        # Nodes poll the store at different times; the first to read a version notifies the rest.
         state.handle_weights_named(self._report_announcements)
         state.store_era.handle_new(self._report_store_era)
 
@@ -166,8 +165,8 @@
     def prompt_read(self, number: int) -> None:
         """Report that the prompt of a placement was processed, so its parts can be fetched.
 
-        The report is not urgent: until it arrives, peers already consider the parts cached and
-        only don't fetch them from that runner.
+        The report is not urgent: until it arrives, peers already count the parts as cached at that
+        runner, but don't fetch them from there.
         """
         self._outbox.add_read(number)
         self._schedule()
@@ -313,13 +312,13 @@
                 self.limit_changed(runner_id, limit)
         self.flush()
 
-    def _should_repeat(self, told_at: float, now: float) -> bool:
+    def _should_repeat(self, reported_at: float, now: float) -> bool:
         """Return whether this node now repeats an announcement of a runner, before it expires.
 
         Only few nodes may have received the announcement itself, since a runner that leaves or is
         limited answers few requests.
         """
-        is_overdue = now >= told_at + 2 * HINT_AGAIN_SECONDS
+        is_overdue = now >= reported_at + 2 * HINT_AGAIN_SECONDS
         return is_overdue or self._rng.random() < REPEAT_PROBABILITY
 
     def flush(self, *, urgent: bool = False) -> None:
@@ -351,9 +350,9 @@
         self._outbox.set_announcements(self._recent_announcements())
         self.flush(urgent=True)
 
-    def _report_store_era(self, told_by: str) -> None:
+    def _report_store_era(self, source: str) -> None:
         """Report a restore of the store at once, if this node learned of it from the store."""
-        if told_by != STORE:
+        if source != STORE:
             return
         self._outbox.set_store_era(self._state.store_era.current)
         self.flush(urgent=True)
@@ -390,11 +389,11 @@
             self._link.send(DatagramKind.REPORT, payload, node.address)
 
     def _forward(self, report: NodeReport, notice: NodeNotice, now: float) -> None:
-        sums = self._relay.take_report(report, now)
+        sums = self._relay.forward_report(report, now)
         self._reader.take_zone_loads(self._zone, sums, now)
         if self._choice.topology.has_regions():
-            self._crossing.take_loads(self._zone, sums, now)
-            self._crossing.take_notice(notice, now)
+            self._crossing.add_loads(self._zone, sums, now)
+            self._crossing.add_notice(notice, now)
 
     def _on_notice(self, payload: bytes, peer: str) -> None:
         now = self._clock()
@@ -415,21 +414,21 @@
         batch = unpack(payload, RelayBatch, peer)
         now = self._clock()
         notices = self._apply_batch(batch, peer)
-        self._relay.take_batch(batch, now, urgent=_is_urgent(notices))
+        self._relay.forward_batch(batch, now, urgent=_is_urgent(notices))
         self._choice.heard_zone(batch.zone, now)
         if batch.region or not self._choice.topology.has_regions():
             return
         for zone_loads in batch.loads:
-            self._crossing.take_loads(zone_loads.zone, zone_loads.loads, now)
+            self._crossing.add_loads(zone_loads.zone, zone_loads.loads, now)
         for notice in notices:
-            self._crossing.take_notice(notice, now)
+            self._crossing.add_notice(notice, now)
 
     def _on_region_batch(self, payload: bytes, peer: str) -> None:
         batch = unpack(payload, RelayBatch, peer)
         now = self._clock()
         self._choice.heard_speaker(batch.region, batch.relay_id, now)
         notices = self._apply_batch(batch, peer)
-        self._relay.take_region_batch(batch, now, urgent=_is_urgent(notices))
+        self._relay.forward_region_batch(batch, now, urgent=_is_urgent(notices))
 
     def _on_final_batch(self, payload: bytes, peer: str) -> None:
         self._apply_batch(unpack(payload, RelayBatch, peer), peer)
--- a/src/hillstack/daemon/region_crossing.py
+++ b/src/hillstack/daemon/region_crossing.py
@@ -1,8 +1,8 @@
 """Cross-region notices: each one crosses the narrow link between two regions once.
 
 All relays of a region receive all notices of the region. One of them, the border relay, sends them
-to a node of each other region, which forwards them there (``NoticeRelay.take_region_batch``). The
-border relay omits notices that no placement in the other region uses: those of single prompts,
+to a node of each other region, which forwards them there (``NoticeRelay.forward_region_batch``).
+The border relay omits notices that no placement in the other region uses: those of single prompts,
 unless the prompt was sent to a runner of that region. It sends the locations of shared prompt
 parts, because requests are placed where their parts are cached. Loads are sent as one sum for the
 region.
@@ -104,13 +104,13 @@
         """Return whether this node is the border relay of its region."""
         return self._is_relay(now) and self._choice.speaks_for_region(self._zone, now)
 
-    def take_loads(self, zone: str, loads: Iterable[LoadNotice], now: float) -> None:
+    def add_loads(self, zone: str, loads: Iterable[LoadNotice], now: float) -> None:
         """Record the loads that a zone of this region has on runners."""
         for load in loads:
             reported = self._loads.setdefault(load.runner_id, ReportedLoads())
             reported.report(zone, load.load(), now)
 
-    def take_notice(self, notice: NodeNotice, now: float) -> None:
+    def add_notice(self, notice: NodeNotice, now: float) -> None:
         """Collect what other regions need of a notice of a node of this region."""
         if not self.is_border_relay(now):
             return
--- a/src/hillstack/daemon/store_sync.py
+++ b/src/hillstack/daemon/store_sync.py
@@ -216,7 +216,7 @@
             self._restore_event.clear()
             await asyncio.sleep(RESTORED_SPREAD_SECONDS * self._rng.random())
 
-    def _on_new_era(self, told_by: str) -> None:
+    def _on_new_era(self, source: str) -> None:
         """Poll soon, because the store was restored to an older state."""
         self._restore_event.set()
 
--- a/tests/fleet/test_standing_work.py
+++ b/tests/fleet/test_standing_work.py
@@ -124,7 +124,7 @@
         for number in range(200):
             now = number / 100
             placed = PlacementNotice("i-1", "salt", [("a", 10)], 500, number=number)
-            relay.take_report(_report(number, [placed] if number % 50 == 10 else ()), now)
+            relay.forward_report(_report(number, [placed] if number % 50 == 10 else ()), now)
             relay.flush()
 
     asyncio.run(run())
