--- a/src/hillstack/serving/__init__.py
+++ b/src/hillstack/serving/__init__.py
@@ -1,1 +1,1 @@
-"""The life of one request: route, tenant, admission, placement, attempts, relay, outcome."""
+"""Request serving: admission, placement, attempts at runners, relay of the answer, outcome."""
--- a/src/hillstack/serving/admission.py
+++ b/src/hillstack/serving/admission.py
@@ -1,4 +1,4 @@
-"""What must hold before a request gets its first attempt: configuration, route, key."""
+"""Admits a request before its first attempt: checks the configuration, the route and the key."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from hillstack.serving.job import Job
 from hillstack.serving.types import RejectedError, ServingRequest, Verdict
 
-# A node whose knowledge is old mostly has fresh knowledge a look later.
+# A node with stale data usually has fresh data after its next poll of the store.
 STALE_RETRY_SECONDS = 1.0
-# Another node takes the request at once.
+# Another node accepts the request immediately.
 STOPPING_RETRY_SECONDS = 0.05
-# A node that has just started knows everything within a second.
+# A node that has just started has read the whole store within a second.
 NOT_READY_RETRY_SECONDS = 1.0
 
 
@@ -22,7 +22,7 @@
     """Turns requests into jobs, or rejects them.
 
     Args:
-        state: What the node knows.
+        state: State of the node.
         clock: Monotonic seconds.
     """
 
@@ -32,14 +32,14 @@
         self._accepting = True
 
     def stop_accepting(self) -> None:
-        """Refuse all further requests: the node ends before it could finish them."""
+        """Reject all further requests, because the node is shutting down."""
         self._accepting = False
 
     def admit(self, request: ServingRequest) -> Job:
-        """Return the job of a request.
+        """Return the job for a request.
 
         Raises:
-            RejectedError: It gets an answer of the router's own.
+            RejectedError: The router answers the request itself.
         """
         if not self._accepting:
             raise RejectedError(
--- a/src/hillstack/serving/attempt_watch.py
+++ b/src/hillstack/serving/attempt_watch.py
@@ -1,4 +1,4 @@
-"""Notes how an attempt at a runner fares, and whether that was the runner's own doing."""
+"""Records the outcome of an attempt at a runner, if the runner is responsible for it."""
 
 from __future__ import annotations
 
@@ -10,27 +10,28 @@
 from hillstack.serving.types import (
     SERVER_ERROR,
     SUCCESS,
-    RunnerGivenUpError,
+    AttemptAbandonedError,
     RunnerRefusedError,
 )
 
 OutcomeHandler = Callable[[AttemptOutcome, float], None]
 
 
-class AttemptWatch:
-    """Follows one attempt, and tells of its outcome when it ends.
+class AttemptMonitor:
+    """Monitors one attempt and reports its outcome when the attempt ends.
 
-    What counts: an answer, a status of 500 or more, a success without a signature, an answer that
-    broke off. What does not: a refusal, since the request was not run. Where this node or the
-    caller gave up, the time that it waited counts if it was longer than expected.
+    An answer counts as an outcome; a status of 500 or more, a success without a signature and an
+    answer that breaks off count as failures. A refusal does not count, because the runner did not
+    run the request. If this node or the caller gave up, the time waited counts only if it exceeded
+    the expected time.
 
     Args:
-        key: What its outcome is counted by.
-        runner_id: Its runner.
-        sent_at: When it was sent.
-        expected_seconds: Time to the first bytes that was expected.
-        is_stream: Whether the first event counts as the first bytes, and not the head.
-        on_end: Called with the outcome, if it counts, and the time; None if nobody asks.
+        key: Version, route and load under which the outcome is counted.
+        runner_id: The runner that the attempt was sent to.
+        sent_at: When the attempt was sent.
+        expected_seconds: Expected time to the first bytes.
+        is_stream: Whether the first event, not the head, counts as the first bytes.
+        on_end: Called with the outcome, if it counts, and the time; None to discard it.
     """
 
     def __init__(
@@ -46,52 +47,52 @@
         self._key = key
         self._runner_id = runner_id
         self._sent_at = sent_at
-        self._expected = expected_seconds
+        self._expected_seconds = expected_seconds
         self._on_end = on_end
         self._is_stream = is_stream
-        self._waited: float | None = None
+        self._waited_seconds: float | None = None
         self._failed = False
         self._broken = False
         self._refused = False
-        self._given_up = False
-        self._stopped = False
+        self._abandoned = False
+        self._was_stopped = False
 
     def head(self, status: int, now: float, *, signed: bool) -> None:
-        """Note the head of the answer."""
+        """Record the head of the answer."""
         self._failed = status >= SERVER_ERROR or (status in SUCCESS and not signed)
         if not self._is_stream or status not in SUCCESS:
             self.first_bytes(now)
 
     def first_bytes(self, now: float) -> None:
-        """Note the first bytes that are of use to the caller."""
-        if self._waited is None:
-            self._waited = now - self._sent_at
+        """Record the first bytes that the caller can use."""
+        if self._waited_seconds is None:
+            self._waited_seconds = now - self._sent_at
 
     def raised(self, error: BaseException) -> None:
-        """Note with which error the attempt ended."""
+        """Record the error with which the attempt ended."""
         if isinstance(error, RunnerRefusedError):
             self._refused = True
-        elif isinstance(error, BackendBrokenError) and not isinstance(error, RunnerGivenUpError):
+        elif isinstance(error, BackendBrokenError) and not isinstance(error, AttemptAbandonedError):
             self._broken = not self._failed
         else:
-            self._given_up = True
+            self._abandoned = True
 
     def stopped(self) -> None:
-        """Note that the node ended it for what its request does: the time waited says nothing."""
-        self._stopped = True
+        """Record that the node aborted a fatal request, so the time waited does not count."""
+        self._was_stopped = True
 
     def ended(self, now: float) -> None:
-        """Note the end of the attempt."""
+        """Record the end of the attempt and report the outcome, if it counts."""
         if self._on_end is None or self._refused:
             return
-        waited = now - self._sent_at if self._waited is None else self._waited
+        waited = now - self._sent_at if self._waited_seconds is None else self._waited_seconds
         failed = self._failed or self._broken
-        says_nothing = self._stopped or waited <= self._expected
-        if self._given_up and not failed and self._waited is None and says_nothing:
+        is_inconclusive = self._was_stopped or waited <= self._expected_seconds
+        if self._abandoned and not failed and self._waited_seconds is None and is_inconclusive:
             return
-        slowness = waited / self._expected
+        slowness = waited / self._expected_seconds
         outcome = AttemptOutcome(self._key, self._runner_id, failed, self._broken, slowness)
         self._on_end(outcome, now)
 
 
-NOT_WATCHED = AttemptWatch(OutcomeKey("", "", False), "", 0.0, 1.0, None)
+UNMONITORED = AttemptMonitor(OutcomeKey("", "", False), "", 0.0, 1.0, None)
--- a/src/hillstack/serving/backoff_waits.py
+++ b/src/hillstack/serving/backoff_waits.py
@@ -1,10 +1,12 @@
-"""Which requests wait for a runner that wants one again soon, where no other one takes them.
+"""Decides which requests wait for a runner in backoff when no other runner accepts them.
 
-It has asked for a backoff, or there is no room left in the limit that it names.
+A runner is in backoff while a backoff that it asked for lasts, or while the rate limit that it
+announced has no room.
 
-A request waits only if it can still be served in time after that: a wait that ends in a refusal
-costs its caller more than a refusal at once. And no more wait than the runner has places for, of
-all nodes together: else what made it ask for a backoff comes back at once when that ends.
+A request waits only if it can still be served in time afterwards: a wait that ends in a refusal
+costs the caller more than an immediate refusal. The requests waiting at all nodes together must
+not exceed the runner's slots, or the load that made the runner ask for a backoff would return as
+soon as the backoff ends.
 """
 
 from __future__ import annotations
@@ -17,20 +19,20 @@
 from hillstack.serving.placement import RunnerPlacement
 from hillstack.serving.runner_limits import holds_back
 
-# The ways there and back, and the turns of the loop: what is left of the objective must cover them
-# beside the request's own work.
-SPARE_SECONDS = 0.05
-# A stream that has begun would be cut otherwise, and its caller stays that long without an event:
-# the shortest patience that callers are known to have.
+# Round trip and event loop iterations, which the remaining time must cover in addition to the work
+# of the request itself.
+DELIVERY_MARGIN_SECONDS = 0.05
+# Longest pause in a stream that has begun: the shortest time that callers are known to wait for the
+# next event. Without the wait the stream would be cut.
 STREAM_PATIENCE_SECONDS = 2.0
 
 
 class BackoffWaits:
-    """Decides who waits, and counts them.
+    """Decides which requests wait, and counts the waiting requests of each runner.
 
     Args:
-        state: What the node knows.
-        placement: Knows the runners.
+        state: State of the node.
+        placement: Finds the runners that may serve a request.
     """
 
     def __init__(self, state: FleetState, placement: RunnerPlacement) -> None:
@@ -43,34 +45,40 @@
         runner = self._placement.first_after_backoff(job, now)
         if runner is None or not self._is_in_time(job, runner, now):
             return None
-        if self._waiting[runner.runner_id] >= self._places(runner, now):
+        if self._waiting[runner.runner_id] >= self._waiting_capacity(runner, now):
             return None
         return runner
 
-    def _places(self, runner: Runner, now: float) -> int:
-        """Return how many may wait: of a limit there is room for one at a time."""
+    def _waiting_capacity(self, runner: Runner, now: float) -> int:
+        """Return how many requests of this node may wait: one if a rate limit is exhausted."""
         if holds_back(runner.signals.limit, now):
             return 1
         return max(1, runner.entry.slots // max(1, self._state.nodes.sharing_count(now)))
 
     def begin(self, runner: Runner) -> None:
-        """Note a request that begins to wait."""
+        """Count a request that begins to wait."""
         self._waiting[runner.runner_id] += 1
 
     def end(self, runner: Runner) -> None:
-        """Note the end of its wait."""
+        """Stop counting a request whose wait has ended."""
         self._waiting[runner.runner_id] -= 1
         if not self._waiting[runner.runner_id]:
             del self._waiting[runner.runner_id]
 
     def _is_in_time(self, job: Job, runner: Runner, now: float) -> bool:
-        """Return whether a request that waits is served in time, as far as that is known."""
-        work = self._placement.expected_work(job)
-        return runner.ready_at + work + SPARE_SECONDS <= min(job.deadline, _due_at(job))
+        """Return whether a request is expected to be served in time if it waits."""
+        work = self._placement.expected_work_seconds(job)
+        return runner.ready_at + work + DELIVERY_MARGIN_SECONDS <= min(
+            job.deadline, _useful_until(job)
+        )
 
 
-def _due_at(job: Job) -> float:
-    """Return until when an answer is of use: within the objective, or to go on with a stream."""
+def _useful_until(job: Job) -> float:
+    """Return until when the first bytes of an answer are useful to the caller.
+
+    A stream that has begun must continue before its caller gives up. Any other answer must begin
+    within the latency objective of the route or, without one, before the deadline.
+    """
     if job.head_sent and job.last_event_at is not None:
         return job.last_event_at + STREAM_PATIENCE_SECONDS
     if job.route.target_seconds > 0:
--- a/src/hillstack/serving/cache_beliefs.py
+++ b/src/hillstack/serving/cache_beliefs.py
@@ -1,13 +1,14 @@
-"""What a node believes to be cached after it, or a peer, has sent a request.
+"""Estimates which prompt parts are cached where after this node or a peer has sent a request.
 
-Parts count as kept from the moment when the request is sent, since a request that follows to the
-same runner waits behind it and finds them. They can be fetched from there only once they are read:
-at the first event of the answer, or, where nobody tells of it, long after that was expected. A part
-that is fetched too early is not there, and is read again.
+The parts of a prompt count as cached as soon as the request is sent, because a later request to the
+same runner queues behind it and finds them. They can be fetched from there only once they are
+prefilled: at the first event of the answer or, if no event is reported, long after it was expected.
+A part that is fetched too early is missing and has to be prefilled again.
 
-A runner that is told to save sends all that it has read to the store of kept cache, one request
-after another over the store's link. That link is narrow: ``worth_saving`` chooses what is saved,
-and a part counts as kept in the store only when its turn on the link has come.
+A runner that is asked to save a prompt sends everything that it has prefilled to the KV cache
+store, one request after another over the store's link. That link is narrow, so ``should_save``
+selects the prompts that are saved, and a part counts as stored only once the link has transferred
+the part and everything queued before it.
 """
 
 from __future__ import annotations
@@ -21,35 +22,34 @@
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.job import PlacedAttempt
 
-# A prompt is surely read after twice the expected time and a second, if nobody told: fetches that
-# came too early missed (F17).
-UNTOLD_FACTOR = 2.0
-UNTOLD_SECONDS = 1.0
-# From the first event to the first byte of a save: chosen.
+# Without a report, a prompt counts as prefilled after twice the expected time plus one second.
+# Fetches that came earlier missed (F17).
+UNCONFIRMED_PREFILL_FACTOR = 2.0
+UNCONFIRMED_PREFILL_SECONDS = 1.0
+# From the first event of an answer to the first byte of a save.
 SAVE_SETUP_SECONDS = 0.03
-# A move that would wait more than 2 s is not begun, by the platform's word; less a margin.
+# According to the platform, a transfer that would wait more than 2 s is not started; less a margin.
 MAX_SAVE_WAIT_SECONDS = 1.8
 
 
-class CacheBeliefs:
-    """Keeps the index of cached parts up to date with what is sent.
+class CacheEstimates:
+    """Updates the index of cached parts with the requests that are sent.
 
     Args:
-        state: What the node knows.
+        state: State of the node.
     """
 
     def __init__(self, state: FleetState) -> None:
         self._state = state
         self._link_free_at: dict[str, float] = {}
-        self._token_seconds: dict[tuple[str, str], float] = {}
-        self._token_seconds_of: RoutingTable | None = None
+        self._cached_seconds_per_token: dict[tuple[str, str], float] = {}
+        self._cached_for_table: RoutingTable | None = None
 
-    def worth_saving(
-        self, store: KeptCacheStore, salt: str, shape: PromptShape, now: float
-    ) -> bool:
-        """Return whether a prompt has parts that will be asked for again and the store lacks.
+    def should_save(self, store: KeptCacheStore, salt: str, shape: PromptShape, now: float) -> bool:
+        """Return whether a prompt has parts that the store lacks and later requests will need.
 
-        A prompt's last part is mostly its own, and then of no use to others.
+        The last part usually belongs to this prompt alone, so it is worth saving only if it is
+        already in the index.
         """
         index = self._state.index
         parts = shape.shared
@@ -61,51 +61,52 @@
         return self._link_free_at.get(store.address, now) - now < MAX_SAVE_WAIT_SECONDS
 
     def sent(self, placed: PlacedAttempt, shape: PromptShape, now: float) -> None:
-        """Note an attempt that is being sent: its runner will read the parts."""
+        """Add the parts of an attempt that is being sent, which its runner will prefill."""
         if placed.salt is None:
             return
-        ready_at = now + _until_surely_read(placed.delay)
+        ready_at = now + _prefill_bound_seconds(placed.delay)
         runner_id = placed.runner.runner_id
-        self._note(runner_id, placed.salt, shape.parts, ready_at, now)
+        self._add_parts(runner_id, placed.salt, shape.parts, ready_at, now)
         if placed.save_to is not None:
-            self._occupy_link(placed.save_to, runner_id, placed.prefill_tokens, now)
-            self._note_saved(placed.save_to, runner_id, placed.salt, shape.parts, ready_at)
+            self._reserve_link(placed.save_to, runner_id, placed.prefill_tokens, now)
+            self._add_saved_parts(placed.save_to, runner_id, placed.salt, shape.parts, ready_at)
 
-    def read(self, placed: PlacedAttempt, shape: PromptShape, now: float) -> None:
-        """Note the first event of an attempt: its runner has read the parts."""
+    def prefilled(self, placed: PlacedAttempt, shape: PromptShape, now: float) -> None:
+        """Mark the parts of an attempt as prefilled, at the first event of its answer."""
         if placed.salt is None:
             return
         runner_id = placed.runner.runner_id
-        self._note(runner_id, placed.salt, shape.parts, now, now)
+        self._add_parts(runner_id, placed.salt, shape.parts, now, now)
         if placed.save_to is not None:
-            self._note_saved(placed.save_to, runner_id, placed.salt, shape.parts, now)
+            self._add_saved_parts(placed.save_to, runner_id, placed.salt, shape.parts, now)
 
     def peer_sent(self, notice: PlacementNotice, now: float) -> None:
-        """Take over what a peer has sent."""
+        """Add the parts of a request that a peer has sent."""
         if notice.save_to is not None:
-            self._occupy_link(notice.save_to, notice.runner_id, notice.prefill_tokens, now)
-        self._note_peer(notice, now + _until_surely_read(notice.delay_ms / 1000), now)
+            self._reserve_link(notice.save_to, notice.runner_id, notice.prefill_tokens, now)
+        self._add_peer_parts(notice, now + _prefill_bound_seconds(notice.delay_ms / 1000), now)
 
-    def peer_read(self, notice: PlacementNotice, now: float) -> None:
-        """Take over that a runner has read what a peer has sent.
+    def peer_prefilled(self, notice: PlacementNotice, now: float) -> None:
+        """Mark the parts of a request that a peer has sent as prefilled.
 
-        The parts were noted when it was sent; mostly only when they can be fetched is news.
+        The parts were added when the request was sent, so usually only the time from which they
+        can be fetched changes.
         """
         parts = notice.prompt_parts()
         if not self._state.index.note_ready(notice.runner_id, notice.salt, parts, now):
-            self._note(notice.runner_id, notice.salt, parts, now, now)
+            self._add_parts(notice.runner_id, notice.salt, parts, now, now)
         if notice.save_to is not None:
             stored_at = self._stored_at(notice.save_to, notice.runner_id, parts, now)
             if not self._state.index.note_ready(notice.save_to, notice.salt, parts, stored_at):
                 self._state.index.note(notice.save_to, notice.salt, parts, ready_at=stored_at)
 
-    def _note_peer(self, notice: PlacementNotice, ready_at: float, now: float) -> None:
+    def _add_peer_parts(self, notice: PlacementNotice, ready_at: float, now: float) -> None:
         parts = notice.prompt_parts()
-        self._note(notice.runner_id, notice.salt, parts, ready_at, now)
+        self._add_parts(notice.runner_id, notice.salt, parts, ready_at, now)
         if notice.save_to is not None:
-            self._note_saved(notice.save_to, notice.runner_id, notice.salt, parts, ready_at)
+            self._add_saved_parts(notice.save_to, notice.runner_id, notice.salt, parts, ready_at)
 
-    def _note(
+    def _add_parts(
         self, runner_id: str, salt: str, parts: Sequence[PromptPart], ready_at: float, now: float
     ) -> None:
         runner = self._state.pool.get(runner_id)
@@ -113,7 +114,7 @@
             reserved = runner.committed_tokens(now)
             self._state.index.note(runner_id, salt, parts, reserved, ready_at)
 
-    def _note_saved(
+    def _add_saved_parts(
         self,
         address: str,
         runner_id: str,
@@ -121,23 +122,23 @@
         parts: Sequence[PromptPart],
         ready_at: float,
     ) -> None:
-        """Note that parts will be in a store once its link has carried what is before them."""
+        """Add parts to a store, available once its link has transferred the saves before them."""
         stored_at = self._stored_at(address, runner_id, parts, ready_at)
         self._state.index.note(address, salt, parts, ready_at=stored_at)
 
     def _stored_at(
         self, address: str, runner_id: str, parts: Sequence[PromptPart], ready_at: float
     ) -> float:
-        """Return when parts that are read at a time will be in a store."""
+        """Return when parts that are prefilled at ``ready_at`` will be in a store."""
         seconds = self._save_seconds(address, runner_id, sum(part.tokens for part in parts))
         stored_at = max(ready_at + seconds, self._link_free_at.get(address, ready_at))
         return stored_at + SAVE_SETUP_SECONDS
 
-    def _occupy_link(self, address: str, runner_id: str, tokens: int, now: float) -> None:
-        """Note that a store's link will carry tokens, after those that it carries already.
+    def _reserve_link(self, address: str, runner_id: str, tokens: int, now: float) -> None:
+        """Reserve a store's link for a number of tokens, behind the transfers already reserved.
 
-        They count at once, not when they will have been read: the link does not wait for them while
-        there is something else to carry.
+        The time is reserved immediately, not from when the tokens will be prefilled, because the
+        link transfers other saves in the meantime.
         """
         seconds = self._save_seconds(address, runner_id, tokens)
         self._link_free_at[address] = max(self._link_free_at.get(address, now), now) + seconds
@@ -146,19 +147,19 @@
         runner = self._state.pool.get(runner_id)
         if runner is None:
             return 0.0
-        # Asked three times for each prompt that any node sends, so it is kept until the
+        # Called three times for each prompt that any node sends, so the result is cached until the
         # configuration changes.
-        if self._token_seconds_of is not self._state.table:
-            self._token_seconds_of = self._state.table
-            self._token_seconds.clear()
+        if self._cached_for_table is not self._state.table:
+            self._cached_for_table = self._state.table
+            self._cached_seconds_per_token.clear()
         key = (address, runner.entry.service)
-        seconds = self._token_seconds.get(key)
+        seconds = self._cached_seconds_per_token.get(key)
         if seconds is None:
-            seconds = self._token_seconds[key] = self._seconds_a_token(*key)
+            seconds = self._cached_seconds_per_token[key] = self._seconds_per_token(*key)
         return tokens * seconds
 
-    def _seconds_a_token(self, address: str, service: str) -> float:
-        """Return how long a store's link carries a token; 0 for an unknown store or service."""
+    def _seconds_per_token(self, address: str, service: str) -> float:
+        """Return the transfer time of a token to a store; 0 for an unknown store or service."""
         table = self._state.table
         stores = table.kept_cache_stores() if table is not None else []
         store = next((store for store in stores if store.address == address), None)
@@ -168,5 +169,5 @@
         return engine.transfer_seconds(1, max(1.0, store.link_megabits))
 
 
-def _until_surely_read(delay: float) -> float:
-    return UNTOLD_SECONDS + UNTOLD_FACTOR * delay
+def _prefill_bound_seconds(delay: float) -> float:
+    return UNCONFIRMED_PREFILL_SECONDS + UNCONFIRMED_PREFILL_FACTOR * delay
--- a/src/hillstack/serving/event_framing.py
+++ b/src/hillstack/serving/event_framing.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of server-sent events into whole events and follows their identifiers."""
+"""Splits a stream of server-sent events into complete events and tracks their identifiers."""
 
 from __future__ import annotations
 
@@ -6,72 +6,72 @@
 
 EVENT_END = b"\n\n"
 ID_FIELD = b"id:"
-# An event is some hundred bytes; a runner that never ends one must not fill the memory.
+# Events are some hundred bytes; the limit protects the memory from a runner that never ends one.
 MAX_EVENT_BYTES = 1_000_000
 
 
 class EventFraming:
-    """The events of one caller's stream, over all attempts.
+    """Frames the events of one caller's stream across all attempts.
 
     Args:
-        last_event_id: Identifier of the last event that the caller has, None for none.
+        last_event_id: Identifier of the last event that the caller has received; None for none.
     """
 
     def __init__(self, last_event_id: int | None) -> None:
         self.last_event_id = last_event_id
-        self.passed_any = False
-        self._rest = b""
+        self.has_forwarded_events = False
+        self._remainder = b""
 
     def start_attempt(self) -> None:
-        """Begin to read another answer; half an event of an earlier one is dropped."""
-        self._rest = b""
+        """Start reading the answer of another attempt; drop an incomplete event of the last one."""
+        self._remainder = b""
 
     @property
     def inside_event(self) -> bool:
-        """Return whether the answer has broken off, or ended, inside an event."""
-        return bool(self._rest.strip())
+        """Whether the bytes received so far end inside an event."""
+        return bool(self._remainder.strip())
 
     def feed(self, piece: bytes, peer: str) -> bytes:
-        """Take a piece of an answer and return the whole events to pass on.
+        """Take a piece of an answer and return the complete events to pass on to the caller.
 
         Raises:
-            CrossedAnswerError: It is no stream of events with rising identifiers.
+            CrossedAnswerError: The identifiers do not increase, or an event is too long.
         """
-        data = self._rest + piece if self._rest else piece
+        data = self._remainder + piece if self._remainder else piece
         end = data.rfind(EVENT_END)
         if end < 0:
-            self._keep_rest(data, peer)
+            self._store_remainder(data, peer)
             return b""
         end += len(EVENT_END)
-        self._keep_rest(data[end:], peer)
-        whole = data[:end]
-        newest = _last_id(whole)
+        self._store_remainder(data[end:], peer)
+        events = data[:end]
+        newest = _last_id(events)
         if newest is not None:
-            self._check_order(whole, newest, peer)
+            self._check_order(events, newest, peer)
             self.last_event_id = newest
-        self.passed_any = True
-        return whole
+        self.has_forwarded_events = True
+        return events
 
-    def _check_order(self, whole: bytes, newest: int, peer: str) -> None:
+    def _check_order(self, events: bytes, newest: int, peer: str) -> None:
         previous = self.last_event_id
         if previous is not None and newest <= previous:
             raise CrossedAnswerError("event out of order", step="relay", peer=peer)
 
-    def _keep_rest(self, rest: bytes, peer: str) -> None:
-        if len(rest) > MAX_EVENT_BYTES:
+    def _store_remainder(self, remainder: bytes, peer: str) -> None:
+        if len(remainder) > MAX_EVENT_BYTES:
             raise CrossedAnswerError("event too long", step="relay", peer=peer)
-        self._rest = rest
+        self._remainder = remainder
 
 
-def _last_id(whole: bytes) -> int | None:
+def _last_id(events: bytes) -> int | None:
     """Return the identifier of the last event that has one."""
-    at = whole.rfind(b"\n" + ID_FIELD)
+    at = events.rfind(b"\n" + ID_FIELD)
     if at >= 0:
         at += 1
-    elif whole.startswith(ID_FIELD):
+    elif events.startswith(ID_FIELD):
         at = 0
     else:
         return None
-    end = whole.find(b"\n", at)
-    text = whole[at + len(ID_FIELD) : end].strip()
+    end = events.find(b"\n", at)
+    text = events[at + len(ID_FIELD) : end].strip()
     return int(text) if text.isdigit() else None
--- a/src/hillstack/serving/fleet_state.py
+++ b/src/hillstack/serving/fleet_state.py
@@ -1,4 +1,4 @@
-"""What a node of the fleet knows: configuration, runners, weights, cached parts."""
+"""State of a node: configuration, runners, weights, rollouts, peers and cached parts."""
 
 from __future__ import annotations
 
@@ -52,44 +52,46 @@
 
 logger = logging.getLogger(__name__)
 
-# Entries that lapsed in an outage are back within 2 s of its end, by the platform's word.
+# According to the platform, directory entries that expired during a store outage are written again
+# within 2 s of its end.
 OUTAGE_EFFECT_SECONDS = 2.5
-# So long a runner without an entry is used on after an outage: below both, with a margin.
+# How long a runner whose entry is missing is still used after an outage: less than those 2 s and
+# OUTAGE_EFFECT_SECONDS, with a margin.
 UNLISTED_GRACE_SECONDS = 1.6
-# What the operator wrote is written again within some seconds of a restore.
+# The operator writes lost orders again within a few seconds of a restore of the store.
 WRITTEN_AGAIN_SECONDS = 10.0
-# Answers of several peers differ by some tenths of a millisecond: 702 of 823 moves of bounds on a
-# day of 69 nodes were shorter than one.
-LEAST_LOGGED_MOVE_SECONDS = 0.01
-# A fetch from a store that is down costs 0.1 s; its watcher asks again in under a second.
-UNAVAILABLE_SECONDS = 2.0
-
-
-# A node that does not know the others yet takes the part that it would have of a fleet far larger
-# than any.
+# Smaller moves of a bound are not logged. Answers of peers differ by some tenths of a millisecond:
+# on a day with 69 nodes, 702 of 823 moves were shorter than one millisecond.
+MIN_LOGGED_MOVE_SECONDS = 0.01
+# How long a KV cache store that did not answer is avoided. A fetch from a store that is down costs
+# 0.1 s; the nodes that follow its cache poll it again in under a second.
+STORE_RETRY_SECONDS = 2.0
+
+# Assumed number of nodes while a node does not know its peers: larger than any fleet, so that its
+# share of common budgets is small.
 MOST_NODES = 8_192
 
 
 class FleetState:
-    """The beliefs of one node, changed by what the store, peers and requests show.
+    """State of one node, updated by events of the store, notices of peers and requests.
 
     Args:
-        node_id: This node.
-        freshness: Age of the store's answers.
-        versions: Versions of weights named by the operator.
-        budget: Retry budget.
-        exposure: What versions that are not trusted yet may get; nothing by default.
-        topology: Zones and regions; by default all zones are of one region.
+        node_id: Identifier of this node.
+        freshness: Age of the store's latest answer.
+        versions: Weights versions named by the operator.
+        budget: Retry budget that all nodes share.
+        exposure: Requests that versions under a rollout may get; none by default.
+        topology: Zones and regions; by default all zones belong to one region.
 
     Attributes:
-        start_gate: Holds requests until the store was read for the first time.
-        peers_known: Whether this node knows all nodes that were listed before it, and those listed
-            later know it. Until then it knows no part of what all share.
-        store_era: Which era the store is in.
-        highest_fence: Highest fence that any holder of the duty of weights was seen to have.
-        rollout_deciders: Which node decides the rollout of a service.
-        unjudged_until: Until then a node that has just started is not held to bounds in time, so
-            a version that was named before its start need not be in use earlier.
+        start_gate: Holds requests until the store has been read for the first time.
+        peers_known: Whether this node knows all nodes listed before it, and those listed later know
+            this node. Until then its shares of common budgets are unknown.
+        store_era: Era of the store; a restore of the store begins a new one.
+        highest_fence: Highest fencing token seen from any holder of the weights duty.
+        rollout_deciders: Node that decides the rollout, by service.
+        unjudged_until: Time until which bounds are not enforced on a node that has just started: a
+            weights version named before the start need not be in use before this time.
     """
 
     def __init__(
@@ -110,7 +112,7 @@
         self.budget = budget
         self.table: RoutingTable | None = None
         self.pool = RunnerPool()
-        self._doubtful = DoubtfulEntries(self.pool)
+        self._doubtful_entries = DoubtfulEntries(self.pool)
         self.runner_ends = RunnerEndRecord()
         self.crash_counts = CrashCounts()
         self.probations = Probations()
@@ -122,10 +124,10 @@
         self.nodes = NodeDirectory()
         self._unavailable_until: dict[str, float] = {}
         self._holders: list[CacheHolder] = []
-        self._holders_of: tuple[RoutingTable, int] | None = None
+        self._holders_key: tuple[RoutingTable, int] | None = None
         self.duty_holder: str | None = None
         self.highest_fence = 0
-        # Orders that a restored store has lost, with until when they stand all the same.
+        # Orders that a restored store has lost, with the time until which they remain in effect.
         self._missing_orders: dict[str, float] = {}
         self.rollout_deciders: dict[str, str | None] = {}
         self.duty_known = False
@@ -140,44 +142,44 @@
         self._on_restarted: Callable[[Runner], None] = lambda _: None
 
     def handle_weights_named(self, handler: Callable[[], None]) -> None:
-        """Call a handler when the store is the first to tell of a version of weights."""
+        """Set the handler for weights versions that this node learns of from the store first."""
         self._on_weights_named = handler
 
     def handle_restarted(self, handler: Callable[[Runner], None]) -> None:
-        """Call a handler with each process that has ended and was followed by another one."""
+        """Set the handler for runner processes that another process has replaced."""
         self._on_restarted = handler
 
     def apply(self, event: StoreEvent, not_before: float, now: float | None = None) -> None:
-        """Take over one change of the store.
+        """Apply one change of the store.
 
         Args:
             event: The change.
-            not_before: It was acknowledged no earlier.
+            not_before: Earliest time at which the change can have been acknowledged.
             now: Time on the node's clock; ``not_before`` by default.
         """
         now = not_before if now is None else now
         match event:
             case ConfigurationChanged(table):
-                self._adopt(table)
+                self._apply_configuration(table)
             case RunnerListed(entry):
-                self._list_runner(entry, now)
+                self._add_runner(entry, now)
             case RunnerUnlisted(listed_as, revision):
-                self._take_removal(listed_as, revision, now)
+                self._apply_removal(listed_as, revision, now)
             case WeightsNamed():
                 if self.note_weights_named(event, not_before, "store", now):
                     self._on_weights_named()
             case RolloutOrdered(order):
-                self._take_rollout_order(order, not_before, now)
+                self._apply_rollout_order(order, not_before, now)
             case RolloutWithdrawn(service, at_revision):
                 self._missing_orders.pop(service, None)
                 if self.rollouts.withdraw(service, at_revision):
                     logger.info("rollout order withdrawn", extra={"service": service})
             case RolloutRecorded(record):
-                self._take_rollout_record(record)
+                self._apply_rollout_record(record)
             case NodeListed(node_id, address, zone, revision, link):
-                self._list_node(NodeEntry(node_id, address, zone, revision, link), now)
+                self._add_node(NodeEntry(node_id, address, zone, revision, link), now)
             case NodeUnlisted(node_id):
-                self._unlist_node(node_id, now)
+                self._remove_node(node_id, now)
             case DutyHeld(holder, fence):
                 self.duty_holder = holder
                 self.highest_fence = max(self.highest_fence, fence)
@@ -185,19 +187,19 @@
                 self.rollout_deciders[service] = decider
 
     def note_proof(self, revision: StoreRevision, proved_at: float) -> None:
-        """Note an answer of the store: its revision, and when it was asked for."""
+        """Record an answer of the store: its revision, and when the store was asked."""
         self.freshness.prove(proved_at)
         self.proofs.note(revision, proved_at)
 
     def note_weights_named(
         self, event: WeightsNamed, not_before: float, source: str, now: float
     ) -> bool:
-        """Note that a version was named, no earlier than a time; return whether that is news.
+        """Record that a weights version was named; return whether it was not known yet.
 
         Args:
-            event: The version.
-            not_before: It was acknowledged no earlier.
-            source: Who says so: the store, or the name of a peer.
+            event: The named version.
+            not_before: Earliest time at which the naming can have been acknowledged.
+            source: Source of the information: ``store``, or the name of a peer.
             now: Time on the node's clock.
         """
         started_at = self.unjudged_until - self.versions.grace
@@ -215,29 +217,30 @@
         return True
 
     def narrow_weights_named(self, named: NamedVersion, source: str, now: float) -> None:
-        """Take over what a peer has proved of when a known version was named."""
+        """Narrow the interval in which a known version was named by what a peer has proved."""
         self._log_bound_moves(self.versions.narrow(named, source), now)
 
     def retain_nodes(self, listed: set[str], now: float, revision: StoreRevision) -> None:
-        """Drop the nodes that a whole list, as of a revision, no longer has."""
+        """Remove the nodes that a complete list, as of a revision, no longer contains."""
         for node in self.nodes.all():
             if node.node_id not in listed and node.revision <= revision:
-                self._unlist_node(node.node_id, now)
+                self._remove_node(node.node_id, now)
 
     def retain_runners(self, listed: set[str], now: float, revision: StoreRevision) -> None:
-        """Drop the runners that a whole list of the directory, as of a revision, no longer has."""
-        self._doubtful.retain(listed)
+        """Remove the runners that a complete list, as of a revision, no longer contains."""
+        self._doubtful_entries.retain(listed)
         for runner in self.pool.all():
             if runner.entry.directory_name in listed or runner.entry.revision > revision:
                 continue
             if runner.unlisted_until is None:
-                self._unlist_runner(runner.runner_id, revision, now)
+                self._remove_runner(runner.runner_id, revision, now)
         self.directory_known = True
 
     def retain_rollouts(self, listed: ListedRollouts, now: float, revision: StoreRevision) -> None:
-        """Drop the orders and duties that a whole list, as of a revision, no longer has.
+        """Remove the orders and duties that a complete list, as of a revision, no longer contains.
 
-        The operator writes an order again that a restored store has lost: it stands until then.
+        An order that a restored store has lost remains in effect for a while, because the operator
+        writes it again.
         """
         for order in self.rollouts.orders():
             if order.service in listed.ordered or order.service in self._missing_orders:
@@ -251,27 +254,27 @@
             self.rollout_deciders[service] = None
 
     def note_calls_failed(self, until: float) -> None:
-        """Note that all calls to the store failed for a while, whatever the reason.
+        """Record that all calls to the store failed until a time, for whatever reason.
 
-        Runners' calls may have failed too, so the directory may drop some that are alive.
+        The calls of runners may have failed too, so the directory may drop runners that are alive.
         """
         self._calls_failed_until = max(self._calls_failed_until, until)
 
     def note_restored(self, now: float) -> None:
-        """Note that the store came back with an older state.
+        """Record that the store was restored to an older state.
 
-        Entries of runners that live are missing until these write them again.
+        Entries of runners that are alive may be missing until the runners write them again.
         """
         self.note_calls_failed(now)
 
     def store_regained(self, lost_until: float, now: float | None = None) -> None:
-        """Note the end of an outage of the store, which lasted at least until a time.
+        """Record the end of a store outage.
 
-        The directory may drop runners that are alive, since their entries lapse in an outage; and
-        bounds that count only while the store is stable begin again.
+        The directory may drop runners that are alive, because their entries expire during an
+        outage. Bounds that only run while the store is available start again.
 
         Args:
-            lost_until: Until when it was away, at least.
+            lost_until: Time until which the store was unavailable at least.
             now: Time on the node's clock; ``lost_until`` by default.
         """
         if lost_until <= self._outage_until:
@@ -283,7 +286,7 @@
 
     def _log_bound_moves(self, moves: Iterable[BoundMove], now: float) -> None:
         for move in moves:
-            if move.seconds < LEAST_LOGGED_MOVE_SECONDS:
+            if move.seconds < MIN_LOGGED_MOVE_SECONDS:
                 continue
             entry = move.announcement
             fields: dict[str, object] = {
@@ -295,51 +298,51 @@
             logger.info("weights bound moved", extra=fields)
 
     def outage_ended_at(self) -> float:
-        """Return when the last outage of the store ended; minus infinity if there was none."""
+        """Return when the last store outage ended; minus infinity if there was none."""
         return self._outage_until
 
     def note_peers_known(self, now: float) -> None:
-        """Note that this node and all others know one another, as far as they are listed."""
+        """Record that this node and all other listed nodes know each other."""
         self.peers_known = True
-        self._share_budgets(now)
+        self._update_budget_shares(now)
 
     def can_serve(self, now: float) -> bool:
-        """Return whether requests can be served: all is known, and keys can be trusted."""
+        """Return whether requests can be served: the store was read and keys can be checked."""
         if self.table is None or not self.directory_known:
             return False
         return self.table.tenants_by_key is None or self.freshness.is_fresh(now)
 
     def expire(self, now: float) -> None:
-        """Forget what has been gone for long; list runners that are back after all."""
+        """Drop outdated state, and apply held back directory entries that are due."""
         self._withdraw_missing_orders(now)
-        for entry in self._doubtful.take_due(now):
-            self._take_entry(entry, now)
+        for entry in self._doubtful_entries.take_due(now):
+            self._apply_entry(entry, now)
         for runner in self.pool.expire_unlisted(now):
             self.index.forget(runner.runner_id)
-        self._share_budgets(now)
+        self._update_budget_shares(now)
 
     def _withdraw_missing_orders(self, now: float) -> None:
-        """Withdraw the orders that were not written again after a restore of the store."""
+        """Withdraw lost orders that were not written again in time after a restore of the store."""
         for service, until in list(self._missing_orders.items()):
             order = self.rollouts.order(service)
-            is_back = order is not None and order.revision.era == self.store_era.current
-            if not is_back and now < until:
+            is_written_again = order is not None and order.revision.era == self.store_era.current
+            if not is_written_again and now < until:
                 continue
             del self._missing_orders[service]
-            if order is not None and not is_back:
+            if order is not None and not is_written_again:
                 self.rollouts.withdraw(service, order.revision)
                 logger.info("rollout order withdrawn", extra={"service": service})
 
     def kept_cache_stores(self, now: float) -> list[KeptCacheStore]:
-        """Return the stores of kept KV cache that answer."""
+        """Return the KV cache stores that answer."""
         stores = self.table.kept_cache_stores() if self.table is not None else []
         return [s for s in stores if now >= self._unavailable_until.get(s.address, now)]
 
     def kept_cache_store(self, zone: str, now: float) -> KeptCacheStore | None:
-        """Return the store to which runners of a zone save: the nearest of their region.
+        """Return the KV cache store for runners of a zone: the nearest one in their region.
 
-        None if none answers there. A save to another region takes ten times as long, and all that
-        is saved after it waits.
+        None if no store of the region answers. A save to another region takes ten times as long,
+        and all later saves queue behind it.
         """
         nearest: KeptCacheStore | None = None
         least = Distance.OTHER_REGION
@@ -350,19 +353,19 @@
         return nearest
 
     def note_unavailable(self, address: str, now: float) -> None:
-        """Note that a store of kept KV cache does not answer: it is left alone for a while."""
+        """Record that a KV cache store does not answer, and avoid the store for a while."""
         if now >= self._unavailable_until.get(address, float("-inf")):
             logger.info("cache store unavailable", extra={"holder": address})
-        self._unavailable_until[address] = now + UNAVAILABLE_SECONDS
+        self._unavailable_until[address] = now + STORE_RETRY_SECONDS
 
     def cache_holders(self) -> list[CacheHolder]:
-        """Return all that keep parts of prompts: runners of engines, and stores of KV cache.
+        """Return all holders of cached prompt parts: engine runners and KV cache stores.
 
-        It is the same object until a configuration comes, or a runner comes or goes.
+        The same list object is returned until the configuration or the set of runners changes.
         """
         if self.table is None:
             return []
-        known = self._holders_of
+        known = self._holders_key
         if known and known[0] is self.table and known[1] == self.pool.generation:
             return self._holders
         holders = [
@@ -373,17 +376,17 @@
             if self.engine_of(runner.entry.service) is not None and not runner.leaving:
                 holder = CacheHolder(runner.runner_id, runner.address, runner.entry.zone)
                 holders.append(holder)
-        self._holders_of = self.table, self.pool.generation
+        self._holders_key = self.table, self.pool.generation
         self._holders = holders
         return holders
 
     def note_cache_heard(self, holder_id: str) -> None:
-        """Note that a holder was listed, by this node or by a peer that tells of it."""
+        """Record that the cached parts of a holder are known, from a listing or from a peer."""
         gate = self.start_gate
         if gate.caches_known:
             return
         gate.cache_heard(holder_id)
-        # Caches of another region are watched and told there.
+        # Nodes of another region follow the caches there and report them to each other.
         near = (h for h in self.cache_holders() if self.topology.is_own_region(h.zone))
         gate.expect_caches([holder.holder_id for holder in near])
 
@@ -402,7 +405,7 @@
             if service.engine is not None and model in service.engine.models
         ]
 
-    def _adopt(self, table: RoutingTable) -> None:
+    def _apply_configuration(self, table: RoutingTable) -> None:
         if self.table is not None and table.version <= self.table.version:
             return
         self.table = table
@@ -413,7 +416,7 @@
         fields = {"version": table.version, "routes": len(table.routes())}
         logger.info("configuration in force", extra=fields)
 
-    def _take_rollout_order(self, order: RolloutOrder, not_before: float, now: float) -> None:
+    def _apply_rollout_order(self, order: RolloutOrder, not_before: float, now: float) -> None:
         if not self.rollouts.take_order(order):
             return
         self.exposure.open(order.service, order.identity, order.over_seconds, not_before, now)
@@ -425,7 +428,7 @@
         }
         logger.info("rollout ordered", extra=fields)
 
-    def _take_rollout_record(self, record: RolloutRecord) -> None:
+    def _apply_rollout_record(self, record: RolloutRecord) -> None:
         before = self.rollouts.record(record.service)
         if not self.rollouts.take_record(record) or _is_same_stage(before, record):
             return
@@ -438,29 +441,29 @@
         }
         logger.info("rollout stage", extra=fields)
 
-    def _list_node(self, node: NodeEntry, now: float) -> None:
+    def _add_node(self, node: NodeEntry, now: float) -> None:
         self.nodes.list_node(node)
-        self._share_budgets(now)
+        self._update_budget_shares(now)
 
-    def _unlist_node(self, node_id: str, now: float) -> None:
+    def _remove_node(self, node_id: str, now: float) -> None:
         if self.nodes.unlist(node_id, now):
-            self._share_budgets(now)
+            self._update_budget_shares(now)
             logger.info("node gone", extra={"listed_node": node_id, "nodes": len(self.nodes)})
 
-    def _share_budgets(self, now: float) -> None:
+    def _update_budget_shares(self, now: float) -> None:
         count = self.nodes.sharing_count(now)
         self.budget.set_node_count(count if self.peers_known else MOST_NODES)
         self.exposure.set_node_count(count)
 
-    def _list_runner(self, entry: RunnerEntry, now: float) -> None:
+    def _add_runner(self, entry: RunnerEntry, now: float) -> None:
         if self.pool.lacks_start(entry):
-            # Its process says when it started: this was written by something else.
-            self._take_removal(entry.directory_name, entry.revision, now)
+            # A runner process always writes its start time, so something else wrote this entry.
+            self._apply_removal(entry.directory_name, entry.revision, now)
             return
-        if not self._doubtful.keep_back(entry, now):
-            self._take_entry(entry, now)
+        if not self._doubtful_entries.keep_back(entry, now):
+            self._apply_entry(entry, now)
 
-    def _take_entry(self, entry: RunnerEntry, now: float) -> None:
+    def _apply_entry(self, entry: RunnerEntry, now: float) -> None:
         other = self.pool.other_process(entry)
         if other is not None:
             self._replace_process(other, entry, now)
@@ -483,9 +486,10 @@
         logger.info("runner changed" if known else "runner listed", extra=fields)
 
     def _replace_process(self, known: Runner, entry: RunnerEntry, now: float) -> None:
-        """Put another process in the place of the one that is known under a name.
+        """Replace the known process of a directory name by another one.
 
-        One that seems to have started before may be that of a late write: the known one may live.
+        If the other process started earlier, the entry may be a late write, and the known process
+        may be alive.
         """
         if entry.started_ms > known.entry.started_ms:
             self.note_restarted(known, now)
@@ -493,9 +497,10 @@
             self.pool.unlist(known.runner_id, now, 0.0)
 
     def note_restarted(self, runner: Runner, now: float) -> None:
-        """Note that a runner's process has ended, since a later one of its name was heard of.
+        """Record that a runner's process has ended because a later one with its name appeared.
 
-        Nothing that is believed of it holds for the next one, which is used once it is listed.
+        The state of the ended process does not apply to the later one, which is used once it is
+        listed.
         """
         if self.pool.get(runner.runner_id) is None:
             return
@@ -510,17 +515,17 @@
         if engine is not None:
             self.index.set_capacity(runner.runner_id, engine.kv_capacity_tokens)
 
-    def _take_removal(self, listed_as: str, revision: StoreRevision | None, now: float) -> None:
-        self._doubtful.drop(listed_as)
+    def _apply_removal(self, listed_as: str, revision: StoreRevision | None, now: float) -> None:
+        self._doubtful_entries.drop(listed_as)
         runner = self.pool.listed_as(listed_as)
         if runner is None:
             return
         if revision is not None and runner.entry.revision > revision:
-            # It was listed again since, and that was heard first.
+            # The runner was listed again after the removal, and that event arrived first.
             return
-        self._unlist_runner(runner.runner_id, revision, now)
+        self._remove_runner(runner.runner_id, revision, now)
 
-    def _unlist_runner(self, runner_id: str, revision: StoreRevision | None, now: float) -> None:
+    def _remove_runner(self, runner_id: str, revision: StoreRevision | None, now: float) -> None:
         failed_ago = now - self._calls_failed_until
         after_outage = failed_ago < OUTAGE_EFFECT_SECONDS
         grace = UNLISTED_GRACE_SECONDS if after_outage else 0.0
@@ -537,7 +542,7 @@
 
 
 def _is_same_stage(before: RolloutRecord | None, record: RolloutRecord) -> bool:
-    """Return whether a record was only written anew, with the age of its order."""
+    """Return whether a record was only rewritten, with a new age of its order."""
     if before is None or before.order_revision != record.order_revision:
         return False
     return before.stage is record.stage
--- a/src/hillstack/serving/job.py
+++ b/src/hillstack/serving/job.py
@@ -1,4 +1,4 @@
-"""A request on its way through the pipeline, and what the log tells of its attempts."""
+"""A request in the pipeline, its attempts, and the log fields of the attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hillstack.core.runner_pool import Runner
 from hillstack.core.store_revision import StoreRevision
 from hillstack.core.weights_versions import WeightsVersions
-from hillstack.serving.attempt_watch import NOT_WATCHED, AttemptWatch
+from hillstack.serving.attempt_watch import UNMONITORED, AttemptMonitor
 from hillstack.serving.event_framing import EventFraming
 from hillstack.serving.types import (
     Dispatch,
@@ -24,17 +24,17 @@
 
 logger = logging.getLogger(__name__)
 
-# Where nothing is known of when a runner takes work: a load of weights, or a restart, is over by
-# then.
+# Retry delay if it is unknown when a runner will accept work: loading weights or a restart is over
+# by then.
 NO_RUNNER_RETRY_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class PlacedAttempt:
-    """A runner for an attempt, and what placement expects of it.
+    """A runner chosen for an attempt, and the costs that placement expects.
 
     Attributes:
-        borrowed: Why the runner is one of another region; None if it is not.
+        borrowed: Why a runner of another region was chosen; None for a runner of the own region.
         fetches_across: Whether cached parts are fetched from another region.
     """
 
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """An answer of a runner, complete and ready to be passed on."""
+    """A complete answer of a runner, ready to be passed on to the caller."""
 
     status: int
     headers: HeaderList
@@ -63,31 +63,33 @@
 
 @dataclass(slots=True)
 class Job:
-    """A request on its way.
+    """A request in the pipeline.
 
     Attributes:
-        charged: What was taken out of its tenant's limit for it.
-        may_have_run: Whether some runner may have begun work on it.
-        quiet_from: From when on silence counts on the connection of its attempt: its last bytes, or
-            when the first ones should surely be there.
+        charged_cost: Cost charged to the tenant's limit.
+        may_have_run: Whether some runner may have started to run the request.
+        silent_since: Time from which the connection of the current attempt counts as silent: when
+            the last bytes arrived, or when the first bytes are overdue.
         excluded: Runners that are not tried again.
-        runner_failure: What a runner answered before another one was tried; it is passed on if no
-            other one answers.
-        time_limit: When work on it ends.
-        has_waited: Whether it has waited for a runner's backoff to end; it does so once.
-        sent_at: When its latest attempt was sent.
-        answering_since: When the first bytes of that attempt's answer came; None before.
-        fingerprint: Names it over all tries of its caller; None until somebody asks.
-        content: Its content name, shared with all of the same path, tenant and body; None until
-            somebody asks.
-        suspect_rank: Its place among all that may have ended a runner; None if it is none of them.
-        trial_send: Number of sends before the one that it may do though so many runners ended under
-            it that it is refused; None if it may do none.
-        answer_ready: Whether its whole answer is there and is being delivered.
-        is_fatal: Whether it was found to end runners while it ran, and was ended for that.
-        versions_of: Order of a rollout under which it was decided which version it may use.
-        is_canary: Whether its next attempt goes to a version that is not trusted yet.
-        watch: Notes how its attempt fares, for the judgement of a rollout.
+        failure_answer: Failure answer of a runner, received before another runner was tried; passed
+            on if no other runner answers.
+        time_limit: Timeout after which work on the request ends.
+        has_waited: Whether the request has waited for a runner's backoff to end; it waits at most
+            once.
+        sent_at: When the latest attempt was sent.
+        answering_since: When the first bytes of the latest attempt's answer arrived; None before.
+        fingerprint: Identifies the request across all tries of its caller; None until first used.
+        content: Hash of path, tenant and body, which all requests of one content share; None until
+            first used.
+        suspect_rank: Rank among all requests that may have crashed a runner; None if the request is
+            not suspected.
+        trial_send: Value of ``sends`` at which one more send is allowed although the request has
+            crashed so many runners that it is refused; None if none is allowed.
+        answer_ready: Whether the whole answer has been received and is being delivered.
+        is_fatal: Whether the request was found to crash runners and was aborted for this reason.
+        canary_decided_for: Rollout order under which it was decided whether this is a canary.
+        is_canary: Whether the next attempt goes to a version that is not trusted yet.
+        watch: Monitors the current attempt, as evidence for a rollout.
     """
 
     request: ServingRequest
@@ -99,15 +101,15 @@
     framing: EventFraming
     sends: int = 0
     runs: int = 0
-    charged: float = 0.0
+    charged_cost: float = 0.0
     may_have_run: bool = False
     head_sent: bool = False
     first_event_at: float | None = None
     last_event_at: float | None = None
     longest_gap: float = 0.0
-    quiet_from: float = 0.0
+    silent_since: float = 0.0
     excluded: set[str] = field(default_factory=set)
-    runner_failure: WholeAnswer | None = None
+    failure_answer: WholeAnswer | None = None
     time_limit: asyncio.Timeout | None = None
     has_waited: bool = False
     sent_at: float = 0.0
@@ -118,17 +120,17 @@
     trial_send: int | None = None
     answer_ready: bool = False
     is_fatal: bool = False
-    versions_of: StoreRevision | None = None
+    canary_decided_for: StoreRevision | None = None
     is_canary: bool = False
-    watch: AttemptWatch = NOT_WATCHED
+    watch: AttemptMonitor = UNMONITORED
 
     @property
     def tenant_name(self) -> str:
-        """Name of its tenant; empty without one."""
+        """Name of the tenant; empty without a tenant."""
         return self.tenant.name if self.tenant is not None else ""
 
-    def allow_until(self, when: float, now: float) -> None:
-        """Let work on it go on until a time on the node's clock, if it would end sooner."""
+    def extend_until(self, when: float, now: float) -> None:
+        """Extend the time limit to a time on the node's clock; never shorten it."""
         if self.time_limit is None or self.time_limit.expired():
             return
         loop_when = asyncio.get_running_loop().time() + when - now
@@ -138,24 +140,24 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it may have ended a runner."""
+        """Whether the request may have crashed a runner."""
         return self.suspect_rank is not None
 
-    def end_now(self) -> None:
-        """End work on it as its deadline would."""
+    def expire_now(self) -> None:
+        """End work on the request immediately, as at its deadline."""
         if self.time_limit is not None and not self.time_limit.expired():
             self.time_limit.reschedule(asyncio.get_running_loop().time())
 
     def may_run_again(self) -> bool:
-        """Return whether another runner may run it, although one may have."""
+        """Return whether another runner may run the request after one may have run it."""
         return self.route.repeatable and self.runs < self.route.max_attempts
 
     def note_bytes(self, now: float) -> None:
-        """Note that the connection of its attempt lives."""
-        self.quiet_from = max(self.quiet_from, now)
+        """Record that bytes arrived on the connection of the current attempt."""
+        self.silent_since = max(self.silent_since, now)
 
     def note_event(self, now: float) -> bool:
-        """Note that events were passed on; return whether they are the first ones."""
+        """Record that events were passed on; return whether they are the first ones."""
         first = self.first_event_at is None
         if first:
             self.first_event_at = now
@@ -164,15 +166,17 @@
         self.last_event_at = now
         return first
 
-    def gave_up(
+    def give_up_error(
         self, verdict: Verdict, reason: str, retry_after: float | None = None
     ) -> RejectedError | StreamCutError:
-        """Return the error that ends it: a promise only if nothing may have run.
+        """Return the error that ends the request.
+
+        The error promises that the request has not run only if no runner may have run it.
 
         Args:
-            verdict: Why it ends, if it may have run.
-            reason: The same for a person.
-            retry_after: Seconds until a runner is expected to take work; None if not known.
+            verdict: Verdict if the request may have run.
+            reason: Text for people.
+            retry_after: Seconds until a runner is expected to accept work; None if not known.
         """
         if self.head_sent:
             return StreamCutError(reason, step="relay")
@@ -209,7 +213,7 @@
 def older_weights_fields(
     job: Job, placed: PlacedAttempt, versions: WeightsVersions, now: float
 ) -> dict[str, object] | None:
-    """Return the log fields of an attempt on weights older than the newest; None if it is not."""
+    """Return the log fields of an attempt on older weights; None if the weights are the newest."""
     model = job.request.model
     if placed.weights_version is None:
         return None
--- a/src/hillstack/serving/metrics.py
+++ b/src/hillstack/serving/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a fleet's node."""
+"""Prometheus metrics of a node."""
 
 from __future__ import annotations
 
@@ -6,22 +6,21 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-# Around the objectives of 0.4 to 0.8 s and the deadlines of 3 to 15 s of the deployments seen.
+# Cover the objectives of 0.4 to 0.8 s and the deadlines of 3 to 15 s of known deployments.
 LATENCY_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.5, 3, 6, 12)
-# Around the allowed pauses of 0.5 and 0.6 s.
+# Cover the allowed pauses of 0.5 and 0.6 s between two events.
 PAUSE_BUCKETS = (0.05, 0.1, 0.2, 0.5, 1, 2, 4)
 
-
-# Tenants with a label of their own: some kilobytes of memory each would not do for thousands. The
-# others are counted together.
-MOST_TENANT_LABELS = 32
-# Versions of all services with a label of their own; further ones are counted together.
-MOST_VERSION_LABELS = 64
+# Tenants with their own label. Each label costs some kilobytes of memory, too much for thousands of
+# tenants; the remaining tenants share one label.
+MAX_TENANT_LABELS = 32
+# Versions of all services with their own label; the remaining versions share one label.
+MAX_VERSION_LABELS = 64
 OTHER_VERSIONS = ("other", "other")
 
 
 class FleetMetrics:
-    """All metrics of one node, in a registry of their own."""
+    """All metrics of one node, in a separate registry."""
 
     def __init__(self) -> None:
         self._tenant_labels: set[str] = set()
@@ -104,13 +103,13 @@
             "longest_pause_seconds", "Longest pause between two events of a stream.", PAUSE_BUCKETS
         )
 
-        self._version_attempts = self._of_versions(
+        self._version_attempts = self._version_counter(
             "version_attempts", "Attempts during rollouts that were the runner's own doing."
         )
-        self._version_failures = self._of_versions(
+        self._version_failures = self._version_counter(
             "version_failures", "Those of them that ended badly."
         )
-        self._canary_sends = self._of_versions(
+        self._canary_sends = self._version_counter(
             "canary_sends", "Requests sent to versions that are not trusted yet."
         )
         self._exposure_left = Gauge(
@@ -151,48 +150,50 @@
         """Count a request sent to a version that is not trusted yet."""
         self._canary_sends.labels(*self._version_label(service, version)).inc()
 
-    def show_exposure(self, service: str, version: str, left: float) -> None:
-        """Show how many requests may still be sent to a version that is not trusted yet."""
+    def set_exposure_left(self, service: str, version: str, left: float) -> None:
+        """Set how many requests may still be sent to a version that is not trusted yet."""
         self._exposure_left.labels(*self._version_label(service, version)).set(left)
 
     def _version_label(self, service: str, version: str) -> tuple[str, str]:
         label = service, version
         if label not in self._version_labels:
-            if len(self._version_labels) >= MOST_VERSION_LABELS:
+            if len(self._version_labels) >= MAX_VERSION_LABELS:
                 return OTHER_VERSIONS
             self._version_labels.add(label)
         return label
 
-    def _of_versions(self, name: str, text: str) -> Counter:
+    def _version_counter(self, name: str, text: str) -> Counter:
         labels = ["service", "version"]
         return Counter(f"hillstack_{name}", text, labels, registry=self.registry)
 
-    def count_regions(self, borrowed: str | None, fetch_from: str | None, across: bool) -> None:
-        """Count what an attempt takes from another region, and whether it fetches cached parts.
+    def count_regions(
+        self, borrowed: str | None, fetch_from: str | None, is_cross_region: bool
+    ) -> None:
+        """Count an attempt at a runner of another region, and a fetch of cached parts.
 
         Args:
-            borrowed: Why its runner is one of another region; None if it is not.
-            fetch_from: Whence it fetches; None for no fetch.
-            across: Whether it fetches from another region.
+            borrowed: Why a runner of another region was chosen; None for one of the own region.
+            fetch_from: Address from which parts are fetched; None for no fetch.
+            across: Whether the parts are fetched from another region.
         """
         if borrowed is not None:
             self.borrowed.labels(borrowed).inc()
         if fetch_from is not None:
-            self.fetches.labels("other region" if across else "own region").inc()
+            self.fetches.labels("other region" if is_cross_region else "own region").inc()
 
     def _tenant_label(self, tenant: str) -> str:
         if tenant not in self._tenant_labels:
-            if len(self._tenant_labels) >= MOST_TENANT_LABELS:
+            if len(self._tenant_labels) >= MAX_TENANT_LABELS:
                 return "other"
             self._tenant_labels.add(tenant)
         return tenant
 
     def gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
-        """Tell a value that is read when the metrics are asked for."""
+        """Register a gauge whose value is read whenever the metrics are requested."""
         Gauge(f"hillstack_{name}", text, registry=self.registry).set_function(read)
 
     def text(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def _counter(self, name: str, text: str, label: str) -> Counter:
--- a/src/hillstack/serving/peers.py
+++ b/src/hillstack/serving/peers.py
@@ -1,4 +1,4 @@
-"""What the life of requests tells the other nodes."""
+"""Notices to other nodes that serving a request causes."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 from hillstack.messages.runner_ends import RunnerEndNotice
 
 
-class PeerNotices(Protocol):
-    """Takes notices for the peers; sends them soon, together, without promise."""
+class PeerNotifier(Protocol):
+    """Queues notices for the peers and sends them in batches soon after, without a guarantee."""
 
     def placed(self, notice: PlacementNotice) -> None:
-        """Tell what was sent to a runner."""
+        """Report a request that was sent to a runner."""
         ...
 
     def prompt_read(self, number: int) -> None:
-        """Tell that the prompt of a placement, by its number, is read."""
+        """Report that the prompt of the placement with this number is prefilled."""
         ...
 
     def load_changed(self, runner: Runner) -> None:
-        """Tell the load that this node has on a runner."""
+        """Report that this node's load on a runner has changed."""
         ...
 
     def suspected(self, runner: Runner) -> None:
-        """Tell that a runner is silent or takes no connections."""
+        """Report that a runner is silent or accepts no connections."""
         ...
 
     def runner_ended(self, notice: RunnerEndNotice) -> None:
-        """Tell of a runner that ended while it worked on requests of this node, at once."""
+        """Report immediately that a runner crashed while it ran requests of this node."""
         ...
 
     def send_runner_ends(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
-        """Tell one peer of runners that have ended."""
+        """Report runner crashes to one peer."""
         ...
--- a/src/hillstack/serving/pipeline.py
+++ b/src/hillstack/serving/pipeline.py
@@ -1,8 +1,8 @@
-"""The life of one request.
+"""Serves one request: admission, tenant limit, placement, attempts, relay of the answer, outcome.
 
-Route, tenant, freshness, placement, attempts, relay, outcome. What may have run is kept apart from
-what surely has not: only the latter is refused with a promise, or sent again if it may run only
-once.
+The pipeline tracks whether a request may have run. Only a request that certainly has not run is
+refused with the promise that it has not, and only such a request is sent again if it may run at
+most once.
 """
 
 from __future__ import annotations
@@ -38,16 +38,16 @@
     RunnerClient,
     TenantLimiter,
 )
-from hillstack.serving.runner_ends import RunnerEndWatch
+from hillstack.serving.runner_ends import RunnerCrashMonitor
 from hillstack.serving.runner_limits import RunnerLimits
-from hillstack.serving.signal_intake import show_held_back
+from hillstack.serving.signal_intake import log_held_back
 from hillstack.serving.types import (
     SERVER_ERROR,
     SUCCESS,
+    AttemptAbandonedError,
     Dispatch,
     RefusalCause,
     RejectedError,
-    RunnerGivenUpError,
     RunnerRefusedError,
     ServingRequest,
     StreamCutError,
@@ -56,28 +56,28 @@
 
 logger = logging.getLogger(__name__)
 
-# Runners that a request is offered to, refusals included: each costs some ms and the shared budget.
+# Sends of one request, refused ones included: each costs some ms and a unit of the retry budget.
 MAX_SENDS = 4
-# Less is not worth a try: the way there and back.
+# An attempt with less time left is useless: this is the round trip to a runner.
 MIN_REMAINING_SECONDS = 0.02
-# A timer may fire that much before the moment that it was set for, when the backoff still holds.
-BACKOFF_END_SECONDS = 0.002
-# How late a silent runner is noticed by a request that waits for it.
+# A timer may fire this much early, while the backoff is still in effect.
+BACKOFF_END_MARGIN_SECONDS = 0.002
+# How often a request that waits for a runner checks whether the runner is silent.
 SILENCE_CHECK_SECONDS = 0.15
-# A request leaves a runner that is silent for longer than the allowed pauses of 0.5 and 0.6 s.
+# A request abandons a runner that is silent for longer than the allowed pauses of 0.5 and 0.6 s.
 SILENCE_LIMIT_SECONDS = 0.7
-# An answer that a runner ends at the deadline is taken that late: twice the way between regions,
-# of 8 to 20 ms on the deployments seen.
-TRANSIT_SECONDS = 0.05
-# Once the head of a whole answer is in, a packet of its body may be lost and sent again: the
-# shortest time after which TCP repeats.
+# An answer that a runner completes at the deadline is accepted this much later: twice the one-way
+# latency between regions, which is 8 to 20 ms on known deployments.
+DEADLINE_TRANSIT_SECONDS = 0.05
+# Extra time for the body once the head of a complete answer has arrived, in case a packet is lost:
+# the minimum retransmission timeout of TCP.
 BODY_TRANSIT_SECONDS = 0.2
 # How long a caller may take to read an answer that is ready, also past its deadline: ten
-# repetitions of a lost packet. Who reads slower holds up memory and is cut.
+# retransmissions of a lost packet. A slower caller occupies memory, so its connection is cut.
 DELIVERY_SECONDS = 2.0
-# A request leaves a connection that is silent while its runner speaks on others. The system's own
-# time-outs take up to 2.2 s (1.2 s for bytes sent, two probes for a wait); callers leave a stream
-# after 3.2 s on the deployments seen.
+# A request abandons a connection that is silent for this long while its runner sends on others. The
+# operating system's timeouts take up to 2.2 s (1.2 s for sent bytes, two keepalive probes for a
+# wait); callers abandon a stream after 3.2 s on known deployments.
 CONNECTION_SILENCE_SECONDS = 2.5
 
 
@@ -85,13 +85,14 @@
     """Serves requests of one node.
 
     Args:
-        state: What the node knows.
+        state: State of the node.
         client: Sends attempts to runners.
         placement: Chooses runners.
         clock: Monotonic seconds.
-        limiter: Keeps requests within the limits of their tenants.
-        metrics: Where results and latencies are counted.
-        observer: Sees how attempts fare; nobody by default.
+        limiter: Enforces the rate limits of tenants.
+        metrics: Counts results and latencies.
+        observer: Observes attempts during a rollout; None to observe nothing.
+        runner_limits: Enforces the rate limits that runners announce; None to ignore them.
     """
 
     def __init__(
@@ -115,19 +116,19 @@
         self._clock = clock
         self._admission = RequestAdmission(state, clock)
         self._backoff_waits = BackoffWaits(state, placement)
-        self.runner_ends = RunnerEndWatch(state, placement, clock, self._metrics)
+        self.runner_ends = RunnerCrashMonitor(state, placement, clock, self._metrics)
         self.active = 0
 
     def stop_accepting(self) -> None:
-        """Refuse all further requests: the node ends before it could finish them."""
+        """Reject all further requests, because the node is shutting down."""
         self._admission.stop_accepting()
 
     async def serve(self, request: ServingRequest, sink: ResponseSink) -> None:
         """Serve a request.
 
         Raises:
-            RejectedError: It gets an answer of the router's own.
-            StreamCutError: Its answer has begun and can't be completed.
+            RejectedError: The router answers the request itself.
+            StreamCutError: The answer has begun and can't be completed.
         """
         self.active += 1
         result = "error"
@@ -172,12 +173,12 @@
         try:
             await self._run_in_time(job, sink)
         except RejectedError:
-            if job.runner_failure is None:
+            if job.failure_answer is None:
                 raise
-            await self._deliver_failure(job, job.runner_failure, sink)
+            await self._deliver_failure(job, job.failure_answer, sink)
 
     async def _deliver_failure(self, job: Job, answer: WholeAnswer, sink: ResponseSink) -> None:
-        """Pass a runner's failure on after all other attempts have ended."""
+        """Pass on the failure answer of a runner after all other attempts have failed."""
         job.time_limit = None
         try:
             async with asyncio.timeout(DELIVERY_SECONDS):
@@ -189,23 +190,23 @@
         try:
             async with asyncio.timeout(max(0.0, job.deadline - self._clock())) as job.time_limit:
                 await self.runner_ends.check(job)
-                await self._keep_within_limit(job)
+                await self._charge_tenant_limit(job)
                 if not self._state.start_gate.caches_known:
-                    # Peers tell a node that has just started what ended runners, then what is
-                    # cached: a request that they know as fatal must not be sent before that.
+                    # Peers report runner crashes to a node that has just started before they report
+                    # cached parts, so requests known to be fatal are known by then.
                     await self._state.start_gate.passed_by_prompt()
                     await self.runner_ends.check(job)
                 await self._attempt_until_done(job, sink)
         except TimeoutError:
             if job.is_fatal:
-                raise self.runner_ends.ended_for_good(job) from None
-            raise job.gave_up(Verdict.TIMED_OUT, "the deadline passed") from None
+                raise self.runner_ends.fatal_error(job) from None
+            raise job.give_up_error(Verdict.TIMED_OUT, "the deadline passed") from None
         finally:
-            if job.charged and not job.runs and not job.may_have_run:
-                self._limiter.give_back(job.tenant_name, job.charged)
+            if job.charged_cost and not job.runs and not job.may_have_run:
+                self._limiter.give_back(job.tenant_name, job.charged_cost)
 
-    async def _keep_within_limit(self, job: Job) -> None:
-        """Refuse a request for which its tenant's limit has no room, before any runner is asked."""
+    async def _charge_tenant_limit(self, job: Job) -> None:
+        """Charge a request to its tenant's limit, or reject it if the limit is exhausted."""
         limit = job.tenant.limit if job.tenant is not None else None
         if limit is None:
             return
@@ -213,7 +214,7 @@
         wait = await self._limiter.take(job.tenant_name, limit, cost, job.route.priority)
         self._metrics.count_limited(job.tenant_name, cost, admitted=wait <= 0)
         if wait <= 0:
-            job.charged = cost
+            job.charged_cost = cost
             return
         text = f"over the limit of {job.tenant_name}: {cost:.0f} {limit.unit} have no room"
         raise RejectedError(Verdict.OVER_LIMIT, text, step="limit", retry_after=wait)
@@ -226,34 +227,35 @@
             try:
                 done = await self._attempt(job, placed, sink)
             except RunnerRefusedError as error:
-                self._refused(job, placed.runner, error)
+                self._handle_refusal(job, placed.runner, error)
             except BackendBrokenError as error:
-                self._broken(job, placed.runner, error)
+                self._handle_broken(job, placed.runner, error)
             else:
                 if done:
                     return
 
     async def _place(self, job: Job) -> PlacedAttempt:
         now = self._clock()
-        if job.sends and not self._may_send_again(job, now):
-            raise job.gave_up(Verdict.UNAVAILABLE, "no further attempt allowed")
+        if job.sends and not self._claim_retry(job, now):
+            raise job.give_up_error(Verdict.UNAVAILABLE, "no further attempt allowed")
         placed = await self._choose(job)
-        if placed is None and await self._backoff_ended(job, self._clock()):
+        if placed is None and await self._wait_for_backoff(job, self._clock()):
             placed = await self._choose(job)
         now = self._clock()
         if placed is None:
             fields: dict[str, object] = {"request": job.request.request_id, "service": job.service}
             fields |= asdict(self._placement.census(job, now))
             logger.info("no runner", extra=fields)
-            wait = self._placement.available_in(job, now)
-            raise job.gave_up(Verdict.UNAVAILABLE, "no runner takes work", wait)
+            wait = self._placement.available_in_seconds(job, now)
+            raise job.give_up_error(Verdict.UNAVAILABLE, "no runner takes work", wait)
         self._check_overload(job, placed, now)
         return placed
 
     async def _choose(self, job: Job) -> PlacedAttempt | None:
-        """Return a runner for the next attempt, taken out of its limit; None if none takes it.
+        """Return a runner for the next attempt, charged to its rate limit; None if there is none.
 
-        A runner whose limit has no room accepts no work for a while, so each is asked once.
+        A runner whose limit is exhausted accepts no work for a while, so each runner is chosen at
+        most once here.
         """
         while True:
             placed = self._placement.choose(job, self._clock())
@@ -262,30 +264,32 @@
             if await self._runner_limits.admits(job, placed.runner):
                 return placed
 
-    async def _backoff_ended(self, job: Job, now: float) -> bool:
-        """Wait until a runner wants requests again if this one is in time then; once each.
+    async def _wait_for_backoff(self, job: Job, now: float) -> bool:
+        """Wait for a runner's backoff to end if the request can be served in time after it.
+
+        A request waits at most once.
 
         Returns:
-            Whether it waited.
+            Whether the request waited.
         """
         runner = self._backoff_waits.runner_for(job, now) if not job.has_waited else None
         if runner is None:
             return False
         job.has_waited = True
-        # It may be the one that has refused this request, and asked for the backoff.
+        # This runner may have refused the request when it asked for the backoff.
         job.excluded.discard(runner.runner_id)
         wait = runner.ready_at - now
         fields = {"request": job.request.request_id, "runner": runner.runner_id}
         logger.info("waits for backoff to end", extra=fields | {"wait_ms": round(wait * 1000, 1)})
         self._backoff_waits.begin(runner)
         try:
-            await asyncio.sleep(wait + BACKOFF_END_SECONDS)
+            await asyncio.sleep(wait + BACKOFF_END_MARGIN_SECONDS)
         finally:
             self._backoff_waits.end(runner)
         return True
 
     def _check_overload(self, job: Job, placed: PlacedAttempt, now: float) -> None:
-        """Refuse a request that surely has not run if it would surely be late."""
+        """Reject a request that certainly has not run and would certainly be late."""
         if job.may_have_run or placed.salt is None:
             return
         retry_after = overload_retry_after(
@@ -298,7 +302,7 @@
             text = f"would wait {placed.waiting:.2f} s"
             raise RejectedError(Verdict.OVERLOADED, text, step="place", retry_after=retry_after)
 
-    def _may_send_again(self, job: Job, now: float) -> bool:
+    def _claim_retry(self, job: Job, now: float) -> bool:
         if not _has_send_left(job, now):
             return False
         if job.may_have_run and not job.may_run_again():
@@ -306,7 +310,7 @@
         return self._state.budget.try_retry(job.service, now)
 
     async def _attempt(self, job: Job, placed: PlacedAttempt, sink: ResponseSink) -> bool:
-        """Send one attempt and relay its answer; return False if another one should follow."""
+        """Send an attempt and relay its answer; return False if another attempt should follow."""
         now = self._clock()
         attempt_id = f"{job.request.request_id}/{job.sends}"
         dispatch = self._dispatch(job, placed, now)
@@ -314,16 +318,16 @@
         self._placement.sent(job, placed, attempt_id, now)
         self.runner_ends.sent(job, placed.runner, attempt_id, now)
         logger.info("attempt", extra=attempt_fields(job, placed, dispatch))
-        show_held_back(self._state.pool, self._metrics, job.request.request_id, placed.runner, now)
+        log_held_back(self._state.pool, self._metrics, job.request.request_id, placed.runner, now)
         self._log_older_weights("sent on older weights", job, placed)
         self._count_tokens(job, placed)
         self._metrics.count_regions(placed.borrowed, placed.fetch_from, placed.fetches_across)
         answer: RunnerAnswer | None = None
-        may_work_on = True
+        may_still_run = True
         job.runs += 1
-        job.allow_until(job.deadline + TRANSIT_SECONDS, now)
+        job.extend_until(job.deadline + DEADLINE_TRANSIT_SECONDS, now)
         try:
-            answer = await self._head(job, placed, dispatch)
+            answer = await self._receive_head(job, placed, dispatch)
             answered_at = self._clock()
             job.note_bytes(answered_at)
             if answer.status in SUCCESS:
@@ -333,21 +337,21 @@
             self._state.pool.heard(placed.runner, answered_at)
             self._placement.answered(job, placed, attempt_id, answered_at)
             done = await self._relay(job, placed, attempt_id, answer, sink)
-            may_work_on = False
+            may_still_run = False
             return done
         except BaseException as error:
             job.watch.raised(error)
-            may_work_on = not isinstance(error, RunnerRefusedError)
+            may_still_run = not isinstance(error, RunnerRefusedError)
             raise
         finally:
             self._placement.finished(placed, attempt_id)
-            self.runner_ends.finished(attempt_id, may_work_on=may_work_on)
+            self.runner_ends.finished(attempt_id, may_still_run=may_still_run)
             self._observer.ended(job, self._clock())
             if answer is not None:
                 answer.close()
 
     def _count_older_weights(self, job: Job, placed: PlacedAttempt) -> None:
-        """Count a request that begins on weights older than the newest."""
+        """Count a request that starts on weights older than the newest."""
         versions, version = self._state.versions, placed.weights_version
         if version is None or version >= versions.newest(job.request.model):
             return
@@ -383,13 +387,15 @@
             last_event_id=job.framing.last_event_id,
         )
 
-    async def _head(self, job: Job, placed: PlacedAttempt, dispatch: Dispatch) -> RunnerAnswer:
-        """Return the head of the answer.
+    async def _receive_head(
+        self, job: Job, placed: PlacedAttempt, dispatch: Dispatch
+    ) -> RunnerAnswer:
+        """Send an attempt and return the head of the answer.
 
-        A silent runner is left if another may be tried, and a request that has not begun when
-        newer weights are due is taken back.
+        The attempt is abandoned if the runner is silent and another runner may be tried, or if its
+        answer has not begun when newer weights are due.
         """
-        if dispatch.weights_version is None and not self._may_follow(job):
+        if dispatch.weights_version is None and not self._may_retry(job):
             return await self._client.send(job.request, dispatch)
         sending = asyncio.ensure_future(self._client.send(job.request, dispatch))
         try:
@@ -400,7 +406,7 @@
                 self._check_silence(job, placed.runner, "await answer")
                 self._check_weights(job, placed.runner, dispatch)
         except asyncio.CancelledError:
-            _give_up_answer(sending)
+            _close_pending_answer(sending)
             raise
         finally:
             sending.cancel()
@@ -412,28 +418,31 @@
         due = self._state.versions.deadline(model, dispatch.weights_version)
         if self._clock() >= due - SILENCE_CHECK_SECONDS:
             text = "not begun before newer weights were due"
-            raise RunnerGivenUpError(text, step="await answer", peer=runner.runner_id)
+            raise AttemptAbandonedError(text, step="await answer", peer=runner.runner_id)
 
     def _check_silence(self, job: Job, runner: Runner, step: str) -> None:
-        """Leave a silent runner where the request can go on elsewhere: it may speak again."""
+        """Abandon an attempt at a silent runner if another runner can serve the request.
+
+        Otherwise the attempt continues, because the runner may send again.
+        """
         now = self._clock()
         is_silent = runner.is_silent(now) and now - runner.last_heard_at >= SILENCE_LIMIT_SECONDS
-        is_cut_off = now - job.quiet_from >= CONNECTION_SILENCE_SECONDS
-        if not (runner.has_ended or is_silent or is_cut_off):
+        is_connection_silent = now - job.silent_since >= CONNECTION_SILENCE_SECONDS
+        if not (runner.has_ended or is_silent or is_connection_silent):
             return
         if self._may_try_other(job, runner):
             if runner.has_ended:
                 text = "the runner has started again"
                 raise ConnectionLostError(text, step=step, peer=runner.runner_id)
             text = "the runner is silent" if is_silent else "the connection is silent"
-            raise RunnerGivenUpError(text, step=step, peer=runner.runner_id)
+            raise AttemptAbandonedError(text, step=step, peer=runner.runner_id)
 
     def _may_try_other(self, job: Job, runner: Runner) -> bool:
-        """Return whether another runner would take an attempt that is given up at this one."""
-        return self._may_follow(job) and self._placement.has_other(job, runner, self._clock())
+        """Return whether another runner can serve the request if this attempt is abandoned."""
+        return self._may_retry(job) and self._placement.has_alternative(job, runner, self._clock())
 
-    def _may_follow(self, job: Job) -> bool:
-        """Return whether rules and budget allow a further attempt."""
+    def _may_retry(self, job: Job) -> bool:
+        """Return whether the route and the retry budget allow another attempt."""
         now = self._clock()
         if not job.may_run_again() or not _has_send_left(job, now):
             return False
@@ -456,14 +465,14 @@
             self._metrics.attempts.labels("error").inc()
             log_outcome(job, runner, f"retry after status {answer.status}")
             if not job.head_sent:
-                job.runner_failure = await self._whole(job, answer)
+                job.failure_answer = await self._read_whole(job, answer)
             return False
         if job.head_sent and answer.status not in SUCCESS:
             raise BackendBrokenError("resume refused", step="resume", peer=runner.runner_id)
         if job.route.kind is RouteKind.STREAM and answer.status in SUCCESS:
             await self._relay_stream(job, placed, attempt_id, answer, sink)
         else:
-            await self._deliver(job, await self._whole(job, answer), sink)
+            await self._deliver(job, await self._read_whole(job, answer), sink)
         self._state.pool.succeeded(runner)
         self.runner_ends.answered(job, succeeded=answer.status in SUCCESS)
         self._metrics.attempts.labels("answered").inc()
@@ -472,17 +481,17 @@
         log_outcome(job, runner, f"status {answer.status}")
         return True
 
-    async def _whole(self, job: Job, answer: RunnerAnswer) -> WholeAnswer:
-        """Read an answer that its runner has completed, as its head shows."""
-        job.allow_until(job.deadline + BODY_TRANSIT_SECONDS, self._clock())
+    async def _read_whole(self, job: Job, answer: RunnerAnswer) -> WholeAnswer:
+        """Read the whole body of an answer that is not relayed as a stream."""
+        job.extend_until(job.deadline + BODY_TRANSIT_SECONDS, self._clock())
         body = await answer.whole_body()
         headers = [*answer.headers, (b"content-length", str(len(body)).encode())]
         return WholeAnswer(answer.status, headers, body)
 
     async def _deliver(self, job: Job, answer: WholeAnswer, sink: ResponseSink) -> None:
-        """Pass a ready answer on, also past the deadline."""
+        """Pass on a complete answer, even past the deadline."""
         now = self._clock()
-        job.allow_until(now + DELIVERY_SECONDS, now)
+        job.extend_until(now + DELIVERY_SECONDS, now)
         job.answer_ready = True
         job.head_sent = True
         await sink.start(answer.status, answer.headers)
@@ -537,7 +546,7 @@
             except TimeoutError:
                 self._check_silence(job, placed.runner, "relay")
 
-    def _refused(self, job: Job, runner: Runner, error: RunnerRefusedError) -> None:
+    def _handle_refusal(self, job: Job, runner: Runner, error: RunnerRefusedError) -> None:
         now = self._clock()
         pool = self._state.pool
         job.runs -= 1
@@ -560,7 +569,7 @@
                     pool.shed(runner, now)
         log_outcome(job, runner, f"not run: {error.cause}", error.weights_version)
 
-    def _broken(self, job: Job, runner: Runner, error: BackendBrokenError) -> None:
+    def _handle_broken(self, job: Job, runner: Runner, error: BackendBrokenError) -> None:
         job.may_have_run = True
         job.excluded.add(runner.runner_id)
         self._state.pool.failed(runner, self._clock())
@@ -569,22 +578,25 @@
         self._metrics.attempts.labels("broken").inc()
         log_outcome(job, runner, f"broken at {error.step}: {error.message}")
         if not job.may_run_again():
-            raise job.gave_up(Verdict.FAILED, error.message) from error
+            raise job.give_up_error(Verdict.FAILED, error.message) from error
 
 
 def _has_send_left(job: Job, now: float) -> bool:
-    """Return whether the number of sends and the time left allow another one."""
+    """Return whether the number of sends and the remaining time allow another send."""
     return job.sends < MAX_SENDS and job.deadline - now >= MIN_REMAINING_SECONDS
 
 
 def _useful_patience(request: ServingRequest) -> float:
-    """Return how long a request may wait and its caller still gets the answer."""
+    """Return how long a request may wait so that its caller still receives the answer."""
     if request.patience_seconds is None:
         return math.inf
     return max(0.0, request.patience_seconds - MIN_REMAINING_SECONDS)
 
 
-def _give_up_answer(sending: asyncio.Future[RunnerAnswer]) -> None:
-    """Close an answer whose head came in the turn in which its caller left, to end its run."""
+def _close_pending_answer(sending: asyncio.Future[RunnerAnswer]) -> None:
+    """Close an answer whose head arrived in the event loop iteration in which the caller left.
+
+    Closing the answer makes the runner stop.
+    """
     if sending.done() and not sending.cancelled() and sending.exception() is None:
         sending.result().close()
--- a/src/hillstack/serving/placement.py
+++ b/src/hillstack/serving/placement.py
@@ -1,4 +1,4 @@
-"""Chooses a runner for an attempt and keeps the books of what was sent."""
+"""Chooses a runner for an attempt and records the attempts that were sent."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from hillstack.core.runner_load import OwnAttempt
 from hillstack.core.runner_pool import DEFAULT_PREFILL_RATE, Runner
 from hillstack.messages.peer_notices import PlacementNotice
-from hillstack.serving.cache_beliefs import CacheBeliefs
+from hillstack.serving.cache_beliefs import CacheEstimates
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.job import Job, PlacedAttempt
-from hillstack.serving.peers import PeerNotices
+from hillstack.serving.peers import PeerNotifier
 from hillstack.serving.region_choice import (
     DETOUR_SECONDS,
-    LEAST_REPEATED_TOKENS,
+    MIN_REPEATED_TOKENS,
     SECONDS_PER_BYTE,
     BorrowReason,
     RegionChoice,
@@ -39,38 +39,37 @@
 from hillstack.serving.version_choice import UsableRunners, VersionChoice
 
 SHARED_SALT = "shared"
-# Weight of the latest prefill: the last ten count most.
+# Weight of the latest prefill in the moving average, which reflects about the last ten prefills.
 RATE_SMOOTHING = 0.1
-# Shorter prefills take a few steps: their rate is that of the steps.
+# Shorter prefills take only a few engine steps, so their rate depends on the step time.
 RATE_MIN_TOKENS = 1500
-# Several times slower and faster than any engine seen (38,000 to 57,000).
+# Tokens per second: several times slower and faster than known engines (38,000 to 57,000).
 RATE_RANGE = (5_000.0, 200_000.0)
-# A request may begin that much later than it is sent.
+# A request may start to run this much later than it is sent.
 VERSION_MARGIN_SECONDS = 0.3
-# Prefills of under 10 ms hold nobody up: not told.
+# Shorter prefills take less than 10 ms and are not reported to peers.
 MIN_NOTICE_TOKENS = 400
-# Placements of peers that are not told to be read yet: five seconds of 200 a second; what drops out
-# is believed to be read when its sender expected it to be.
+# Peers' placements that are not reported as prefilled yet: five seconds at 200 a second. If one is
+# dropped, its prompt counts as prefilled at the time that its sender expected.
 MAX_PEER_PLACEMENTS = 1_024
-# Below this share of all places taken a runner without waiting work takes a request: callers are
-# told of an overload only where there is one.
-FEW_PLACES_SHARE = 0.5
-# A new connection to an application weighs like a tenth of its places taken: it decides between
-# runners that are about as busy.
+# A service that uses a smaller share of its slots is not overloaded if some runner has no waiting
+# work. Its requests are then not rejected for overload.
+LOW_OCCUPANCY_SHARE = 0.5
+# Opening a connection to an application server costs as much as a tenth of its slots in use, which
+# decides between runners that are about equally busy.
 NEW_CONNECTION_PENALTY = 0.1
-# The first event of an engine is overdue after its expected delay, half as much again and this.
-DUE_SECONDS = 0.4
-DUE_FACTOR = 1.5
-# Callers of all nodes are told of the same end of a backoff: they return over half of the shortest
-# objective seen (0.2 to 0.8 s), or a runner that was overrun is overrun again.
+# The first event of an engine is overdue after 1.5 times its expected delay plus this time.
+FIRST_EVENT_OVERDUE_SECONDS = 0.4
+FIRST_EVENT_OVERDUE_FACTOR = 1.5
+# All nodes give their callers the same end of a backoff as retry time. Retries are spread over this
+# time, half of a usual objective (0.2 to 0.8 s), or they would overload the runner again.
 RETURN_SPREAD_SECONDS = 0.3
-# An answer of an application server, where none was seen yet: the longest work of those seen.
+# Expected time of an application server that has not answered yet: the longest work seen.
 USUAL_ANSWER_SECONDS = 0.1
-# A further attempt avoids the zones of runners that were tried, where there are several regions: as
-# much as half the places of an application server taken.
+# With several regions, a further attempt avoids the zones of runners that were already tried. The
+# penalty equals half of an application server's slots in use.
 FAILED_ZONE_PENALTY = 0.5
 
-
 CENSUS_REASONS = (
     "leaving",
     "backing_off",
@@ -85,18 +84,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerCensus:
-    """Why the runners of a service do or do not take a request; a runner counts once.
+    """Number of runners of a service by the reason why they don't accept a request.
+
+    Each runner is counted under the first reason that applies.
 
     Attributes:
-        known: All runners.
-        leaving: They drain, or are gone.
-        backing_off: They asked not to be sent anything for a while.
-        limited: This node has no part left of the limits that they name.
-        suspected: They failed or were silent.
-        loading: They load weights.
-        too_old: Their weights must not be used any more.
-        closed: Their version must not be used.
-        tried: They were tried for this request.
+        known: All runners, whether they accept the request or not.
+        leaving: Runners that drain or were removed.
+        backing_off: Runners that asked for a backoff.
+        limited: Runners whose rate limit has no room for this node.
+        suspected: Runners that failed or were silent.
+        loading: Runners that load weights.
+        too_old: Runners with weights that must no longer be used.
+        closed: Runners with a software version that must not be used.
+        tried: Runners that were already tried for this request.
     """
 
     known: int = 0
@@ -112,7 +113,7 @@
 
 @dataclass(slots=True)
 class _VersionTerms:
-    """What a version of weights means for one request; the fields are those of ``Candidate``."""
+    """Candidate fields that follow from a weights version; named as in ``Candidate``."""
 
     salt: str
     begin_before: float
@@ -120,56 +121,57 @@
 
 
 class RunnerPlacement:
-    """Placement for one node.
+    """Places the requests of one node.
 
     Args:
-        state: What the node knows.
-        peers: Where peers are told what was sent.
+        state: State of the node.
+        peers: Sends notices of placements and loads to the peers.
         zone: Zone of the node.
         rng: Source of randomness.
-        resting: Until when a resting connection of this node to an address may be used.
-        regions: Which requests may leave the region.
+        resting: Until when an idle connection of this node may be reused, by address.
+        regions: Decides which requests may go to another region.
     """
 
     def __init__(
         self,
         state: FleetState,
-        peers: PeerNotices,
+        peers: PeerNotifier,
         zone: str,
         rng: Random,
         resting: Mapping[str, float] | None = None,
         regions: RegionChoice | None = None,
     ) -> None:
-        self._resting = resting if resting is not None else {}
+        self._idle_until = resting if resting is not None else {}
         self._state = state
         self._peers = peers
         self._zone = zone
         self._rng = rng
         self._regions = regions or RegionChoice(state)
         self._policy = ExpectedDelayPlacement(state.index)
-        self._beliefs = CacheBeliefs(state)
+        self._cache_estimates = CacheEstimates(state)
         self.versions = VersionChoice(state, rng)
         self._rates: dict[str, float] = {}
         self._durations: defaultdict[str, AnswerDurations] = defaultdict(AnswerDurations)
-        self._numbers = itertools.count(1)
-        self._told: dict[str, int] = {}
+        self._notice_numbers = itertools.count(1)
+        self._announced: dict[str, int] = {}
         self._peer_placements: OrderedDict[tuple[str, int], PlacementNotice] = OrderedDict()
 
     @property
-    def peers(self) -> PeerNotices:
-        """Where peers are told."""
+    def peers(self) -> PeerNotifier:
+        """Sender of notices to the peers."""
         return self._peers
 
     def choose(self, job: Job, now: float) -> PlacedAttempt | None:
-        """Return a runner for the next attempt, or None when none takes work.
+        """Return a runner for the next attempt, or None if no runner accepts work.
 
-        One that leaves by the word of peers is chosen where no other one takes the request.
+        A runner that is leaving according to peers is chosen only if no other runner accepts the
+        request.
         """
-        doubtful = self._state.pool.hinted(job.service, now) - job.excluded
-        if doubtful:
-            job.excluded |= doubtful
+        hinted_ids = self._state.pool.hinted(job.service, now) - job.excluded
+        if hinted_ids:
+            job.excluded |= hinted_ids
             placed = self._choose_usable(job, now)
-            job.excluded -= doubtful
+            job.excluded -= hinted_ids
             if placed is not None:
                 return placed
         return self._choose_usable(job, now)
@@ -177,7 +179,7 @@
     def _choose_usable(self, job: Job, now: float) -> PlacedAttempt | None:
         placed = self._choose_among(job, self.versions.usable(job, now), now)
         if placed is None and job.is_canary:
-            self.versions.keep_to_trusted(job)
+            self.versions.drop_canary(job)
             placed = self._choose_among(job, self.versions.usable(job, now), now)
         return placed
 
@@ -188,29 +190,29 @@
         return self._choose_engine(job, job.request.shape, engine, usable, now)
 
     def has_room(self, job: Job, now: float) -> bool:
-        """Return whether few places are taken and no work waits at a runner that may take it.
+        """Return whether few slots are in use and some eligible runner has no waiting work.
 
-        A penalty for a recent refusal or for memory says that a runner may be slow, not that the
-        request would wait there.
+        A penalty for a recent refusal or for memory only means that a runner may be slow, not that
+        the request would wait there.
         """
         runners = self._reachable(job, self.versions.accepting(job, now), now)
         taken = sum(runner.running(now) for runner in runners)
         places = sum(runner.entry.slots for runner in runners)
-        if taken >= FEW_PLACES_SHARE * places:
+        if taken >= LOW_OCCUPANCY_SHARE * places:
             return False
         return any(
             runner.prefill_wait(now) <= 0 and runner.running(now) < runner.entry.slots
-            for runner in self._reachable(job, self._open_to(job, now), now)
+            for runner in self._reachable(job, self._runners_available_now(job, now), now)
         )
 
     def _reachable(self, job: Job, runners: Iterable[Runner], now: float) -> list[Runner]:
-        """Return the runners to which the link between regions, if it is needed, has room."""
+        """Return the runners that are in the own region, or reachable over the regions' link."""
         if self._regions.has_link_room(job.request, now):
             return list(runners)
-        return [runner for runner in runners if not self._regions.is_across(runner)]
+        return [runner for runner in runners if not self._regions.is_cross_region(runner)]
 
     def census(self, job: Job, now: float) -> RunnerCensus:
-        """Return why runners do not take the request, for the log."""
+        """Return why runners don't accept the request, for the log."""
         model = job.request.model
         oldest = self._state.versions.oldest_allowed(model, now + VERSION_MARGIN_SECONDS)
         counts = dict.fromkeys(CENSUS_REASONS, 0)
@@ -234,40 +236,40 @@
                 counts["tried"] += 1
         return RunnerCensus(known=len(runners), **counts)
 
-    def available_in(self, job: Job, now: float) -> float | None:
-        """Return after how many seconds the first runner is expected to take the request.
+    def available_in_seconds(self, job: Job, now: float) -> float | None:
+        """Return the seconds until the first runner is expected to accept the request.
 
-        None if that is not known: no runner is there to stay, or all have weights that are too old.
+        None if the time is unknown: all runners are leaving or have weights that are too old.
         """
-        first = min(self._staying(job, now), key=_takes_at, default=None)
+        first = min(self._runners_available_later(job, now), key=_available_at, default=None)
         if first is None:
             return None
-        wait = _takes_at(first) - now
-        if first.signals.asked_until >= _takes_at(first):
+        wait = _available_at(first) - now
+        if first.signals.asked_until >= _available_at(first):
             wait += self._rng.uniform(0.0, RETURN_SPREAD_SECONDS)
         return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait))
 
     def first_after_backoff(self, job: Job, now: float) -> Runner | None:
-        """Return the runner that takes the request first once it wants one again, or None.
+        """Return the runner in backoff that will accept the request first, or None.
 
-        It asked for a backoff, or this node has no part left of its limit.
+        A runner is in backoff if it asked for one, or if its rate limit has no room for this node.
         """
         backing_off = (
             runner
-            for runner in self._staying(job, now)
+            for runner in self._runners_available_later(job, now)
             if runner.signals.asked_until >= runner.ready_at > now
         )
-        return min(backing_off, key=_takes_at, default=None)
+        return min(backing_off, key=_available_at, default=None)
 
-    def expected_work(self, job: Job) -> float:
-        """Return the seconds that a request takes at an idle runner until it counts as served."""
+    def expected_work_seconds(self, job: Job) -> float:
+        """Return the seconds until an idle runner has prefilled the request or answered it."""
         shape = job.request.shape
         if shape is None or self._state.engine_of(job.service) is None:
             return self.usual_seconds(job.service) or USUAL_ANSWER_SECONDS
         return shape.prompt_tokens / self.prefill_rate(job.service)
 
-    def _staying(self, job: Job, now: float) -> Iterator[Runner]:
-        """Return the runners that take the request, if not now."""
+    def _runners_available_later(self, job: Job, now: float) -> Iterator[Runner]:
+        """Return the runners that will accept the request sooner or later."""
         oldest = self._oldest_allowed(job, now)
         for runner in self._state.pool.of_service(job.service):
             if not runner.stays(now) or not self.versions.may_use(job, runner, now):
@@ -276,11 +278,11 @@
                 yield runner
 
     def sent(self, job: Job, placed: PlacedAttempt, attempt_id: str, now: float) -> None:
-        """Note an attempt that is being sent, and when it is due, and tell the peers."""
+        """Record an attempt that is being sent and when it is overdue, and notify the peers."""
         shape = job.request.shape
         total = shape.total_tokens if shape is not None and placed.salt is not None else 0
         is_long = shape is not None and shape.is_long
-        job.quiet_from = due_at = now + self._due_seconds(job, placed)
+        job.silent_since = due_at = now + self._overdue_seconds(job, placed)
         attempt = OwnAttempt(placed.prefill_tokens, total, now, due_at, is_long)
         self._state.pool.sent(placed.runner, attempt_id, attempt, self.prefill_rate(job.service))
         self.versions.sent(job, placed.runner)
@@ -288,24 +290,24 @@
         self._regions.sent(placed.runner, job.request)
         if shape is None or placed.salt is None:
             return
-        self._beliefs.sent(placed, shape, now)
-        if _is_news(placed, shape):
-            self._told[attempt_id] = number = next(self._numbers)
-            self._peers.placed(_notice(placed, shape, number))
+        self._cache_estimates.sent(placed, shape, now)
+        if _should_announce(placed, shape):
+            self._announced[attempt_id] = number = next(self._notice_numbers)
+            self._peers.placed(_placement_notice(placed, shape, number))
 
     def answered(self, job: Job, placed: PlacedAttempt, attempt_id: str, now: float) -> None:
-        """Note that the head of an answer has come: an application server has done its work."""
+        """Record that the head of an answer arrived; an application server is then finished."""
         attempt = placed.runner.attempts.get(attempt_id)
         is_usual = not self.versions.is_untrusted(placed.runner)
         if attempt is not None and placed.salt is None and is_usual:
             self._durations[job.service].add(now - attempt.sent_at)
 
-    def has_other(self, job: Job, runner: Runner, now: float) -> bool:
-        """Return whether another runner than this one would take a further attempt."""
-        return any(other is not runner for other in self._open_to(job, now))
+    def has_alternative(self, job: Job, runner: Runner, now: float) -> bool:
+        """Return whether a runner other than this one would accept another attempt."""
+        return any(other is not runner for other in self._runners_available_now(job, now))
 
-    def _open_to(self, job: Job, now: float) -> Iterator[Runner]:
-        """Return the runners that may take a further attempt of a request."""
+    def _runners_available_now(self, job: Job, now: float) -> Iterator[Runner]:
+        """Return the runners that accept another attempt of a request now."""
         oldest = self._oldest_allowed(job, now)
         for runner in self.versions.accepting(job, now):
             if runner.runner_id in job.excluded:
@@ -313,22 +315,22 @@
             if runner.likely_weights(job.request.model, now) >= oldest:
                 yield runner
 
-    def must_share(self, job: Job, now: float) -> bool:
-        """Return whether each runner that may take a suspect has another one."""
+    def must_share_runner(self, job: Job, now: float) -> bool:
+        """Return whether every runner that may run a suspect already runs another suspect."""
         taken = self._state.probations.runner_ids(now)
         if not taken:
             return False
-        open_ids = [runner.runner_id for runner in self._open_to(job, now)]
+        open_ids = [runner.runner_id for runner in self._runners_available_now(job, now)]
         return bool(open_ids) and taken.issuperset(open_ids)
 
     def _oldest_allowed(self, job: Job, now: float) -> int:
-        """Return the oldest weights that a runner may have; application servers need none."""
+        """Return the oldest weights version that a runner may have; 0 for application servers."""
         if self._state.engine_of(job.service) is None:
             return 0
         return self._state.versions.oldest_allowed(job.request.model, now + VERSION_MARGIN_SECONDS)
 
     def started(self, job: Job, placed: PlacedAttempt, attempt_id: str, now: float) -> None:
-        """Note the first event of an attempt."""
+        """Record the first event of an attempt."""
         attempt = placed.runner.attempts.get(attempt_id)
         if attempt is not None and not self.versions.is_untrusted(placed.runner):
             self._learn_rate(job.service, placed, attempt, now)
@@ -336,23 +338,23 @@
         shape = job.request.shape
         if shape is None or placed.salt is None:
             return
-        self._beliefs.read(placed, shape, now)
-        number = self._told.pop(attempt_id, None)
+        self._cache_estimates.prefilled(placed, shape, now)
+        number = self._announced.pop(attempt_id, None)
         if number is not None:
             self._peers.prompt_read(number)
 
     def finished(self, placed: PlacedAttempt, attempt_id: str) -> None:
-        """Note the end of an attempt."""
-        self._told.pop(attempt_id, None)
+        """Record the end of an attempt."""
+        self._announced.pop(attempt_id, None)
         self._state.pool.finished(placed.runner, attempt_id)
         self._peers.load_changed(placed.runner)
 
     def lost(self, runner: Runner) -> None:
-        """Tell the peers of a runner that takes no connections."""
+        """Notify the peers of a runner that accepts no connections."""
         self._peers.suspected(runner)
 
     def observe_placement(self, peer: str, notice: PlacementNotice, now: float) -> None:
-        """Take over what a peer has sent."""
+        """Record a request that a peer has sent to a runner."""
         self._peer_placements[peer, notice.number] = notice
         while len(self._peer_placements) > MAX_PEER_PLACEMENTS:
             self._peer_placements.popitem(last=False)
@@ -361,27 +363,27 @@
             return
         rate = self.prefill_rate(runner.entry.service)
         self._state.pool.add_prefill(runner, notice.prefill_tokens, rate, now)
-        self._beliefs.peer_sent(notice, now)
+        self._cache_estimates.peer_sent(notice, now)
 
     def observe_read(self, peer: str, number: int, now: float) -> None:
-        """Take over that a prompt that a peer has sent is read; one not heard of is passed over."""
+        """Record that the prompt of a peer's placement is prefilled; ignore unknown placements."""
         notice = self._peer_placements.pop((peer, number), None)
         if notice is not None:
-            self._beliefs.peer_read(notice, now)
+            self._cache_estimates.peer_prefilled(notice, now)
 
     def usual_seconds(self, service: str) -> float | None:
-        """Return the median time to an answer of an application; None if it is not known."""
+        """Return the median time to an answer of an application; None if unknown."""
         durations = self._durations.get(service)
         return durations.median_seconds() if durations is not None else None
 
     def prefill_rate(self, service: str) -> float:
-        """Return the tokens a second that runners of a service are seen to prefill."""
+        """Return the observed prefill rate of a service's runners in tokens per second."""
         return self._rates.get(service, DEFAULT_PREFILL_RATE)
 
-    def _due_seconds(self, job: Job, placed: PlacedAttempt) -> float:
+    def _overdue_seconds(self, job: Job, placed: PlacedAttempt) -> float:
         if placed.salt is None:
             return self._durations[job.service].overdue_seconds()
-        return DUE_SECONDS + DUE_FACTOR * placed.delay
+        return FIRST_EVENT_OVERDUE_SECONDS + FIRST_EVENT_OVERDUE_FACTOR * placed.delay
 
     def _choose_application(
         self, job: Job, usable: UsableRunners, now: float
@@ -390,40 +392,43 @@
             runner for runner in usable.candidates if runner.runner_id not in job.excluded
         ]
         other_zones = self._regions.other_zones()
-        own = [runner for runner in candidates if runner.entry.zone not in other_zones]
-        other = [runner for runner in candidates if runner.entry.zone in other_zones]
+        local = [runner for runner in candidates if runner.entry.zone not in other_zones]
+        remote = [runner for runner in candidates if runner.entry.zone in other_zones]
         failed_zones = self._regions.failed_zones(job.excluded)
         order = partial(self._application_order, failed_zones=failed_zones, now=now)
-        borrowed = self._application_borrows(job, own, other, now) if other else None
-        chosen = other if borrowed else own
+        borrowed = self._application_borrows(job, local, remote, now) if remote else None
+        chosen = remote if borrowed else local
         if not chosen:
             return None
         suited = self._state.probations.suited(chosen, job.suspect_rank, now)
         return PlacedAttempt(min(suited, key=order), borrowed=borrowed)
 
     def _application_borrows(
-        self, job: Job, own: list[Runner], other: list[Runner], now: float
+        self, job: Job, local: list[Runner], remote: list[Runner], now: float
     ) -> BorrowReason | None:
-        """Return why a request goes to another region; None if it waits in its own."""
-        if any(_has_place(runner, now) for runner in own):
+        """Return why a request goes to another region; None if it stays in the local region."""
+        if any(_has_place(runner, now) for runner in local):
             return None
-        if own and not any(_has_place(runner, now) for runner in other):
+        if local and not any(_has_place(runner, now) for runner in remote):
             return None
         if not self._regions.has_link_room(job.request, now):
             return None
-        return BorrowReason.FULL if own else BorrowReason.NO_RUNNER
+        return BorrowReason.FULL if local else BorrowReason.NO_RUNNER
 
     def _application_order(
         self, runner: Runner, failed_zones: frozenset[str], now: float
     ) -> tuple[float, float]:
         zone = runner.entry.zone
         running = runner.running(now) / max(1, runner.entry.slots)
-        shed = 1.0 if now < runner.shed_until else 0.0
-        remote = 0.2 if zone != self._zone else 0.0
-        failed = FAILED_ZONE_PENALTY if zone in failed_zones else 0.0
-        is_connected = self._resting.get(runner.address, 0.0) > now
-        connect = 0.0 if is_connected else NEW_CONNECTION_PENALTY
-        return shed + running + remote + failed + connect, self._rng.random()
+        shed_penalty = 1.0 if now < runner.shed_until else 0.0
+        zone_penalty = 0.2 if zone != self._zone else 0.0
+        failure_penalty = FAILED_ZONE_PENALTY if zone in failed_zones else 0.0
+        is_connected = self._idle_until.get(runner.address, 0.0) > now
+        connection_penalty = 0.0 if is_connected else NEW_CONNECTION_PENALTY
+        return (
+            shed_penalty + running + zone_penalty + failure_penalty + connection_penalty,
+            self._rng.random(),
+        )
 
     def _choose_engine(
         self,
@@ -437,64 +442,75 @@
         oldest = self._state.versions.oldest_allowed(model, now + VERSION_MARGIN_SECONDS)
         other_zones = self._regions.other_zones()
         accepting: list[Runner] = []
-        own: list[Candidate] = []
-        other: list[Candidate] = []
-        # Most runners have the same version: what follows from it is worked out once.
+        local: list[Candidate] = []
+        remote: list[Candidate] = []
+        # Most runners have the same version, so the terms of each version are computed once.
         versions: dict[int, _VersionTerms] = {}
-        passed_over = job.excluded | usable.holders_only()
+        excluded_ids = job.excluded | usable.holders_only()
         for runner in usable.holders:
             version = runner.likely_weights(model, now)
             if version < oldest:
                 continue
             accepting.append(runner)
-            if runner.runner_id in passed_over:
+            if runner.runner_id in excluded_ids:
                 continue
-            terms = versions.get(version)
-            if terms is None:
-                terms = versions[version] = self._terms(job, version)
-            (other if runner.entry.zone in other_zones else own).append(
-                Candidate(runner, terms.salt, version, terms.begin_before, terms.superseded_at)
+            version_terms = versions.get(version)
+            if version_terms is None:
+                version_terms = versions[version] = self._version_terms(job, version)
+            (remote if runner.entry.zone in other_zones else local).append(
+                Candidate(
+                    runner,
+                    version_terms.salt,
+                    version,
+                    version_terms.begin_before,
+                    version_terms.superseded_at,
+                )
             )
-        around = self._surroundings(job, engine, now)
-        choice = self._choose_suited(job, shape, own, around, accepting)
-        reason = self._borrow_reason(job, choice, now) if other else None
+        surroundings = self._surroundings(job, engine, now)
+        choice = self._choose_separated(job, shape, local, surroundings, accepting)
+        reason = self._borrow_reason(job, choice, now) if remote else None
         if reason is not None:
-            far_around = _far(around, job.request)
-            far = self._choose_suited(job, shape, other, far_around, accepting)
-            if far is not None and (choice is None or far.cost < choice.cost):
-                return replace(self._placed(far, shape, now), borrowed=reason)
+            far_surroundings = _cross_region_surroundings(surroundings, job.request)
+            cross_region = self._choose_separated(job, shape, remote, far_surroundings, accepting)
+            if cross_region is not None and (choice is None or cross_region.cost < choice.cost):
+                return replace(self._placed(cross_region, shape, now), borrowed=reason)
         return self._placed(choice, shape, now) if choice is not None else None
 
-    def _choose_suited(
+    def _choose_separated(
         self,
         job: Job,
         shape: PromptShape,
         candidates: list[Candidate],
-        around: Surroundings,
+        surroundings: Surroundings,
         holders: list[Runner],
     ) -> Choice | None:
-        """Return the best choice that keeps suspects apart, or among all if that one is late."""
-        suited = self._suited(job, candidates, around.now)
-        choice = self._policy.choose(shape, suited, around, holders)
-        is_in_time = choice is not None and choice.delay <= around.target_seconds
+        """Return the best choice that keeps suspects apart from each other and from other requests.
+
+        If that choice is late for a request that is no suspect, all candidates are considered.
+        """
+        suited = self._separate_suspects(job, candidates, surroundings.now)
+        choice = self._policy.choose(shape, suited, surroundings, holders)
+        is_in_time = choice is not None and choice.delay <= surroundings.target_seconds
         if is_in_time or len(suited) == len(candidates) or job.is_suspect:
             return choice
-        return self._policy.choose(shape, candidates, around, holders)
+        return self._policy.choose(shape, candidates, surroundings, holders)
 
     def _borrow_reason(self, job: Job, choice: Choice | None, now: float) -> BorrowReason | None:
-        """Return why runners of another region are weighed too; None if they are not."""
+        """Return why runners of another region are considered too; None if they are not."""
         if choice is None:
             reason = BorrowReason.NO_RUNNER
         elif is_late(choice.delay, job.route.target_seconds):
             reason = BorrowReason.LATE
-        elif choice.repeated_tokens >= LEAST_REPEATED_TOKENS or choice.fetches_across:
+        elif choice.repeated_tokens >= MIN_REPEATED_TOKENS or choice.fetches_across:
             reason = BorrowReason.CACHED
         else:
             return None
         return reason if self._regions.has_link_room(job.request, now) else None
 
-    def _suited(self, job: Job, candidates: list[Candidate], now: float) -> list[Candidate]:
-        """Return the candidates that keep suspects apart, from each other and from the rest."""
+    def _separate_suspects(
+        self, job: Job, candidates: list[Candidate], now: float
+    ) -> list[Candidate]:
+        """Return the candidates that keep suspects apart from each other and other requests."""
         if not job.is_suspect and not self._state.probations:
             return candidates
         runners = [candidate.runner for candidate in candidates]
@@ -502,7 +518,7 @@
         ids = {runner.runner_id for runner in suited}
         return [candidate for candidate in candidates if candidate.runner.runner_id in ids]
 
-    def _terms(self, job: Job, version: int) -> _VersionTerms:
+    def _version_terms(self, job: Job, version: int) -> _VersionTerms:
         model = job.request.model
         due = self._state.versions.deadline(model, version)
         superseded_at = self._state.versions.superseded_at(model, version)
@@ -519,7 +535,7 @@
             now=now,
             target_seconds=job.route.target_seconds,
             gap_seconds=table.shortest_gap(job.service),
-            resting=self._resting,
+            resting=self._idle_until,
             topology=self._state.topology,
             failed_zones=self._regions.failed_zones(job.excluded),
         )
@@ -528,7 +544,7 @@
         runner = choice.candidate.runner
         salt = choice.candidate.salt
         store = self._state.kept_cache_store(runner.entry.zone, now)
-        if store is not None and not self._beliefs.worth_saving(store, salt, shape, now):
+        if store is not None and not self._cache_estimates.should_save(store, salt, shape, now):
             store = None
         return PlacedAttempt(
             runner=runner,
@@ -546,17 +562,17 @@
 
     def _salt(self, job: Job, version: int) -> str:
         tenant = job.tenant
-        wall = f"t:{tenant.name}" if tenant is not None and tenant.isolated else SHARED_SALT
-        return f"{wall}|{job.request.model}|{version}"
+        isolation = f"t:{tenant.name}" if tenant is not None and tenant.isolated else SHARED_SALT
+        return f"{isolation}|{job.request.model}|{version}"
 
     def _learn_rate(
         self, service: str, placed: PlacedAttempt, attempt: OwnAttempt, now: float
     ) -> None:
-        """Follow the prefill rate from large prefills that found no other work ahead."""
+        """Update the prefill rate from a large prefill that had no other work ahead."""
         if attempt.prefill_tokens < RATE_MIN_TOKENS or placed.fetch_from is not None:
             return
         if placed.borrowed is not None:
-            # The way to the other region is no work of the runner.
+            # The measured time includes the round trip to the other region.
             return
         if placed.delay > 1.3 * attempt.prefill_tokens / self.prefill_rate(service):
             return
@@ -567,29 +583,29 @@
         self._rates[service] = rate
 
 
-def _takes_at(runner: Runner) -> float:
-    """Return when a runner is expected to take work, its pause after a refusal included."""
+def _available_at(runner: Runner) -> float:
+    """Return when a runner is expected to accept work, including its pause after a refusal."""
     return max(runner.ready_at, runner.shed_until)
 
 
 def _has_place(runner: Runner, now: float) -> bool:
-    """Return whether an application server is believed to begin a request at once."""
+    """Return whether an application server probably starts a request immediately."""
     return now >= runner.shed_until and runner.running(now) < runner.entry.slots
 
 
-def _far(around: Surroundings, request: ServingRequest) -> Surroundings:
-    """Return the surroundings of candidates in another region."""
+def _cross_region_surroundings(surroundings: Surroundings, request: ServingRequest) -> Surroundings:
+    """Return the surroundings of candidates in another region, with the costs of the link."""
     cost = SECONDS_PER_BYTE * exchange_bytes(request)
-    return replace(around, detour_seconds=DETOUR_SECONDS, detour_cost=cost)
+    return replace(surroundings, detour_seconds=DETOUR_SECONDS, detour_cost=cost)
 
 
-def _is_news(placed: PlacedAttempt, shape: PromptShape) -> bool:
-    """Return whether peers should be told of an attempt: it has much to read, or shared parts."""
+def _should_announce(placed: PlacedAttempt, shape: PromptShape) -> bool:
+    """Return whether to notify peers of an attempt: a long prefill, or new shared parts."""
     missing_shared = placed.matched_tokens < shape.shared_tokens
     return placed.prefill_tokens >= MIN_NOTICE_TOKENS or missing_shared
 
 
-def _notice(placed: PlacedAttempt, shape: PromptShape, number: int) -> PlacementNotice:
+def _placement_notice(placed: PlacedAttempt, shape: PromptShape, number: int) -> PlacementNotice:
     assert placed.salt is not None
     return PlacementNotice(
         placed.runner.runner_id,
--- a/src/hillstack/serving/ports.py
+++ b/src/hillstack/serving/ports.py
@@ -1,17 +1,17 @@
-"""What the life of a request needs from its surroundings."""
+"""Interfaces that serving a request depends on."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
 from hillstack.core.tenant_limits import TenantLimit
-from hillstack.serving.attempt_watch import NOT_WATCHED, AttemptWatch
+from hillstack.serving.attempt_watch import UNMONITORED, AttemptMonitor
 from hillstack.serving.job import Job, PlacedAttempt
 from hillstack.serving.types import Dispatch, HeaderList, ServingRequest
 
 
 class RunnerAnswer(Protocol):
-    """An answer of a runner: its head is in, its body still comes."""
+    """An answer of a runner whose head has arrived and whose body is still to be read."""
 
     @property
     def status(self) -> int:
@@ -20,12 +20,12 @@
 
     @property
     def headers(self) -> HeaderList:
-        """Headers that are passed on to the caller."""
+        """Headers to pass on to the caller."""
         ...
 
     @property
     def signed(self) -> bool:
-        """Whether it carries the runner's signature."""
+        """Whether the answer carries the runner's signature."""
         ...
 
     async def next_piece(self) -> bytes:
@@ -45,7 +45,7 @@
         ...
 
     def close(self) -> None:
-        """Give the answer up; the runner sees its connection closed if it is not complete."""
+        """Abandon the answer; if it is incomplete, the connection to the runner is closed."""
         ...
 
 
@@ -53,39 +53,39 @@
     """Sends requests to runners."""
 
     async def send(self, request: ServingRequest, dispatch: Dispatch) -> RunnerAnswer:
-        """Send a request and return its answer's head.
+        """Send a request and return its answer once the head has arrived.
 
         Raises:
-            RunnerRefusedError: It was not run and never will be.
-            BackendBrokenError: It may have run.
+            RunnerRefusedError: The request was not run and never will be.
+            BackendBrokenError: The request may have run.
         """
         ...
 
 
 class TenantLimiter(Protocol):
-    """Keeps the requests of all nodes within the limits of their tenants."""
+    """Enforces the rate limits of tenants across all nodes."""
 
     async def take(self, tenant: str, limit: TenantLimit, cost: float, rank: int) -> float:
-        """Take a request's cost out of its tenant's limit.
+        """Charge a request to its tenant's limit.
 
         Args:
-            tenant: Its name.
-            limit: Its limit.
-            cost: What the request counts as.
-            rank: How urgent it is among the requests of its tenant; 0 is the most urgent.
+            tenant: Name of the tenant.
+            limit: Limit of the tenant.
+            cost: Cost of the request.
+            rank: Urgency among the requests of the tenant; 0 is the most urgent.
 
         Returns:
-            0 if it may be sent; else after how many seconds there is room for it.
+            0 if the request may be sent; else the seconds until the limit has room for it.
         """
         ...
 
     def give_back(self, tenant: str, cost: float) -> None:
-        """Take back the cost of a request that no runner has run."""
+        """Refund the cost of a request that no runner has run."""
         ...
 
 
 class ResponseSink(Protocol):
-    """Where the answer to the caller goes."""
+    """Receives the answer to the caller."""
 
     async def start(self, status: int, headers: HeaderList) -> None:
         """Send the head."""
@@ -101,24 +101,24 @@
 
 
 class AttemptObserver(Protocol):
-    """Sees how attempts fare, while a rollout is judged."""
+    """Observes attempts during a rollout."""
 
-    def watch(self, job: Job, placed: PlacedAttempt, now: float) -> AttemptWatch:
-        """Return what notes how an attempt fares that is about to be sent."""
+    def watch(self, job: Job, placed: PlacedAttempt, now: float) -> AttemptMonitor:
+        """Return a monitor for an attempt that is about to be sent."""
         ...
 
     def ended(self, job: Job, now: float) -> None:
-        """Note that the attempt of a request has ended, and is no load on its runner any more."""
+        """Record that the attempt of a request has ended and no longer loads its runner."""
         ...
 
 
 class NoObserver:
-    """Sees nothing."""
+    """Observes nothing."""
 
-    def watch(self, job: Job, placed: PlacedAttempt, now: float) -> AttemptWatch:
-        """Return what notes nothing."""
-        return NOT_WATCHED
+    def watch(self, job: Job, placed: PlacedAttempt, now: float) -> AttemptMonitor:
+        """Return a monitor that discards everything."""
+        return UNMONITORED
 
     def ended(self, job: Job, now: float) -> None:
-        """Note nothing."""
+        """Do nothing."""
         return
--- a/src/hillstack/serving/region_choice.py
+++ b/src/hillstack/serving/region_choice.py
@@ -1,9 +1,10 @@
-"""Whether a request is sent to a runner of another region, and what that costs.
+"""Decides whether a request may be sent to a runner of another region, and at what cost.
 
-The own region's runners come first. Another region's runner is weighed only where no runner of the
-own region takes the request, where the best one would answer late, or where it would read shared
-parts again that lie in the other region; and only where this node's share of the link between the
-regions has room. It is chosen if it costs less, the way there and back and the bytes included.
+Runners of the own region are preferred. Runners of another region are considered only if no runner
+of the own region accepts the request, if the best one would answer late, or if it would prefill
+shared parts again that are cached in the other region; and only if this node's share of the link
+between the regions has room. A runner of the other region is chosen if it costs less, including the
+round trip and the bytes on the link.
 """
 
 from __future__ import annotations
@@ -16,27 +17,28 @@
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.types import ServingRequest
 
-# What the link carries each way where the settings do not say: the narrowest seen.
+# Link bandwidth in each direction if the settings do not give it: the narrowest known link.
 DEFAULT_LINK_MEGABITS = 30.0
-# The way to the other region and back: twice 12 ms, of 8 to 20 ms on the deployments seen.
+# Round trip to the other region: twice 12 ms; known deployments have 8 to 20 ms one way.
 DETOUR_SECONDS = 0.024
-# What a byte between regions costs, as a delay: eight times its price against that of a token that
-# is read again (``REPEATED_PREFILL_SECONDS_PER_TOKEN``), since all traffic shares the link. A long
-# prompt of 12 KB costs 0.5 s, as much as 1,760 tokens read again. Calculated with known caches: at
-# half of it 19 in 100 prompts cross instead of 15; at a quarter more 5 do, but then moves across
-# hold up links where half a region is lost.
+# Cost of a byte between regions, as a delay: eight times its price relative to that of a repeated
+# prefill of a token (``REPEATED_PREFILL_SECONDS_PER_TOKEN``), because all traffic shares the link.
+# A long prompt of 12 KB costs 0.5 s, as much as 1,760 tokens prefilled again. In calculations with
+# known caches, 15 of 100 prompts go to the other region. At half this cost 19 do; at a quarter more
+# than this cost 5 do, but then cache transfers between regions block the links when half a region
+# is lost.
 SECONDS_PER_BYTE = 0.000044
-# The head of a request, or of an answer.
+# Size of the head of a request or of an answer.
 HEAD_BYTES = 600
-# An event with one token, and an application server's answer.
+# Sizes of an event with one token and of an application server's answer.
 EVENT_BYTES = 150
 ANSWER_BYTES = 800
-# A request is late in its own region if it is expected beyond this share of its objective: from
-# there on the soft step of lateness is steep (``expected_delay.LATE_SOFTNESS``).
+# A request counts as late if its expected delay exceeds this share of the objective. From there on
+# the penalty for lateness rises steeply (``expected_delay.LATE_SOFTNESS``).
 LATE_SHARE = 0.85
-# Fewer tokens read again are not worth weighing the other region's runners: 1,000 cost less, at
-# ``REPEATED_PREFILL_SECONDS_PER_TOKEN``, than the bytes of a prompt.
-LEAST_REPEATED_TOKENS = 1_000
+# With fewer repeated tokens, runners of the other region are not considered: at
+# ``REPEATED_PREFILL_SECONDS_PER_TOKEN``, 1,000 tokens cost less than the bytes of a prompt.
+MIN_REPEATED_TOKENS = 1_000
 
 
 class BorrowReason(enum.StrEnum):
@@ -49,70 +51,70 @@
 
 
 class RegionChoice:
-    """Keeps requests in the own region, and bounds those that leave it.
+    """Limits the requests that go to another region to this node's share of the link.
 
     Args:
-        state: What the node knows.
-        link_megabits: What the link between regions carries each way, in Mbit a second.
+        state: State of the node.
+        link_megabits: Bandwidth of the link between regions in each direction, in Mbit/s.
     """
 
     def __init__(self, state: FleetState, link_megabits: float = DEFAULT_LINK_MEGABITS) -> None:
         self._state = state
-        self._share = LinkShare(link_megabits)
+        self._link_share = LinkShare(link_megabits)
         self._topology: Topology | None = None
         self._other_zones: frozenset[str] = frozenset()
 
     def other_zones(self) -> frozenset[str]:
-        """Return the zones of other regions; none in a deployment of one region."""
+        """Return the zones of other regions; empty in a deployment with one region."""
         if self._topology is not self._state.topology:
             self._topology = self._state.topology
             self._other_zones = self._topology.other_zones()
         return self._other_zones
 
-    def is_across(self, runner: Runner) -> bool:
+    def is_cross_region(self, runner: Runner) -> bool:
         """Return whether a runner is in another region."""
         return runner.entry.zone in self.other_zones()
 
     def has_link_room(self, request: ServingRequest, now: float) -> bool:
         """Return whether this node's share of the link has room for a request and its answer."""
-        return self._share.allows(_link_bytes(request), self._nodes_of_region(now), now)
+        return self._link_share.allows(_link_bytes(request), self._nodes_sharing_link(now), now)
 
     def sent(self, runner: Runner, request: ServingRequest) -> None:
-        """Note a request that is being sent: one to another region takes of the link's share."""
-        if self.is_across(runner):
-            self._share.spend(_link_bytes(request))
+        """Charge a request to this node's share of the link if it is sent to another region."""
+        if self.is_cross_region(runner):
+            self._link_share.spend(_link_bytes(request))
 
     def failed_zones(self, excluded: set[str]) -> frozenset[str]:
-        """Return the zones of runners that were tried; none in a deployment of one region."""
+        """Return the zones of runners already tried; empty in a deployment with one region."""
         if not excluded or not self.other_zones():
             return frozenset()
         tried = (self._state.pool.get(runner_id) for runner_id in excluded)
         return frozenset(runner.entry.zone for runner in tried if runner is not None)
 
-    def _nodes_of_region(self, now: float) -> int:
-        """Return among how many nodes the link is shared: all that are not surely elsewhere."""
+    def _nodes_sharing_link(self, now: float) -> int:
+        """Return how many nodes share the link: all except those known to be in another region."""
         nodes = self._state.nodes
         other = self.other_zones()
         return nodes.sharing_count(now) - sum(node.zone in other for node in nodes.all())
 
 
 def is_late(delay: float, target_seconds: float) -> bool:
-    """Return whether a request that is served after a delay is likely late; never without a target.
+    """Return whether a request with this expected delay is likely late; False without a target.
 
     Args:
         delay: Expected seconds to the first event.
-        target_seconds: Objective; 0 for none.
+        target_seconds: Latency objective; 0 for none.
     """
     return 0 < LATE_SHARE * target_seconds < delay
 
 
 def exchange_bytes(request: ServingRequest) -> float:
-    """Return the bytes that a request and its answer are expected to put on the link, both ways."""
+    """Return the expected bytes of a request and its answer on the link, in both directions."""
     return sum(_bytes_each_way(request))
 
 
 def _link_bytes(request: ServingRequest) -> float:
-    """Return what a request takes of the link, which carries as much each way: the greater part."""
+    """Return the expected bytes of a request in the busier direction of the duplex link."""
     return max(_bytes_each_way(request))
 
 
--- a/src/hillstack/serving/rollout_observer.py
+++ b/src/hillstack/serving/rollout_observer.py
@@ -1,8 +1,8 @@
-"""Sees how the versions of a rollout fare at this node, tells the peers, and acts on bad news.
+"""Observes the versions of a rollout at this node, reports to the peers and closes a bad version.
 
-Counts and reports stand only while an order does. Every node adds up what all have told and lets a
-judge look, so that a bad version is closed everywhere within a second or two, also while the store
-is away or the rollout's holder is gone.
+Outcomes are counted and reported only while a rollout order is in effect. Every node sums up the
+reports of all nodes and evaluates them, so that a bad version is closed everywhere within one or
+two seconds, even while the store is unavailable or the node that decides the rollout has failed.
 """
 
 from __future__ import annotations
@@ -25,96 +25,97 @@
 from hillstack.core.software_rollouts import RolloutOrder, RolloutStage, is_of_order
 from hillstack.core.store_revision import StoreRevision
 from hillstack.messages.rollout_reports import OutcomeCounts, RolloutReport
-from hillstack.serving.attempt_watch import NOT_WATCHED, AttemptWatch
+from hillstack.serving.attempt_watch import UNMONITORED, AttemptMonitor
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.job import Job, PlacedAttempt
 from hillstack.serving.metrics import FleetMetrics
 
 logger = logging.getLogger(__name__)
 
-# A sixth of the time in which a bad version must be closed everywhere (5 s) at the most: a lost
-# report, the way by two relays and the judge's look still fit. Drawn anew each time, so that nodes
-# do not all tell at once.
-LEAST_REPORT_SECONDS = 0.4
-MOST_REPORT_SECONDS = 0.8
-# Kinds of outcomes in one report, some 40 bytes each: with what else a notice has they fit a
-# datagram. Further ones follow with the next reports, in turn.
-MOST_ROWS = 20
-# Rollouts of which something is kept, orders that are not seen yet included.
-MOST_ROLLOUTS = 64
-# Shorter expected times count as this: a prompt that is cached whole is answered within about one
-# step of its engine, whatever was expected.
-LEAST_EXPECTED_SECONDS = 0.02
-# Expected of an application that has not answered often enough: the same for both versions, so that
-# they can be compared.
-UNKNOWN_EXPECTED_SECONDS = 0.1
-# A runner with that part of its places taken is busy.
+# The pause between two reports is at most a sixth of the 5 s in which a bad version must be closed
+# everywhere: a lost report, two relays and the evaluation still fit. Each pause is random, so that
+# nodes do not all report at the same time.
+MIN_REPORT_INTERVAL_SECONDS = 0.4
+MAX_REPORT_INTERVAL_SECONDS = 0.8
+# Rows of outcomes in one report, about 40 bytes each: together with the rest of a notice they fit a
+# datagram. Remaining rows follow in turn in the next reports.
+MAX_REPORT_ROWS = 20
+# Rollouts whose outcomes are stored, including those whose order this node has not seen yet.
+MAX_ROLLOUTS = 64
+# Lower bound of the expected time: a fully cached prompt is answered within about one step of its
+# engine, whatever was expected.
+MIN_EXPECTED_SECONDS = 0.02
+# Expected time of an application that has not answered often enough. Both versions get the same, so
+# that they can be compared.
+DEFAULT_EXPECTED_SECONDS = 0.1
+# A runner is busy if at least this share of its slots is in use.
 BUSY_SHARE = 0.5
-# Incarnation under which this process stands in its own evidence; those of peers are not negative.
-OWN_INCARNATION = -1
-JUDGED = (RolloutStage.CANARY, RolloutStage.SHIFTING)
+# Incarnation of this process in its own evidence; incarnations of peers are never negative.
+LOCAL_INCARNATION = -1
+EVALUATED_STAGES = (RolloutStage.CANARY, RolloutStage.SHIFTING)
 
-# A service, and what names the order.
+# A service, and the revision that identifies the order.
 Rollout = tuple[str, StoreRevision]
 
 
 class RolloutJudge(Protocol):
-    """Decides from the evidence whether a version is good or bad."""
+    """Decides from the evidence whether the target version of a rollout is good or bad."""
 
     def is_due(self, now: float) -> bool:
-        """Return whether a look would change anything now: totals needn't be added up before."""
+        """Return whether an evaluation may change the verdict now; if not, it can be skipped."""
         ...
 
     def note_ordered_at(self, ordered_at: float) -> None:
-        """Take over that the order is perhaps older than was known."""
+        """Set the time of the order if it is earlier than the known time."""
         ...
 
     def opinion(self) -> RolloutOpinion:
-        """Return the verdict of the latest look with its reason."""
+        """Return the latest verdict and its reason."""
         ...
 
     def look(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
-        """Return what the evidence says now."""
+        """Evaluate the evidence and return the verdict."""
         ...
 
 
-class RolloutTeller(Protocol):
-    """Tells the peers."""
+class RolloutReporter(Protocol):
+    """Sends rollout reports to the peers."""
 
     def tell_rollouts(self, reports: list[RolloutReport], *, urgent: bool = False) -> None:
-        """Tell what this node saw of the rollouts that are under way, soon or at once."""
+        """Report this node's outcomes in current rollouts, immediately if urgent."""
         ...
 
 
 @dataclass(slots=True)
-class _Watched:
-    """What this node keeps of one rollout.
+class _ObservedRollout:
+    """State of one rollout.
 
     Attributes:
-        usual: Median time to an answer before the rollout; None if it is not known.
-        next_row: From where the next report goes on, where one has no room for all outcomes.
-        told_running: Attempts at old runners as last told; None before the first report.
+        median_seconds: Median time to an answer before the rollout; None if unknown.
+        next_row: First row of the next report, if one report has no room for all rows.
+        reported_old_running: Attempts at runners of old versions in the latest report; None before
+            the first report.
     """
 
     evidence: RolloutEvidence = field(default_factory=RolloutEvidence)
     outcomes: OwnOutcomes = field(default_factory=OwnOutcomes)
     judge: RolloutJudge | None = None
     age: OrderAge | None = None
-    usual: float | None = None
+    median_seconds: float | None = None
     is_bad: bool = False
     next_row: int = 0
-    told_running: int | None = None
+    reported_old_running: int | None = None
 
 
 class RolloutObserver:
     """Observes the rollouts of one node.
 
     Args:
-        state: What the node knows.
-        peers: Where peers are told.
-        make_judge: Makes the judge of an order that was given at a time.
-        usual_seconds: Returns the median time to an answer of an application, if it is known.
-        metrics: Where outcomes are counted.
+        state: State of the node.
+        peers: Sends reports to the peers.
+        make_judge: Creates the judge for an order and the time at which it was given.
+        usual_seconds: Returns the median time to an answer of a service's application, if known.
+        metrics: Counts outcomes.
         clock: Monotonic seconds.
         rng: Source of randomness.
     """
@@ -122,7 +123,7 @@
     def __init__(
         self,
         state: FleetState,
-        peers: RolloutTeller,
+        peers: RolloutReporter,
         make_judge: Callable[[RolloutOrder, float], RolloutJudge],
         usual_seconds: Callable[[str], float | None],
         metrics: FleetMetrics,
@@ -136,140 +137,147 @@
         self._metrics = metrics
         self._clock = clock
         self._rng = rng
-        self._watched: dict[Rollout, _Watched] = {}
+        self._rollouts: dict[Rollout, _ObservedRollout] = {}
         self._shown_stages: dict[str, RolloutStage] = {}
 
     def evidence(self, service: str) -> RolloutEvidence | None:
-        """Return what is known of the rollout of the order that stands; None without an order."""
+        """Return the evidence on the current rollout of a service; None without an order."""
         order = self._state.rollouts.order(service)
-        return self._of_order(order, self._clock()).evidence if order is not None else None
+        return self._rollout_of_order(order, self._clock()).evidence if order is not None else None
 
     def opinion(self, service: str) -> RolloutOpinion:
-        """Return what this node holds of the target of the order that stands."""
+        """Return this node's opinion of the target version of a service's current order."""
         order = self._state.rollouts.order(service)
         if order is None:
             return NO_OPINION
         now = self._clock()
-        self._look(order, now)
-        watched = self._of_order(order, now)
-        assert watched.judge is not None
+        self._evaluate(order, now)
+        observed = self._rollout_of_order(order, now)
+        assert observed.judge is not None
         return opinion_of(
-            watched.judge.opinion(),
-            peer_says_bad=watched.evidence.peer_says_bad(),
+            observed.judge.opinion(),
+            peer_says_bad=observed.evidence.peer_says_bad(),
             is_condemned=self._state.rollouts.stage(service) is RolloutStage.REVERTED,
         )
 
-    def watch(self, job: Job, placed: PlacedAttempt, now: float) -> AttemptWatch:
-        """Return what notes how an attempt fares that is about to be sent."""
+    def watch(self, job: Job, placed: PlacedAttempt, now: float) -> AttemptMonitor:
+        """Return a monitor for an attempt that is about to be sent."""
         order = self._state.rollouts.order(job.service)
         if order is None or not self._is_undecided(order):
-            return NOT_WATCHED
-        watched = self._of_order(order, now)
+            return UNMONITORED
+        observed = self._rollout_of_order(order, now)
         runner = placed.runner
-        if watched.told_running == 0 and self._is_old(order, runner):
-            # It helps out. The holder waits for nothing here, and must know before it completes.
-            asyncio.get_running_loop().call_soon(self._tell_now)
+        if observed.reported_old_running == 0 and self._is_being_replaced(order, runner):
+            # This node has reported no attempts at old runners, and now sends one after all. The
+            # node that decides the rollout must know before it completes the rollout.
+            asyncio.get_running_loop().call_soon(self._send_reports_now)
         busy = runner.running(now) >= BUSY_SHARE * runner.entry.slots
-        return AttemptWatch(
+        return AttemptMonitor(
             OutcomeKey(runner.entry.software, job.route.name, busy),
             runner.runner_id,
             now,
-            self._expected(watched, job, placed),
-            partial(self._note, order),
+            self._expected(observed, job, placed),
+            partial(self._record_outcome, order),
             is_stream=job.route.kind is RouteKind.STREAM,
         )
 
-    def _is_old(self, order: RolloutOrder, runner: Runner) -> bool:
-        """Return whether traffic moves away from a runner."""
+    def _is_being_replaced(self, order: RolloutOrder, runner: Runner) -> bool:
+        """Return whether the rollout is moving traffic away from a runner."""
         if runner.entry.software == order.target:
             return False
         return self._state.rollouts.stage(order.service) is RolloutStage.SHIFTING
 
-    def _tell_now(self) -> None:
-        self._peers.tell_rollouts(self._reports(self._clock()), urgent=True)
+    def _send_reports_now(self) -> None:
+        self._peers.tell_rollouts(self._make_reports(self._clock()), urgent=True)
 
     def ended(self, job: Job, now: float) -> None:
-        """Note that the attempt of a request has ended, and is no load on its runner any more."""
+        """Record that the attempt of a request has ended and no longer loads its runner."""
         if job.is_fatal:
             job.watch.stopped()
         job.watch.ended(now)
-        job.watch = NOT_WATCHED
+        job.watch = UNMONITORED
         rollouts = self._state.rollouts
         if rollouts.stage(job.service) is not RolloutStage.SHIFTING:
             return
         order = rollouts.order(job.service)
         assert order is not None
-        if self._of_order(order, now).told_running and not self._old_running(order):
-            # The rollout's holder waits for it: the old runners can end.
-            self._tell_now()
+        if self._rollout_of_order(order, now).reported_old_running and not self._count_old_running(
+            order
+        ):
+            # The node that decides the rollout waits for this before the old runners are stopped.
+            self._send_reports_now()
 
     def take_report(
         self, node_id: str, incarnation: int, report: RolloutReport, now: float
     ) -> None:
-        """Take over what a peer saw; its order may not be known here yet."""
+        """Add a report of a peer to the evidence; its order may not be known here yet."""
         order = self._state.rollouts.order(report.service)
-        about = report.order(order.revision if order is not None else None)
-        is_standing = order is not None and about == order.revision
-        identity = order.identity if order is not None and is_standing else about
-        watched = self._of_report((report.service, identity))
-        if watched is None:
+        reported_identity = report.order(order.revision if order is not None else None)
+        is_current = order is not None and reported_identity == order.revision
+        identity = order.identity if order is not None and is_current else reported_identity
+        observed = self._rollout_of_report((report.service, identity))
+        if observed is None:
             return
-        watched.evidence.take(node_id, incarnation, report, now)
-        if order is not None and is_standing:
-            self._look(order, now)
+        observed.evidence.take(node_id, incarnation, report, now)
+        if order is not None and is_current:
+            self._evaluate(order, now)
 
     async def run(self) -> None:
-        """Tell and judge now and then, until cancelled."""
+        """Report and evaluate periodically until cancelled."""
         while True:
             self.tick(self._clock())
-            pause = self._rng.uniform(LEAST_REPORT_SECONDS, MOST_REPORT_SECONDS)
+            pause = self._rng.uniform(MIN_REPORT_INTERVAL_SECONDS, MAX_REPORT_INTERVAL_SECONDS)
             await asyncio.sleep(pause)
 
     def tick(self, now: float) -> None:
-        """Tell the peers what was counted, and look at what all have told."""
+        """Evaluate the reports of all nodes, and report this node's counts to the peers."""
         orders = self._state.rollouts.orders()
-        if not orders and not self._watched:
+        if not orders and not self._rollouts:
             return
-        self._forget(now)
+        self._drop_finished(now)
         for order in orders:
-            self._settle(order, now)
-            self._look(order, now)
-            self._show(order, now)
-        reports = self._reports(now)
+            self._settle_outcomes(order, now)
+            self._evaluate(order, now)
+            self._update_metrics(order, now)
+        reports = self._make_reports(now)
         if reports:
             self._peers.tell_rollouts(reports)
 
-    def _expected(self, watched: _Watched, job: Job, placed: PlacedAttempt) -> float:
+    def _expected(self, observed: _ObservedRollout, job: Job, placed: PlacedAttempt) -> float:
         if placed.salt is not None:
-            return max(LEAST_EXPECTED_SECONDS, placed.delay)
-        if watched.usual is None:
-            # Kept from now on: later answers may be slow ones of the new version.
-            watched.usual = self._usual_seconds(job.service)
-        expected = watched.usual if watched.usual is not None else UNKNOWN_EXPECTED_SECONDS
-        return max(LEAST_EXPECTED_SECONDS, expected)
-
-    def _note(self, order: RolloutOrder, outcome: AttemptOutcome, now: float) -> None:
-        self._of_order(order, now).outcomes.add(outcome, now)
+            return max(MIN_EXPECTED_SECONDS, placed.delay)
+        if observed.median_seconds is None:
+            # Stored for the whole rollout: later answers may be slow ones of the new version.
+            observed.median_seconds = self._usual_seconds(job.service)
+        expected = (
+            observed.median_seconds
+            if observed.median_seconds is not None
+            else DEFAULT_EXPECTED_SECONDS
+        )
+        return max(MIN_EXPECTED_SECONDS, expected)
+
+    def _record_outcome(self, order: RolloutOrder, outcome: AttemptOutcome, now: float) -> None:
+        self._rollout_of_order(order, now).outcomes.add(outcome, now)
         if not outcome.broken:
-            self._count(order, outcome)
+            self._count_outcome(order, outcome)
         if outcome.failed and outcome.key.version == order.target:
-            self._look(order, now)
+            self._evaluate(order, now)
 
-    def _count(self, order: RolloutOrder, outcome: AttemptOutcome) -> None:
+    def _count_outcome(self, order: RolloutOrder, outcome: AttemptOutcome) -> None:
         version = outcome.key.version
         self._metrics.count_outcome(order.service, version, failed=outcome.failed)
 
-    def _settle(self, order: RolloutOrder, now: float) -> None:
-        watched = self._of_order(order, now)
-        for outcome in watched.outcomes.settle(now, self._ended_by_requests()):
-            self._count(order, outcome)
+    def _settle_outcomes(self, order: RolloutOrder, now: float) -> None:
+        observed = self._rollout_of_order(order, now)
+        for outcome in observed.outcomes.settle(now, self._crashed_by_requests()):
+            self._count_outcome(order, outcome)
         if self._is_undecided(order):
-            self._take_own(order, watched, now)
+            self._add_local_evidence(order, observed, now)
 
-    def _ended_by_requests(self) -> set[str]:
-        """Return the runners that were ended by requests which end runners of several versions.
+    def _crashed_by_requests(self) -> set[str]:
+        """Return the runners crashed by requests that crash runners of several versions.
 
-        Where a request ends those of one version only, that version may be what is bad.
+        If a request crashes runners of one version only, that version may be bad.
         """
         record = self._state.runner_ends
         if not record:
@@ -282,74 +290,78 @@
                 found.update(request.runner_ids)
         return found
 
-    def _look(self, order: RolloutOrder, now: float) -> None:
-        """Close the target version if the evidence, or a peer, says that it is bad."""
-        if self._state.rollouts.stage(order.service) not in JUDGED:
+    def _evaluate(self, order: RolloutOrder, now: float) -> None:
+        """Close the target version if the evidence or a peer shows that it is bad."""
+        if self._state.rollouts.stage(order.service) not in EVALUATED_STAGES:
             return
-        watched = self._of_order(order, now)
-        if watched.evidence.peer_says_bad():
-            self._close(order, watched, "a peer says so", now)
+        observed = self._rollout_of_order(order, now)
+        if observed.evidence.peer_says_bad():
+            self._close_version(order, observed, "a peer says so", now)
             return
-        assert watched.judge is not None and watched.age is not None
-        if not watched.judge.is_due(now):
+        assert observed.judge is not None and observed.age is not None
+        if not observed.judge.is_due(now):
             return
-        self._take_own(order, watched, now)
-        watched.judge.note_ordered_at(self._ordered_at(order, watched, now))
-        if watched.judge.look(watched.evidence.totals(), now) is Verdict.BAD:
-            self._close(order, watched, "evidence", now)
+        self._add_local_evidence(order, observed, now)
+        observed.judge.note_ordered_at(self._ordered_at(order, observed, now))
+        if observed.judge.look(observed.evidence.totals(), now) is Verdict.BAD:
+            self._close_version(order, observed, "evidence", now)
 
-    def _take_own(self, order: RolloutOrder, watched: _Watched, now: float) -> None:
-        own = self._report(order, watched, watched.outcomes.rows())
-        watched.evidence.take(self._state.node_id, OWN_INCARNATION, own, now)
+    def _add_local_evidence(
+        self, order: RolloutOrder, observed: _ObservedRollout, now: float
+    ) -> None:
+        own = self._make_report(order, observed, observed.outcomes.rows())
+        observed.evidence.take(self._state.node_id, LOCAL_INCARNATION, own, now)
 
-    def _close(self, order: RolloutOrder, watched: _Watched, cause: str, now: float) -> None:
-        watched.is_bad = True
+    def _close_version(
+        self, order: RolloutOrder, observed: _ObservedRollout, cause: str, now: float
+    ) -> None:
+        observed.is_bad = True
         self._state.rollouts.condemn(order.service, order.identity)
         fields: dict[str, object] = {
             "service": order.service,
             "version": order.target,
             "order_revision": str(order.revision),
             "cause": cause,
-            "evidence": _summary(watched.evidence.totals()),
+            "evidence": _summary(observed.evidence.totals()),
         }
         logger.warning("version closed", extra=fields)
-        self._tell_now()
+        self._send_reports_now()
 
-    def _reports(self, now: float) -> list[RolloutReport]:
+    def _make_reports(self, now: float) -> list[RolloutReport]:
         reports = []
         for order in self._state.rollouts.orders():
             if not self._is_undecided(order):
                 continue
-            watched = self._of_order(order, now)
-            report = self._report(order, watched, _next_rows(watched))
-            watched.told_running = report.old_running
+            observed = self._rollout_of_order(order, now)
+            report = self._make_report(order, observed, _next_rows(observed))
+            observed.reported_old_running = report.old_running
             reports.append(report)
         return reports
 
-    def _report(
-        self, order: RolloutOrder, watched: _Watched, rows: list[OutcomeCounts]
+    def _make_report(
+        self, order: RolloutOrder, observed: _ObservedRollout, rows: list[OutcomeCounts]
     ) -> RolloutReport:
         stage = self._state.rollouts.stage(order.service)
         assert stage is not None
-        old_running = self._old_running(order)
-        is_bad = watched.is_bad
+        old_running = self._count_old_running(order)
+        is_bad = observed.is_bad
         now = self._clock()
-        # Cut off, not rounded: told on again and again it must never become older than it is.
-        age_ms = max(0, int((now - self._ordered_at(order, watched, now)) * 1000))
+        # Truncated, not rounded: relayed again and again, the age must never exceed the real one.
+        age_ms = max(0, int((now - self._ordered_at(order, observed, now)) * 1000))
         number, era = order.revision.number, order.revision.era
         return RolloutReport(order.service, number, stage, old_running, rows, is_bad, age_ms, era)
 
-    def _ordered_at(self, order: RolloutOrder, watched: _Watched, now: float) -> float:
-        """Return when the order was given, by what this node saw, the record and the peers."""
-        assert watched.age is not None
+    def _ordered_at(self, order: RolloutOrder, observed: _ObservedRollout, now: float) -> float:
+        """Return when the order was given, according to this node, the record and the peers."""
+        assert observed.age is not None
         record = self._state.rollouts.record(order.service)
         if record is not None and is_of_order(record, order):
-            watched.age.note(record, now)
-        watched.age.note_told(watched.evidence.ordered_at)
-        return watched.age.ordered_at
+            observed.age.note(record, now)
+        observed.age.note_told(observed.evidence.ordered_at)
+        return observed.age.ordered_at
 
-    def _old_running(self, order: RolloutOrder) -> int:
-        """Return this node's attempts that are still at runners of other versions."""
+    def _count_old_running(self, order: RolloutOrder) -> int:
+        """Return the number of this node's attempts that run on other versions than the target."""
         return sum(
             len(runner.attempts)
             for runner in self._state.pool.of_service(order.service)
@@ -357,46 +369,49 @@
         )
 
     def _is_undecided(self, order: RolloutOrder) -> bool:
-        """Return whether the store does not say yet how the rollout of an order ended."""
+        """Return whether the store has no decision on the rollout of an order yet."""
         return not is_decided(order, self._state.rollouts.record(order.service))
 
-    def _of_order(self, order: RolloutOrder, now: float) -> _Watched:
+    def _rollout_of_order(self, order: RolloutOrder, now: float) -> _ObservedRollout:
         key = (order.service, order.identity)
-        watched = self._watched.get(key)
-        if watched is None:
-            watched = self._watched[key] = _Watched()
-        if watched.judge is None:
-            watched.age = OrderAge(now)
-            watched.judge = self._make_judge(order, watched.age.ordered_at)
-        return watched
-
-    def _of_report(self, key: Rollout) -> _Watched | None:
-        """Return what is kept of a rollout; None of one that is older than the standing order."""
-        watched = self._watched.get(key)
-        if watched is not None:
-            return watched
+        observed = self._rollouts.get(key)
+        if observed is None:
+            observed = self._rollouts[key] = _ObservedRollout()
+        if observed.judge is None:
+            observed.age = OrderAge(now)
+            observed.judge = self._make_judge(order, observed.age.ordered_at)
+        return observed
+
+    def _rollout_of_report(self, key: Rollout) -> _ObservedRollout | None:
+        """Return the state of a reported rollout.
+
+        None if its order is older than the current one, or if there are too many rollouts.
+        """
+        observed = self._rollouts.get(key)
+        if observed is not None:
+            return observed
         order = self._state.rollouts.order(key[0])
         is_old = order is not None and key[1] < order.revision
-        if is_old or len(self._watched) >= MOST_ROLLOUTS:
+        if is_old or len(self._rollouts) >= MAX_ROLLOUTS:
             return None
-        watched = self._watched[key] = _Watched()
-        return watched
+        observed = self._rollouts[key] = _ObservedRollout()
+        return observed
 
-    def _forget(self, now: float) -> None:
-        """Drop rollouts that are over: of an earlier order, or of none and not told any more."""
-        for key, watched in list(self._watched.items()):
+    def _drop_finished(self, now: float) -> None:
+        """Drop rollouts of earlier orders, and those without an order that no peer reports."""
+        for key, observed in list(self._rollouts.items()):
             order = self._state.rollouts.order(key[0])
             if order is None:
-                is_over = not watched.evidence.reporters(now)
+                is_over = not observed.evidence.reporters(now)
             else:
                 is_over = key[1] != order.identity and key[1] <= order.revision
             if is_over:
-                del self._watched[key]
+                del self._rollouts[key]
 
-    def _show(self, order: RolloutOrder, now: float) -> None:
+    def _update_metrics(self, order: RolloutOrder, now: float) -> None:
         service = order.service
         left = self._state.exposure.left(service, now)
-        self._metrics.show_exposure(service, order.target, left)
+        self._metrics.set_exposure_left(service, order.target, left)
         stage = self._state.rollouts.stage(service)
         if stage is None or self._shown_stages.get(service) is stage:
             return
@@ -405,18 +420,18 @@
             self._metrics.rollout_stage.labels(service, other).set(float(other is stage))
 
 
-def _next_rows(watched: _Watched) -> list[OutcomeCounts]:
-    """Return the outcomes for the next report, in turn where there are many."""
-    rows = watched.outcomes.rows()
-    if len(rows) <= MOST_ROWS:
+def _next_rows(observed: _ObservedRollout) -> list[OutcomeCounts]:
+    """Return the rows for the next report, in turn if one report has no room for all."""
+    rows = observed.outcomes.rows()
+    if len(rows) <= MAX_REPORT_ROWS:
         return rows
-    start = watched.next_row % len(rows)
-    watched.next_row = start + MOST_ROWS
-    return (rows[start:] + rows[:start])[:MOST_ROWS]
+    start = observed.next_row % len(rows)
+    observed.next_row = start + MAX_REPORT_ROWS
+    return (rows[start:] + rows[:start])[:MAX_REPORT_ROWS]
 
 
 def _summary(totals: Mapping[OutcomeKey, OutcomeTotals]) -> dict[str, str]:
-    """Return outcomes for the log: failed of answered, and the delays, by what they were of."""
+    """Return a summary for the log: failed of answered attempts and a delay histogram, by key."""
     summary = {}
     for key, total in totals.items():
         name = f"{key.version} {key.route}{' busy' if key.busy else ''}"
