--- a/src/hillstack/serving/runner_ends.py
+++ b/src/hillstack/serving/runner_ends.py
@@ -1,7 +1,10 @@
-"""Runners that end under the requests of this node, and what peers tell of theirs.
+"""Detects requests that crash runners, together with the peers, and stops them.
 
-Keeps the node's record, tells the peers, ends what was found fatal, and answers for new tries of
-it. While no runner has ended lately, a request costs an entry of a map and nothing more.
+A fatal request is one that crashes the runners that run it. The monitor records runner crashes seen
+by this node and by peers, notifies the peers of its own, aborts running fatal requests and rejects
+further tries of them. A request whose connection breaks may be a suspect: it is kept apart from
+other suspects until it is answered or found fatal. While no runner has crashed recently, each
+attempt only costs an entry in a dictionary.
 """
 
 from __future__ import annotations
@@ -34,60 +37,63 @@
 
 logger = logging.getLogger(__name__)
 
-# How long after an end a verdict waits for the notices of other nodes that lost runs there: a few
-# turns of the event loop, and the way between nodes (1.4 ms between zones). Notices by way of
-# relays take up to 30 ms more; a fatal run that was sent meanwhile is ended when they come.
-GATHER_SECONDS = 0.015
-# Bytes that were under way when a runner ended are read a little later.
+# How long a verdict on a crash waits for notices of other nodes that lost runs there: a few event
+# loop iterations and the latency between nodes (1.4 ms between zones). Relayed notices take up to
+# 30 ms more; a fatal run that was sent in the meantime is aborted when they arrive.
+PEER_NOTICE_WAIT_SECONDS = 0.015
+# Bytes that were in transit when a runner crashed are read up to this much later.
 LATE_BYTES_SECONDS = 0.02
-# A runner that crashed may listen again after some seconds, at its old address: bytes that come
-# later do not show that it lived on. Longer than the pause between two looks (``REPEAT_SECONDS``).
-SAME_PROCESS_SECONDS = 2.0
-# Pause between repeats of a notice: a lost datagram is made good before a caller has tried twice.
-REPEAT_SECONDS = 0.8
-# So long after an end, which makes six repeats: if all are lost, the nodes are cut off.
-REPEAT_FOR_SECONDS = 5.0
-# What fits a datagram of 1,400 bytes, at some 30 bytes each.
-MAX_TOLD_REQUESTS = 32
-# Ends that are repeated at a time, mostly one datagram each.
-MAX_REPEATED = 8
-# How long peers keep away from a runner with a suspect, if its end is not told: a queue, a prefill
-# and what counts as settled.
+# A runner that crashed may listen at its old address again after some seconds, so bytes received
+# later don't prove that it survived. Must exceed the pause between two checks
+# (``NOTICE_INTERVAL_SECONDS``).
+MIN_RESTART_SECONDS = 2.0
+# Pause between repetitions of a crash notice: a lost datagram is repeated before a caller has tried
+# twice.
+NOTICE_INTERVAL_SECONDS = 0.8
+# How long after a crash its notices are repeated, which makes six repetitions: if all are lost, the
+# network between the nodes is partitioned.
+NOTICE_REPEAT_SECONDS = 5.0
+# Requests in one notice: they fit a datagram of 1,400 bytes, at about 30 bytes each.
+MAX_NOTICE_REQUESTS = 32
+# Crashes whose notices are repeated at a time, usually one datagram each.
+MAX_REPEATED_CRASHES = 8
+# How long peers avoid a runner with a suspect if the end of the attempt is not reported: covers the
+# time in the queue, the prefill and the time after which a run counts as settled.
 PROBATION_SECONDS = 1.0
-# A suspect waits that long at the most for a runner without another suspect: the age at which fatal
-# runs were seen to end their runners, and as much again for a queue; less than an objective of
-# 0.5 s to the first event.
-APART_SECONDS = 0.4
-APART_CHECK_SECONDS = 0.02
-# A suspect of which another caller's try is at work waits that long at the most for its outcome: as
-# long as a probation.
-SAME_REQUEST_SECONDS = 1.0
-# Pause between suspects of neighbouring ranks: twice the way between two nodes. Suspects whose
-# pauses reach the bound go at the same time, kept apart only by the order of runners that nodes
-# share.
+# Longest wait of a suspect for a runner without another suspect: the age at which fatal runs were
+# seen to crash runners, and as much again for a queue; less than an objective of 0.5 s to the first
+# event.
+SEPARATION_WAIT_SECONDS = 0.4
+SEPARATION_CHECK_SECONDS = 0.02
+# Longest wait of a suspect for the outcome of another caller's try of the same request: as long as
+# a probation.
+SAME_REQUEST_WAIT_SECONDS = 1.0
+# Delay between suspects of consecutive ranks: twice the one-way latency between two nodes. Suspects
+# whose delays reach the maximum are sent at the same time; only the order of runners, which all
+# nodes share, then keeps them apart.
 STAGGER_SECONDS = 0.005
 MAX_STAGGER_SECONDS = 0.1
-# A runner may work on for a while on a run that this node has left, since its caller did, its time
-# was over or it was found fatal: for so long it counts as being there. Twice the half second in
-# which runners stop after a close.
-LEFT_SECONDS = 1.0
-# The notice of an end may give a time that is somewhat earlier than the leave that came before it.
-LEFT_SLACK_SECONDS = 0.1
-FATAL_TEXT = "runners ended while they worked on this request"
-# Nodes that tell a new one of ends which lie far back.
-EARLIER_ENDS_TELLERS = 3
-# Runs at an end that the log names: the largest runners have 64.
+# A runner may continue an abandoned run for a while, after the caller left, the deadline passed or
+# the request was found fatal. For this time the run counts as being at the runner: twice the half
+# second within which runners stop after their connection was closed.
+ABANDONED_RUN_SECONDS = 1.0
+# The crash time in a notice may be slightly earlier than an abandonment that preceded the crash.
+ABANDONED_RUN_SLACK_SECONDS = 0.1
+FATAL_REASON = "runners ended while they worked on this request"
+# Number of nodes that report each older crash to a node that has just started.
+EARLIER_CRASH_REPORTERS = 3
+# Runs of a crash that are logged: the largest runners have 64 slots.
 MAX_LOGGED_RUNS = 16
 
 
 @dataclass(frozen=True, slots=True)
-class _LeftRun:
-    """A run that this node left before it was over.
+class _AbandonedRun:
+    """A run that this node abandoned before its end.
 
     Attributes:
-        at: When, on the node's clock.
-        sent_at: When it was sent.
-        answering_since: When the first bytes of its answer came; None before.
+        at: When the run was abandoned, on the node's clock.
+        sent_at: When the attempt was sent.
+        answering_since: When the first bytes of the answer arrived; None before.
     """
 
     job: Job
@@ -97,14 +103,14 @@
     answering_since: float | None
 
 
-class RunnerEndWatch:
-    """Keeps one node's record of runners that ended.
+class RunnerCrashMonitor:
+    """Monitors runner crashes and suspected requests for one node.
 
     Args:
-        state: What the node knows.
-        placement: Chooses runners, and knows where peers are told.
+        state: State of the node.
+        placement: Chooses runners, and holds the sender of notices to the peers.
         clock: Monotonic seconds.
-        metrics: Where ends and verdicts are counted.
+        metrics: Counts crashes and verdicts.
     """
 
     def __init__(
@@ -122,32 +128,35 @@
         self._clock = clock
         self._metrics = metrics
         self._active: dict[str, tuple[Job, Runner]] = {}
-        # Runners at which this node lost runs, with the time.
-        self._lost_here: dict[str, float] = {}
-        self._untold: set[str] = set()
-        self._announced: set[int] = set()
-        self._left: deque[_LeftRun] = deque()
+        # Runners at which this node lost runs, with the time of the loss.
+        self._locally_lost: dict[str, float] = {}
+        self._unreported: set[str] = set()
+        self._announced_fatal: set[int] = set()
+        self._abandoned: deque[_AbandonedRun] = deque()
         self._on_time_since: Callable[[], float] = lambda: -math.inf
         self._is_stopping = False
-        self._telling: asyncio.Handle | None = None
-        self._gathering: asyncio.TimerHandle | None = None
+        self._report_handle: asyncio.Handle | None = None
+        self._enforce_handle: asyncio.TimerHandle | None = None
 
     def handle_lag(self, on_time_since: Callable[[], float]) -> None:
-        """Ask a function since when bytes are read as they come: those read late show nothing."""
+        """Set the function that returns since when the event loop has read bytes without delay.
+
+        Bytes that were read late don't prove that a runner is alive.
+        """
         self._on_time_since = on_time_since
 
-    def _has_lived_on(self, runner: Runner, ended_at: float) -> bool:
-        """Return whether the process that seemed to end at a moment was heard after it."""
+    def _has_survived(self, runner: Runner, ended_at: float) -> bool:
+        """Return whether a process that seemed to crash sent bytes afterwards."""
         heard_at = runner.last_heard_at
         if heard_at <= ended_at + LATE_BYTES_SECONDS or heard_at < self._on_time_since():
             return False
-        if heard_at < ended_at + SAME_PROCESS_SECONDS:
+        if heard_at < ended_at + MIN_RESTART_SECONDS:
             return True
-        # A connection that is older than the end and still open is one of the same process.
+        # An attempt sent before the crash that still runs belongs to the same process.
         return any(at is runner and job.sent_at < ended_at for job, at in self._active.values())
 
     def sent(self, job: Job, runner: Runner, attempt_id: str, now: float) -> None:
-        """Note an attempt that is being sent."""
+        """Record an attempt that is being sent."""
         job.sent_at = now
         job.answering_since = None
         self._active[attempt_id] = job, runner
@@ -156,80 +165,85 @@
             self._state.probations.begin(attempt_id, runner.runner_id, names)
             for name in names:
                 self._counts.note_trial(name, now)
-            self._tell_probation(runner.runner_id, PROBATION_SECONDS, names)
+            self._send_probation(runner.runner_id, PROBATION_SECONDS, names)
             self._metrics.runner_ends.labels("suspect_sent").inc()
             self._log_suspect(job, runner)
 
     def started(self, job: Job, attempt_id: str, now: float) -> None:
-        """Note the first bytes of an attempt's answer."""
+        """Record the first bytes of an attempt's answer."""
         job.answering_since = now
         self._state.probations.started(attempt_id, now)
 
-    def finished(self, attempt_id: str, *, may_work_on: bool = False) -> None:
-        """Note the end of an attempt.
+    def finished(self, attempt_id: str, *, may_still_run: bool = False) -> None:
+        """Record the end of an attempt.
 
         Args:
-            attempt_id: The attempt.
-            may_work_on: Whether its runner may still be at work on it.
+            attempt_id: Identifier of the attempt.
+            may_still_run: Whether the runner may still run it.
         """
         found = self._active.pop(attempt_id, None)
-        if found is not None and may_work_on:
-            self._note_left(*found)
+        if found is not None and may_still_run:
+            self._note_abandoned(*found)
         runner_id = self._state.probations.end(attempt_id)
         if runner_id is not None:
-            self._tell_probation(runner_id, 0.0)
+            self._send_probation(runner_id, 0.0)
 
-    def _note_left(self, job: Job, runner: Runner) -> None:
+    def _note_abandoned(self, job: Job, runner: Runner) -> None:
         now = self._clock()
-        while self._left and now - self._left[0].at >= LEFT_SECONDS:
-            self._left.popleft()
-        left = _LeftRun(job, runner.runner_id, now, job.sent_at, job.answering_since)
-        self._left.append(left)
+        while self._abandoned and now - self._abandoned[0].at >= ABANDONED_RUN_SECONDS:
+            self._abandoned.popleft()
+        abandoned = _AbandonedRun(job, runner.runner_id, now, job.sent_at, job.answering_since)
+        self._abandoned.append(abandoned)
 
-    def _left_at(self, runner_id: str, ended_at: float) -> dict[int, RunAtEnd]:
-        """Return the runs that this node left at a runner shortly before it ended."""
+    def _abandoned_runs(self, runner_id: str, ended_at: float) -> dict[int, RunAtEnd]:
+        """Return the runs that this node abandoned at a runner shortly before its crash."""
         runs: dict[int, RunAtEnd] = {}
-        for left in self._left:
-            since = ended_at - left.at
-            if left.runner_id != runner_id or not -LEFT_SLACK_SECONDS < since < LEFT_SECONDS:
+        for abandoned in self._abandoned:
+            since = ended_at - abandoned.at
+            if (
+                abandoned.runner_id != runner_id
+                or not -ABANDONED_RUN_SLACK_SECONDS < since < ABANDONED_RUN_SECONDS
+            ):
                 continue
-            answering = None if left.answering_since is None else ended_at - left.answering_since
-            run = RunAtEnd(ended_at - left.sent_at, answering, self._content(left.job))
-            runs[self._fingerprint(left.job)] = run
+            answering = (
+                None if abandoned.answering_since is None else ended_at - abandoned.answering_since
+            )
+            run = RunAtEnd(ended_at - abandoned.sent_at, answering, self._content(abandoned.job))
+            runs[self._fingerprint(abandoned.job)] = run
         return runs
 
     def answered(self, job: Job, *, succeeded: bool) -> None:
-        """Note that an answer was passed on: if its request was suspected, it is not any more.
+        """Record that an answer was passed on, and clear any suspicion against its request.
 
         Args:
             job: The request.
-            succeeded: Whether the runner did its work. It may refuse or fail a request that would
-                have ended it, so that alone sets the count of ends back.
+            succeeded: Whether the answer is a success. Only a success resets the crash count,
+                because a runner may refuse or fail a request that would have crashed it.
         """
         if not self._record and not self._counts:
             return
         if succeeded:
-            self._set_counts_back(self._names(job))
-        self._clear(self._fingerprint(job))
+            self._reset_counts(self._names(job))
+        self._clear_suspicion(self._fingerprint(job))
 
     async def check(self, job: Job) -> None:
-        """Find out whether a request may be sent, and whether it is suspected.
+        """Check whether a request may be sent, and set its suspect rank.
 
-        A suspect waits for a while where all runners that may take it have another one: in most
-        cases one of them is found fatal meanwhile, and the rest go anywhere.
+        A suspect waits for a while if every runner that may run it already runs another suspect. In
+        most cases one of the suspects is found fatal in the meantime, and the others are cleared.
 
         Raises:
-            RejectedError: It is fatal.
-            StreamCutError: The same, and its answer has begun.
+            RejectedError: The request is fatal.
+            StreamCutError: The request is fatal and its answer has begun.
         """
         job.suspect_rank = None
         if not self._record and not self._counts:
             return
-        await self._judge(job)
+        await self._classify(job)
         if job.is_suspect:
-            await self._wait_apart(job)
+            await self._wait_for_separation(job)
 
-    async def _judge(self, job: Job) -> None:
+    async def _classify(self, job: Job) -> None:
         fingerprint = self._fingerprint(job)
         suspicion = self._suspicion(fingerprint)
         if suspicion is not Suspicion.NONE:
@@ -240,18 +254,18 @@
             job.suspect_rank = self._record.place(fingerprint)
         if suspicion is Suspicion.FATAL or not self._is_within_bound(job):
             self._metrics.runner_ends.labels("refused").inc()
-            raise self.ended_for_good(job)
+            raise self.fatal_error(job)
 
     def _is_within_bound(self, job: Job) -> bool:
-        """Return whether a request may be sent, however likely it is the cause of its ends."""
+        """Return whether a request is below the crash limit or may be sent as a trial."""
         if any(map(self._counts.is_bounded, self._names(job))):
-            self._set_outlived_back()
+            self._reset_survivor_counts()
         bounded = [name for name in self._names(job) if self._counts.is_bounded(name)]
         if not bounded:
             return True
         now = self._clock()
         if job.trial_send != job.sends:
-            # All tries of one content meet the same order of nodes.
+            # The rank depends on the content, so all tries of one content see the same node order.
             rank = self._node_rank(self._content(job))
             pause = self._trial_pause(self._fingerprint(job))
             if not all(self._counts.may_try(name, rank, now, pause) for name in bounded):
@@ -264,98 +278,102 @@
         return True
 
     def _trial_pause(self, fingerprint: int) -> float:
-        """Return the least time before a trial: short where it may be another's content."""
+        """Return the minimum pause between the latest crash and a trial.
+
+        There is none if only the content has reached the crash limit, because another request with
+        the same content may be the fatal one.
+        """
         is_likely = fingerprint in self._record.fatal() or self._counts.is_bounded(fingerprint)
         return FATAL_SECONDS if is_likely else 0.0
 
     def _node_rank(self, name: int) -> int:
-        """Return this node's place in an order of all nodes, which they share for a name."""
+        """Return this node's rank in an order of all nodes that is the same on every node."""
         others = {node.node_id for node in self._state.nodes.all()} - {self._state.node_id}
         return ranked(f"{name:016x}", [*others, self._state.node_id]).index(self._state.node_id)
 
-    async def _wait_apart(self, job: Job) -> None:
+    async def _wait_for_separation(self, job: Job) -> None:
         """Wait for a runner without another suspect, for a bounded time.
 
-        Of several callers' tries of one request one goes at a time: their number must not be that
-        of the runners that end.
+        Several callers' tries of one request are sent one at a time, so that each try does not
+        crash a runner of its own.
         """
         started_at = self._clock()
-        latest = job.deadline - APART_SECONDS
-        # Those of a lower rank choose first, and their nodes' word is heard; so is that of nodes
-        # which try the same request at the same moment.
+        latest = job.deadline - SEPARATION_WAIT_SECONDS
+        # Suspects with a lower rank choose first, so that their nodes' notices arrive before this
+        # one is placed. The same applies to nodes that try the same request at the same time.
         steps = (job.suspect_rank or 0) + self._node_rank(self._content(job))
         await asyncio.sleep(min(MAX_STAGGER_SECONDS, STAGGER_SECONDS * steps))
-        await self._judge(job)
+        await self._classify(job)
         while job.is_suspect and self._clock() < latest:
             waited = self._clock() - started_at
             is_tried = self._state.probations.is_tried(self._suspected_name(job), self._clock())
-            must_share = self._placement.must_share(job, self._clock())
-            if not is_tried and not must_share:
+            must_share_runner = self._placement.must_share_runner(job, self._clock())
+            if not is_tried and not must_share_runner:
                 return
-            if waited >= (SAME_REQUEST_SECONDS if is_tried else APART_SECONDS):
+            if waited >= (SAME_REQUEST_WAIT_SECONDS if is_tried else SEPARATION_WAIT_SECONDS):
                 return
-            await asyncio.sleep(APART_CHECK_SECONDS)
-            await self._judge(job)
+            await asyncio.sleep(SEPARATION_CHECK_SECONDS)
+            await self._classify(job)
 
     def _suspected_name(self, job: Job) -> int:
-        """Return the name by which other tries are known as the same suspect."""
+        """Return the name that identifies other tries of the same suspect."""
         content = self._content(job)
         is_suspect = self._counts.is_suspect(content, self._clock())
         return content if is_suspect else self._fingerprint(job)
 
-    def ended_for_good(self, job: Job) -> Exception:
-        """Return the error that ends a fatal request: it has run, if not in this try."""
+    def fatal_error(self, job: Job) -> Exception:
+        """Return the error for a fatal request, which has run in this try or in an earlier one."""
         job.may_have_run = True
         fingerprint = self._fingerprint(job)
         fields: dict[str, object] = {
             "request": job.request.request_id,
             "fingerprint": f"{fingerprint:016x}",
-            "ends": self._most_ends(job),
+            "ends": self._max_crash_count(job),
         }
         found = self._record.fatal().get(fingerprint)
         if found is not None:
             fields |= _evidence(found)
         logger.info("fatal request not sent", extra=fields)
-        return job.gave_up(Verdict.FAILED, FATAL_TEXT)
+        return job.give_up_error(Verdict.FAILED, FATAL_REASON)
 
     def lost(self, job: Job, runner: Runner, now: float) -> None:
-        """Note that an attempt broke off since its connection did.
+        """Record that an attempt failed because its connection broke.
 
-        All of this node's attempts there count as lost with it: if one of them is heard after
-        this, the runner has not ended.
+        All of this node's attempts at the runner count as lost too. If one of them receives bytes
+        later, the runner has not crashed.
         """
-        if self._is_stopping or _is_expected(runner, now):
+        if self._is_stopping or _is_expected_disconnect(runner, now):
             return
-        runs = self._left_at(runner.runner_id, now)
+        runs = self._abandoned_runs(runner.runner_id, now)
         runs[self._fingerprint(job)] = self._run(job, now)
         for other, at in self._active.values():
             if at is runner:
                 runs.setdefault(self._fingerprint(other), self._run(other, now))
-        self._note_lost(runner, runs, now)
+        self._note_lost_runs(runner, runs, now)
 
     def unreachable(self, runner: Runner, now: float) -> None:
-        """Note that a runner takes no connections.
+        """Record that a runner accepts no connections.
 
-        If this node has just left runs there, one of them may have ended it: nobody else need have
-        had a connection that broke.
+        If this node has just abandoned runs there, one of them may have crashed the runner, perhaps
+        without breaking any connection.
         """
-        if self._is_stopping or _is_expected(runner, now):
+        if self._is_stopping or _is_expected_disconnect(runner, now):
             return
-        runs = self._left_at(runner.runner_id, now)
+        runs = self._abandoned_runs(runner.runner_id, now)
         if runs and self._record.get(runner.runner_id) is None:
-            self._note_lost(runner, runs, now)
+            self._note_lost_runs(runner, runs, now)
 
-    def _note_lost(self, runner: Runner, runs: dict[int, RunAtEnd], now: float) -> None:
-        if runner.runner_id not in self._lost_here:
+    def _note_lost_runs(self, runner: Runner, runs: dict[int, RunAtEnd], now: float) -> None:
+        if runner.runner_id not in self._locally_lost:
             self._metrics.runner_ends.labels("seen").inc()
-            self._lost_here[runner.runner_id] = now
-            _log_end(runner, runs)
-        self._note_end(runner.runner_id, now, runs, runner.running(now) + 1)
-        self._untold.add(runner.runner_id)
+            self._locally_lost[runner.runner_id] = now
+            _log_crash(runner, runs)
+        self._record_crash(runner.runner_id, now, runs, runner.running(now) + 1)
+        self._unreported.add(runner.runner_id)
         self._schedule_reaction()
 
     def observe(self, peer: str, notice: RunnerEndNotice, now: float) -> None:
-        """Take over what a peer tells."""
+        """Process a crash notice of a peer."""
         ended_at = now - notice.ended_ms_ago / 1000
         if notice.probation_ms is not None:
             until = now + notice.probation_ms / 1000
@@ -367,8 +385,8 @@
             return
         if notice.taken_back:
             end = self._record.get(notice.runner_id)
-            if end is not None and ended_at > end.ended_at + SAME_PROCESS_SECONDS:
-                # The peer may have heard the next process.
+            if end is not None and ended_at > end.ended_at + MIN_RESTART_SECONDS:
+                # The peer may have received bytes from the next process.
                 return
             if self._record.take_back(notice.runner_id, ended_at):
                 self._counts.take_back(notice.runner_id)
@@ -383,23 +401,24 @@
             return
         runner = self._state.pool.get(notice.runner_id)
         if runner is not None and (
-            self._has_lived_on(runner, ended_at) or _is_expected(runner, now)
+            self._has_survived(runner, ended_at) or _is_expected_disconnect(runner, now)
         ):
             return
-        runs = {request.fingerprint: _told_run(request) for request in notice.requests}
-        left = self._left_at(notice.runner_id, ended_at)
-        runs |= left
-        # Told once: a notice that does not name all runs there must not be answered by another.
-        if left and notice.runner_id not in self._lost_here:
-            self._lost_here.setdefault(notice.runner_id, ended_at)
-            self._untold.add(notice.runner_id)
-        self._note_end(notice.runner_id, ended_at, runs, notice.running)
+        runs = {request.fingerprint: _run_at_end(request) for request in notice.requests}
+        abandoned_runs = self._abandoned_runs(notice.runner_id, ended_at)
+        runs |= abandoned_runs
+        # Reported only once: otherwise two nodes could answer each other's incomplete notices
+        # endlessly.
+        if abandoned_runs and notice.runner_id not in self._locally_lost:
+            self._locally_lost.setdefault(notice.runner_id, ended_at)
+            self._unreported.add(notice.runner_id)
+        self._record_crash(notice.runner_id, ended_at, runs, notice.running)
         self._schedule_reaction()
 
-    def _note_end(
+    def _record_crash(
         self, runner_id: str, ended_at: float, runs: dict[int, RunAtEnd], running: int
     ) -> None:
-        """Take an end into the record, and into the count of each request that was there."""
+        """Record a crash, and count it for each request that the runner was running."""
         self._record.note_end(runner_id, ended_at, runs, self._clock(), running)
         if self._record.was_heard_after(runner_id, ended_at):
             return
@@ -410,11 +429,12 @@
                 self._counts.note(run.content, crashed)
 
     def welcome(self, node_id: str) -> None:
-        """Tell a node that has just started of the ends that this node saw, and its part of others.
+        """Report crashes to a node that has just started.
 
-        Each end that this node did not see is told by one node (rendezvous): those that saw it may
-        be gone. Ends that are known only by the requests that were at several are told by three:
-        they lie far back, and some nodes may have started since.
+        This node reports the crashes that it saw itself. A crash that it did not see is reported by
+        one node, chosen by rendezvous hashing, because the nodes that saw it may have stopped.
+        Older crashes, known only from the counts of requests with several crashes, are reported by
+        three nodes, because some nodes may have started since.
         """
         self._refresh()
         others = [node.node_id for node in self._state.nodes.all() if node.node_id != node_id]
@@ -422,15 +442,15 @@
         notices = [
             notice
             for end in self._record.ends()
-            if end.runner_id in self._lost_here
+            if end.runner_id in self._locally_lost
             or owner(end.runner_id, others) == self._state.node_id
             for notice in self._notices(end, now)
         ]
-        notices += self._earlier_ends(others, now)
+        notices += self._earlier_crash_notices(others, now)
         self._peers.send_runner_ends(node_id, notices)
 
-    def _earlier_ends(self, others: list[str], now: float) -> list[RunnerEndNotice]:
-        """Return the notices of ends that are only counted any more."""
+    def _earlier_crash_notices(self, others: list[str], now: float) -> list[RunnerEndNotice]:
+        """Return notices of crashes that are no longer in the record but still counted."""
         ended_at: dict[str, float] = {}
         requests: dict[str, list[RequestAtEnd]] = {}
         for fingerprint, run in self._counts.repeated():
@@ -439,43 +459,43 @@
             ended_at[run.runner_id] = run.ended_at
             age_ms = round((run.ended_at - run.began_at) * 1000)
             answering_ms = age_ms if run.is_settled else 0
-            told = requests.setdefault(run.runner_id, [])
-            told.append(RequestAtEnd(fingerprint, age_ms, run.is_settled, answering_ms))
+            reported = requests.setdefault(run.runner_id, [])
+            reported.append(RequestAtEnd(fingerprint, age_ms, run.is_settled, answering_ms))
         return [
             RunnerEndNotice(
                 runner_id,
                 round((now - ended_at[runner_id]) * 1000),
-                told[first : first + MAX_TOLD_REQUESTS],
+                reported[first : first + MAX_NOTICE_REQUESTS],
             )
-            for runner_id, told in requests.items()
-            if self._state.node_id in ranked(runner_id, others)[:EARLIER_ENDS_TELLERS]
-            for first in range(0, len(told), MAX_TOLD_REQUESTS)
+            for runner_id, reported in requests.items()
+            if self._state.node_id in ranked(runner_id, others)[:EARLIER_CRASH_REPORTERS]
+            for first in range(0, len(reported), MAX_NOTICE_REQUESTS)
         ]
 
     async def run(self) -> None:
-        """Tell the latest ends again with each heartbeat, until cancelled."""
+        """Repeat the notices of recent crashes periodically until cancelled."""
         try:
             while True:
-                await asyncio.sleep(REPEAT_SECONDS)
-                self._repeat()
+                await asyncio.sleep(NOTICE_INTERVAL_SECONDS)
+                self._repeat_notices()
         finally:
-            # The node ends: it closes its connections itself, and its socket for peers.
+            # The node is shutting down and closes its own connections and its socket for peers.
             self._is_stopping = True
 
-    def _repeat(self) -> None:
+    def _repeat_notices(self) -> None:
         self._refresh()
-        self._set_outlived_back()
+        self._reset_survivor_counts()
         now = self._clock()
-        latest = [end for end in self._record.ends() if end.runner_id in self._lost_here]
-        for end in latest[-MAX_REPEATED:]:
-            if now - end.ended_at < REPEAT_FOR_SECONDS:
-                self._tell_end(end, now)
+        latest = [end for end in self._record.ends() if end.runner_id in self._locally_lost]
+        for end in latest[-MAX_REPEATED_CRASHES:]:
+            if now - end.ended_at < NOTICE_REPEAT_SECONDS:
+                self._send_crash_notices(end, now)
 
-    def _tell_end(self, end: RunnerEnd, now: float) -> None:
+    def _send_crash_notices(self, end: RunnerEnd, now: float) -> None:
         for notice in self._notices(end, now):
             self._peers.runner_ended(notice)
 
-    def _tell_probation(
+    def _send_probation(
         self, runner_id: str, seconds: float, names: tuple[int, int] = (0, 0)
     ) -> None:
         fingerprint, content = names
@@ -491,12 +511,12 @@
             "content": f"{self._content(job):016x}",
             "runner": runner.runner_id,
             "ended": [end.runner_id for end in self._record.ends() if fingerprint in end.runs],
-            "ends": self._most_ends(job),
+            "ends": self._max_crash_count(job),
         }
         logger.info("suspect sent", extra=fields)
 
-    def _most_ends(self, job: Job) -> int:
-        """Return how many runners ended under a request, by the name that tells of more."""
+    def _max_crash_count(self, job: Job) -> int:
+        """Return how many runners a request crashed, by the name with the higher count."""
         return max(self._counts.count(name) for name in self._names(job))
 
     def _suspicion(self, fingerprint: int) -> Suspicion:
@@ -504,36 +524,38 @@
         return self._record.suspicion(fingerprint, self._clock())
 
     def _refresh(self) -> None:
-        """Forget what is old, and take back the ends of runners that were heard since."""
+        """Expire old entries, and retract crashes of runners that have sent bytes since."""
         now = self._clock()
         self._record.expire(now)
         self._counts.expire(now)
         for end in self._record.ends():
             runner = self._state.pool.get(end.runner_id)
-            if runner is None or not self._has_lived_on(runner, end.ended_at):
+            if runner is None or not self._has_survived(runner, end.ended_at):
                 continue
             self._record.take_back(end.runner_id, runner.last_heard_at)
             self._counts.take_back(end.runner_id)
-            self._lost_here.pop(end.runner_id, None)
+            self._locally_lost.pop(end.runner_id, None)
             self._metrics.runner_ends.labels("taken_back").inc()
             logger.info("runner has not ended", extra={"runner": end.runner_id})
-            told_ago = max(0, int((now - runner.last_heard_at) * 1000))
-            self._peers.runner_ended(RunnerEndNotice(end.runner_id, told_ago, [], taken_back=True))
-        self._lost_here = {
+            seen_ms_ago = max(0, int((now - runner.last_heard_at) * 1000))
+            self._peers.runner_ended(
+                RunnerEndNotice(end.runner_id, seen_ms_ago, [], taken_back=True)
+            )
+        self._locally_lost = {
             runner_id: ended_at
-            for runner_id, ended_at in self._lost_here.items()
+            for runner_id, ended_at in self._locally_lost.items()
             if now - ended_at < END_SECONDS or self._record.get(runner_id) is not None
         }
 
-    def _set_counts_back(self, names: Iterable[int]) -> None:
-        """Note that a run with these names did not end its runner, and tell the peers."""
+    def _reset_counts(self, names: Iterable[int]) -> None:
+        """Reset the crash counts of these names after a successful run, and notify the peers."""
         now = self._clock()
         found = [name for name in names if self._counts.clear(name, now)]
         if found:
             self._peers.runner_ended(RunnerEndNotice("", 0, [], succeeded=found))
 
-    def _set_outlived_back(self) -> None:
-        """Set the counts back of requests that go on here for longer than any that crashes."""
+    def _reset_survivor_counts(self) -> None:
+        """Reset the counts of requests that run here for longer than runs that crash runners."""
         if not self._counts:
             return
         now = self._clock()
@@ -541,12 +563,12 @@
             run = self._run(job, now)
             if not run.is_settled:
                 continue
-            outlived = [
+            survived = [
                 name for name in self._names(job) if self._counts.is_outlived(name, run.age)
             ]
-            self._set_counts_back(outlived)
+            self._reset_counts(survived)
 
-    def _clear(self, fingerprint: int) -> None:
+    def _clear_suspicion(self, fingerprint: int) -> None:
         was = self._record.suspicion(fingerprint, self._clock())
         runner_ids = self._record.clear(fingerprint, self._clock())
         if not runner_ids:
@@ -557,66 +579,72 @@
             logger.info("request cleared", extra={"fingerprint": f"{fingerprint:016x}"})
 
     async def _wait_for_peers(self, fingerprint: int) -> None:
-        """Wait until the notices of other nodes on the last end are in: then all judge alike."""
-        left = self._record.ended_last_under(fingerprint) + GATHER_SECONDS - self._clock()
-        if left > 0:
-            await asyncio.sleep(left)
+        """Wait for other nodes' notices of the latest crash, so that all nodes decide alike."""
+        remaining = (
+            self._record.ended_last_under(fingerprint) + PEER_NOTICE_WAIT_SECONDS - self._clock()
+        )
+        if remaining > 0:
+            await asyncio.sleep(remaining)
 
     def _schedule_reaction(self) -> None:
-        """Tell the peers soon, and act on verdicts once the notices of other nodes are in."""
+        """Schedule notices to peers, and enforcement once the notices of peers have arrived."""
         loop = asyncio.get_running_loop()
-        if self._untold and self._telling is None:
-            # Attempts that break in the same turn of the loop are told together.
-            self._telling = loop.call_soon(self._tell)
-        if self._gathering is None:
-            self._gathering = loop.call_later(GATHER_SECONDS, self._enforce)
-
-    def _tell(self) -> None:
-        """Tell the peers what this node lost."""
-        self._telling = None
+        if self._unreported and self._report_handle is None:
+            # Attempts that break in the same event loop iteration are reported together.
+            self._report_handle = loop.call_soon(self._report_lost)
+        if self._enforce_handle is None:
+            self._enforce_handle = loop.call_later(PEER_NOTICE_WAIT_SECONDS, self._enforce_verdicts)
+
+    def _report_lost(self) -> None:
+        """Notify the peers of the crashes at which this node lost runs."""
+        self._report_handle = None
         now = self._clock()
-        untold, self._untold = self._untold, set()
+        untold, self._unreported = self._unreported, set()
         for runner_id in sorted(untold):
             end = self._record.get(runner_id)
             if end is not None:
-                self._tell_end(end, now)
+                self._send_crash_notices(end, now)
 
-    def _enforce(self) -> None:
-        """End the runs of fatal requests that are under way, and log what was found."""
-        self._gathering = None
+    def _enforce_verdicts(self) -> None:
+        """Abort running fatal requests, and log newly found ones."""
+        self._enforce_handle = None
         self._refresh()
         now = self._clock()
         for fingerprint, found in list(self._record.fatal().items()):
             is_held = self._record.suspicion(fingerprint, now) is Suspicion.FATAL
-            if is_held and not self._has_outlived(found, now):
-                self._end_runs(fingerprint)
+            if is_held and not self._has_survived_crash_age(found, now):
+                self._abort_runs(fingerprint)
                 self._announce(found)
-        self._announced &= self._record.fatal().keys()
-        self._end_bounded_runs(now)
+        self._announced_fatal &= self._record.fatal().keys()
+        self._abort_bounded_runs(now)
 
     def _announce(self, found: FatalRequest) -> None:
-        if found.fingerprint in self._announced:
+        if found.fingerprint in self._announced_fatal:
             return
-        self._announced.add(found.fingerprint)
+        self._announced_fatal.add(found.fingerprint)
         self._metrics.runner_ends.labels("fatal").inc()
         logger.warning("request ends runners", extra=_evidence(found))
 
-    def _has_outlived(self, found: FatalRequest, now: float) -> bool:
-        """Return whether a run of a request here has outlived its ends; if so it is cleared."""
+    def _has_survived_crash_age(self, found: FatalRequest, now: float) -> bool:
+        """Clear a fatal request if a run of it has outlasted the ages at its crashes.
+
+        Returns:
+            Whether the request was cleared.
+        """
         longest = max(found.ages, default=0.0)
         for job, _ in self._active.values():
             run = self._run(job, now)
             if self._fingerprint(job) == found.fingerprint and run.is_settled and run.age > longest:
-                self._clear(found.fingerprint)
+                self._clear_suspicion(found.fingerprint)
                 return True
         return False
 
-    def _end_bounded_runs(self, now: float) -> None:
-        """End the runs that began before the last end that their request may have was told.
+    def _abort_bounded_runs(self, now: float) -> None:
+        """Abort runs of requests that have reached the crash limit since they were sent.
 
-        Those that have long been answering are not likely to end their runners.
+        Runs that have been answering for long are unlikely to crash their runners and continue.
         """
-        self._set_outlived_back()
+        self._reset_survivor_counts()
         for job, _ in list(self._active.values()):
             if job.trial_send is not None or job.answer_ready:
                 continue
@@ -624,24 +652,24 @@
                 continue
             if any(map(self._counts.is_bounded, self._names(job))):
                 job.is_fatal = True
-                job.end_now()
+                job.expire_now()
 
-    def _end_runs(self, fingerprint: int) -> None:
+    def _abort_runs(self, fingerprint: int) -> None:
         for job, _ in list(self._active.values()):
             if self._fingerprint(job) == fingerprint and not job.answer_ready:
                 job.is_fatal = True
-                job.end_now()
+                job.expire_now()
 
     def _notices(self, end: RunnerEnd, now: float) -> list[RunnerEndNotice]:
-        """Return the notices of an end, one a datagram: mostly a single one."""
-        parts = range(0, max(1, len(end.runs)), MAX_TOLD_REQUESTS)
+        """Return the notices of a crash, one per datagram; usually a single one."""
+        parts = range(0, max(1, len(end.runs)), MAX_NOTICE_REQUESTS)
         return [self._notice(end, now, first) for first in parts]
 
     def _notice(self, end: RunnerEnd, now: float, first: int = 0) -> RunnerEndNotice:
-        """Return the notice of an end, with some of its runs: the most suspected come first."""
+        """Return one notice of a crash with some of its runs, the most suspected first."""
         runs = sorted(end.runs.items(), key=lambda item: (-item[1].weight, item[0]))
-        told = runs[first : first + MAX_TOLD_REQUESTS]
-        requests = [_told(fingerprint, run) for fingerprint, run in told]
+        reported = runs[first : first + MAX_NOTICE_REQUESTS]
+        requests = [_request_at_end(fingerprint, run) for fingerprint, run in reported]
         ended_ms_ago = max(0, round((now - end.ended_at) * 1000))
         return RunnerEndNotice(end.runner_id, ended_ms_ago, requests, end.running)
 
@@ -671,15 +699,15 @@
         return job.fingerprint
 
 
-def _is_expected(runner: Runner, now: float) -> bool:
-    """Return whether a runner breaks its runs off because it was told to leave or to load."""
+def _is_expected_disconnect(runner: Runner, now: float) -> bool:
+    """Return whether a runner breaks off runs because it is leaving or loading weights."""
     if runner.has_ended and not runner.entry.draining:
-        # It left nothing: its next process was heard of before its connections broke off.
+        # The runner did not leave: its next process was seen before its connections broke.
         return False
     return not runner.stays(now) or now < runner.loading_until
 
 
-def _told(fingerprint: int, run: RunAtEnd) -> RequestAtEnd:
+def _request_at_end(fingerprint: int, run: RunAtEnd) -> RequestAtEnd:
     answering_ms = 0 if run.answering is None else round(run.answering * 1000)
     return RequestAtEnd(
         fingerprint,
@@ -690,13 +718,13 @@
     )
 
 
-def _told_run(request: RequestAtEnd) -> RunAtEnd:
+def _run_at_end(request: RequestAtEnd) -> RunAtEnd:
     answering = request.answering_ms / 1000 if request.started else None
     return RunAtEnd(request.age_ms / 1000, answering, request.content)
 
 
-def _log_end(runner: Runner, runs: dict[int, RunAtEnd]) -> None:
-    """Log which requests of this node a runner ended under, the youngest runs first."""
+def _log_crash(runner: Runner, runs: dict[int, RunAtEnd]) -> None:
+    """Log this node's requests at a runner that crashed, the youngest runs first."""
     youngest = sorted(runs.items(), key=lambda item: item[1].age)[:MAX_LOGGED_RUNS]
     fields = {
         "runner": runner.runner_id,
--- a/src/hillstack/serving/runner_limits.py
+++ b/src/hillstack/serving/runner_limits.py
@@ -1,7 +1,7 @@
-"""Keeps calls to runners within the limits that they name for all nodes together.
+"""Keeps calls to runners within the rate limits that runners announce for all nodes together.
 
-No node sees what the others send. So each call takes its part out of a sum that all nodes hold
-together (``core.token_buckets``); where none is left a request goes to another runner at once.
+No node sees the calls of the others, so each call takes tokens out of a bucket that all nodes share
+(``core.token_buckets``). If the bucket is empty, a request goes to another runner immediately.
 """
 
 from __future__ import annotations
@@ -19,26 +19,28 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a request waits for the word of a holder, which takes some milliseconds: others take it.
+# How long a request waits for the bucket's holder, which usually answers within milliseconds; then
+# another runner serves the request.
 ANSWER_SECONDS = 0.03
-# Without that word the runner is passed over for as long as it takes to find another holder.
+# Without an answer, the runner is skipped for as long as it takes to find another holder.
 SILENT_SECONDS = 0.1
-# A runner without room is asked for again after that: others may have left their places unused.
+# A runner whose limit had no room is tried again after this time at the latest: other nodes may not
+# have used their shares.
 LONGEST_PAUSE_SECONDS = 1.0
-# Orders and reports find room before requests, and urgent requests before others: a rank lower each
-# time. Weights have a bound of their own, and nobody else may give these orders.
+# Orders and reports take precedence over requests, and urgent requests over others: a lower rank
+# goes first. Orders to load weights have a time bound, and no other node may give them.
 CALL_RANK = 0
 URGENT_RANK = 1
 OTHER_RANK = 2
 
 
 class RunnerLimits:
-    """Takes calls of this node out of the limits of runners.
+    """Charges this node's calls to the rate limits of runners.
 
     Args:
         pool: All runners.
-        limiter: Holds the sums together with the other nodes.
-        metrics: Where calls are counted.
+        limiter: Shares the token buckets with the other nodes.
+        metrics: Counts limited calls.
         clock: Monotonic seconds.
     """
 
@@ -55,35 +57,35 @@
         self._clock = clock
 
     async def admits(self, job: Job, runner: Runner) -> bool:
-        """Return whether a runner's limit has room for an attempt, which is taken out of it.
+        """Charge an attempt to a runner's limit; return whether the limit has room.
 
-        Where it has none the runner accepts no work of this node for a while.
+        A runner whose limit has no room accepts no work of this node for a while.
         """
         limit = runner.signals.limit
         rate = limit.rate_to_use(self._clock())
         if rate is None:
             return True
         if limit.take_probe():
-            self._note(job, runner, rate, "probe")
+            self._log_result(job, runner, rate, "probe")
             return True
         rank = OTHER_RANK if job.priority else URGENT_RANK
-        wait = await self._take(runner.runner_id, rate, rank)
+        wait = await self._reserve(runner.runner_id, rate, rank)
         if wait <= 0:
-            self._note(job, runner, rate, "admitted")
+            self._log_result(job, runner, rate, "admitted")
             return True
         limit.no_room_until = self._clock() + min(wait, LONGEST_PAUSE_SECONDS)
-        self._note(job, runner, rate, "no room")
+        self._log_result(job, runner, rate, "no room")
         return False
 
     async def room_for_call(self, runner_id: str, patience_seconds: float) -> bool:
-        """Wait until a runner's limit has room for a call that is no request, and take it.
+        """Wait until a runner's limit has room for a call other than a request, and charge it.
 
         Returns:
             Whether there was room in time.
         """
         gives_up_at = self._clock() + patience_seconds
         while (rate := self._pool.limit_of(runner_id, self._clock())) is not None:
-            wait = await self._take(runner_id, rate, CALL_RANK)
+            wait = await self._reserve(runner_id, rate, CALL_RANK)
             if wait <= 0:
                 return True
             left = gives_up_at - self._clock()
@@ -92,8 +94,8 @@
             await asyncio.sleep(min(wait, left, LONGEST_PAUSE_SECONDS))
         return True
 
-    async def _take(self, runner_id: str, rate: float, rank: int) -> float:
-        """Return 0 if there is room, which is taken; else after how long it may be asked again."""
+    async def _reserve(self, runner_id: str, rate: float, rank: int) -> float:
+        """Charge one call and return 0, or return the seconds until the next try may have room."""
         limit = TenantLimit(rate, burst=0.0)
         try:
             async with asyncio.timeout(ANSWER_SECONDS):
@@ -101,7 +103,7 @@
         except TimeoutError:
             return SILENT_SECONDS
 
-    def _note(self, job: Job, runner: Runner, rate: float, result: str) -> None:
+    def _log_result(self, job: Job, runner: Runner, rate: float, result: str) -> None:
         self._metrics.limited_attempts.labels(result).inc()
         fields = {
             "request": job.request.request_id,
@@ -113,5 +115,5 @@
 
 
 def holds_back(limit: RunnerLimit, now: float) -> bool:
-    """Return whether a limit keeps all requests of this node away for now."""
+    """Return whether a limit currently keeps all requests of this node away from its runner."""
     return limit.in_force(now) is not None and now < limit.no_room_until
--- a/src/hillstack/serving/signal_intake.py
+++ b/src/hillstack/serving/signal_intake.py
@@ -1,4 +1,7 @@
-"""Takes what runners say of themselves, and shows what requests were kept from for it."""
+"""Applies the signals in runners' answers, and logs the runners that were skipped because of them.
+
+Runners signal that they are leaving, ask for a backoff or announce a rate limit.
+"""
 
 from __future__ import annotations
 
@@ -16,23 +19,23 @@
 LEAVING = "leaving"
 BACKOFF = "backoff"
 LIMIT = "limit"
-# Of the runners that a request was kept from so many are named in the log: all of a small service.
+# Skipped runners of one attempt that are named in the log: all runners of a small service.
 MAX_LOGGED_RUNNERS = 4
-# Names of unknown fields that are told apart, and so much of a value: an application may make up
-# any number of them.
+# Unknown header fields that are counted by name, and logged characters of their values. Both are
+# bounded because an application may send any number of fields.
 MAX_UNKNOWN_FIELDS = 32
 MAX_VALUE_CHARACTERS = 64
 
 
 class SignalIntake:
-    """Changes a node's beliefs by what runners say of themselves in their answers.
+    """Updates the runner pool with the signals in runners' answers.
 
     Args:
         pool: All runners.
-        metrics: Where signals are counted.
+        metrics: Counts signals.
         clock: Monotonic seconds.
-        on_leaving: Called with each runner that says that it leaves, when it says so first.
-        on_limit: Called with each process that names another limit than before, or none any more.
+        on_leaving: Called when a runner signals for the first time that it is leaving.
+        on_limit: Called with the process and its limit when the announced limit changes or ends.
     """
 
     def __init__(
@@ -51,12 +54,12 @@
         self._unknown_fields: set[str] = set()
 
     def heard(self, runner_id: str, signals: RunnerSignals, source: AnswerSource) -> None:
-        """Take what an answer says of a process, when its head has come."""
-        self._hear_limit(runner_id, signals.limit, source)
+        """Apply the signals in the head of a process's answer."""
+        self._receive_limit(runner_id, signals.limit, source)
         if signals.leaving or signals.backoff_seconds > 0:
-            self._hear(runner_id, signals, str(source))
+            self._receive_signals(runner_id, signals, str(source))
 
-    def _hear_limit(self, runner_id: str, rate: float | None, source: AnswerSource) -> None:
+    def _receive_limit(self, runner_id: str, rate: float | None, source: AnswerSource) -> None:
         if rate is not None:
             self._metrics.runner_signals.labels(LIMIT).inc()
             self._metrics.limited_calls.labels(source.kind.value).inc()
@@ -69,7 +72,7 @@
             self._on_limit(runner_id, limit)
 
     def unknown_field(self, runner_id: str, name: str, value: str) -> None:
-        """Count a header field that nobody reads, and log the first one of each name."""
+        """Count a header field that is not known, and log the first one of each name."""
         if name not in self._unknown_fields:
             if len(self._unknown_fields) >= MAX_UNKNOWN_FIELDS:
                 return
@@ -78,7 +81,7 @@
             logger.info("unknown field in an answer", extra=fields)
         self._metrics.unknown_fields.labels(name).inc()
 
-    def _hear(self, runner_id: str, signals: RunnerSignals, source: str) -> None:
+    def _receive_signals(self, runner_id: str, signals: RunnerSignals, source: str) -> None:
         if signals.leaving:
             self._metrics.runner_signals.labels(LEAVING).inc()
         if signals.backoff_seconds > 0:
@@ -97,36 +100,38 @@
             self._on_leaving(runner)
 
 
-def show_held_back(
+def log_held_back(
     pool: RunnerPool, metrics: FleetMetrics, request_id: str, chosen: Runner, now: float
 ) -> None:
-    """Count and log the runners that an attempt was kept from, or was sent to all the same.
+    """Count and log the runners that an attempt avoided, or was sent to in spite of a signal.
 
     Args:
         pool: All runners.
-        metrics: Where they are counted.
-        request_id: The request.
-        chosen: The runner that its attempt is sent to.
+        metrics: Counts these runners.
+        request_id: Identifier of the request.
+        chosen: The runner that the attempt is sent to.
         now: Time on the node's clock.
     """
-    held_back = [r for r in pool.held_back(chosen.entry.service, now) if _signals(r.signals, now)]
+    held_back = [
+        r for r in pool.held_back(chosen.entry.service, now) if _active_signals(r.signals, now)
+    ]
     if not held_back:
         return
     for runner in held_back:
         counter = metrics.despite_signals if runner is chosen else metrics.held_back
-        for signal in _signals(runner.signals, now):
+        for signal in _active_signals(runner.signals, now):
             counter.labels(signal).inc()
     fields: dict[str, object] = {
         "request": request_id,
         "runner": chosen.runner_id,
         "sent_despite": any(runner is chosen for runner in held_back),
-        "held_back": [_known(runner, now) for runner in held_back[:MAX_LOGGED_RUNNERS]],
+        "held_back": [_signal_state(runner, now) for runner in held_back[:MAX_LOGGED_RUNNERS]],
         "count": len(held_back),
     }
     logger.info("runners held back", extra=fields)
 
 
-def _signals(received: ReceivedSignals, now: float) -> list[str]:
+def _active_signals(received: ReceivedSignals, now: float) -> list[str]:
     signals = []
     if received.leaves:
         signals.append(LEAVING)
@@ -137,8 +142,8 @@
     return signals
 
 
-def _known(runner: Runner, now: float) -> dict[str, object]:
-    """Return what is known of a runner by its own signals, from which answer and for how long."""
+def _signal_state(runner: Runner, now: float) -> dict[str, object]:
+    """Return the log fields of a runner's active signals, with their source and age."""
     received = runner.signals
     known: dict[str, object] = {"runner": runner.runner_id}
     if received.left_at is not None:
--- a/src/hillstack/serving/store_events.py
+++ b/src/hillstack/serving/store_events.py
@@ -1,4 +1,4 @@
-"""What changes of the store mean to a node."""
+"""Events that a node derives from changes of the store."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     """The directory no longer lists a runner, or its entry can't be read.
 
     Attributes:
-        listed_as: Its name in the directory, which several processes may have had.
-        revision: Of the removal; an entry with a later one stands. None if it is not known.
+        listed_as: Name in the directory, which several processes may have had in turn.
+        revision: Revision of the removal, which does not affect later entries; None if unknown.
     """
 
     listed_as: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutWithdrawn:
-    """The operator took the order of a rollout away, at a revision of the store."""
+    """The operator withdrew the order of a rollout, at a revision of the store."""
 
     service: str
     revision: StoreRevision
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutRecorded:
-    """The holder of a rollout wrote how far it is."""
+    """The node that decides a rollout recorded its progress."""
 
     record: RolloutRecord
 
 
 @dataclass(frozen=True, slots=True)
 class NodeListed:
-    """A node of this system has said where it listens for its peers, and in which zone it is."""
+    """A node has listed its zone and the address at which it listens for peers."""
 
     node_id: str
     address: str
@@ -81,17 +81,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeUnlisted:
-    """A node was taken off the list, since its machine seems to be gone for good."""
+    """A node was removed from the list because its machine seems to have failed permanently."""
 
     node_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class DutyHeld:
-    """The duty of ordering weights is held, or is free when ``holder`` is None.
+    """The lease for ordering weights has a holder, or is free if ``holder`` is None.
 
     Attributes:
-        fence: Of the holder's orders; 0 if the duty is free.
+        fence: Fencing token of the holder's orders; 0 if the lease is free.
     """
 
     holder: str | None
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutDutyHeld:
-    """The duty of deciding a service's rollout is held, or is free when ``holder`` is None."""
+    """The lease for deciding a service's rollout has a holder, or is free if ``holder`` is None."""
 
     service: str
     holder: str | None
@@ -123,12 +123,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedRollouts:
-    """What a whole list of the store says of rollouts of software.
+    """Services with software rollouts according to a complete list of the store.
 
     Attributes:
-        ordered: The services with an order.
-        recorded: The services of which it is written how far a rollout is.
-        held: The services whose rollout some node decides.
+        ordered: Services with a rollout order.
+        recorded: Services with a record of a rollout's progress.
+        held: Services whose rollout some node decides.
     """
 
     ordered: set[str] = field(default_factory=set)
--- a/src/hillstack/serving/types.py
+++ b/src/hillstack/serving/types.py
@@ -1,4 +1,4 @@
-"""Typed requests, attempts and answers, whatever dialect callers and runners speak."""
+"""Types for requests, attempts and verdicts, independent of the protocols on the wire."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 HeaderList = list[tuple[bytes, bytes]]
 
-# Statuses of runners: the lowest that says that the runner failed, and those of success.
+# HTTP statuses of runners: the lowest one that means a failure of the runner, and the successes.
 SERVER_ERROR = 500
 SUCCESS = range(200, 300)
 
@@ -21,12 +21,12 @@
 
     Attributes:
         target: Path and query exactly as received.
-        headers: Headers that are passed on.
-        arrived_at: When its head was read, on the node's clock.
-        patience_seconds: How long the caller waits; None if it does not say.
-        shape: Parts of the prompt, if the request names them.
-        tokens: Tokens of the prompt and the most that may be generated; None if it names none.
-        last_event_id: Identifier of the last event that the caller has of this stream.
+        headers: Headers to pass on to the runner.
+        arrived_at: When the head was read, on the node's clock.
+        patience_seconds: How long the caller waits; None if unknown.
+        shape: Parts of the prompt; None if the request does not give them.
+        tokens: Prompt tokens plus maximum output tokens; None if the request does not give them.
+        last_event_id: Identifier of the last event of this stream that the caller has received.
     """
 
     request_id: str
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """What an attempt adds to the request on its way to a runner.
+    """Routing and cache parameters that an attempt sends to a runner with the request.
 
     Attributes:
-        remaining_seconds: Time that is left until the deadline.
-        salt: Separates cached parts by tenant and version of the weights; None without a cache.
-        weights_version: Version that the runner must serve.
+        remaining_seconds: Time until the deadline.
+        salt: Separates cached parts by tenant and weights version; None without a cache.
+        weights_version: Weights version that the runner must serve.
         fetch_from: Address from which cached parts are fetched.
-        save_to: Address to which parts are saved after they are read.
+        save_to: Address to which parts are saved after their prefill.
     """
 
     runner_id: str
@@ -82,8 +82,8 @@
     """A runner did not run the request, and never will.
 
     Args:
-        cause: Why.
-        weights_version: Version of the weights that the runner names, 0 for none.
+        cause: Why the runner did not run the request.
+        weights_version: Weights version that the runner reports; 0 for none.
     """
 
     def __init__(
@@ -94,12 +94,12 @@
         self.weights_version = weights_version
 
 
-class RunnerGivenUpError(BackendBrokenError):
-    """This node gave an attempt up that the runner had neither answered nor broken off."""
+class AttemptAbandonedError(BackendBrokenError):
+    """This node abandoned an attempt that the runner had neither answered nor broken off."""
 
 
 class Verdict(enum.StrEnum):
-    """Final answers of the router's own.
+    """Kinds of answers that the router itself gives instead of a runner.
 
     The first group promises that the request has not run and never will.
     """
@@ -117,12 +117,12 @@
 
 
 class RejectedError(HillstackError):
-    """The request gets an answer of the router's own.
+    """The router answers the request itself.
 
     Args:
         verdict: Kind of the answer.
-        message: Why, for a person.
-        retry_after: Seconds after which the caller should come back; only for requests not run.
+        message: Reason, as text for people.
+        retry_after: Seconds after which the caller should retry; only if the request was not run.
     """
 
     def __init__(
--- a/src/hillstack/serving/version_choice.py
+++ b/src/hillstack/serving/version_choice.py
@@ -1,12 +1,12 @@
-"""Which runners a request may use, by the version of their software.
+"""Chooses the runners that a request may use by the software version of the runners.
 
-Without a rollout all runners of a service are alike. Under one, a request is decided once to be a
-canary or not: its first attempt then goes to the target version only, or to trusted versions only.
-Whatever follows a canary's first attempt goes to trusted versions.
+Without a rollout, all runners of a service are equivalent. During a rollout, it is decided once per
+request whether the request is a canary. The first attempt of a canary goes only to the target
+version; all other attempts, including later attempts of a canary, go only to trusted versions.
 
-Canaries are gathered on so few runners of the target version that each is as busy as the runners of
-the old one: a version that is bad only under load is found by a tenth of the traffic too. Where all
-of them are too few for one runner, they come in bursts.
+Canaries are concentrated on few runners of the target version, so that each of these is as busy as
+the runners of the old version. A tenth of the traffic then also finds a version that is bad only
+under load. If there are too few canaries to load a single runner, they are sent in bursts.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 
 logger = logging.getLogger(__name__)
 
-# A canary may wait behind other prompts for that part of its objective; where it would wait longer
-# the next runner of the target version takes it.
+# Longest wait of a canary behind other prompts, as a share of its latency objective. If the wait
+# would be longer, the next runner of the target version is used.
 CANARY_WAIT_SHARE = 0.5
 
 
@@ -34,15 +34,15 @@
     """Runners that accept work.
 
     Attributes:
-        candidates: Those that the next attempt of a request may go to.
-        holders: Those from which it may fetch cached parts.
+        candidates: Runners that the next attempt of a request may be sent to.
+        holders: Runners from which the attempt may fetch cached parts.
     """
 
     candidates: list[Runner]
     holders: list[Runner]
 
     def holders_only(self) -> set[str]:
-        """Return the runners from which parts may be fetched and that get no request."""
+        """Return the holders that are not candidates."""
         if self.candidates is self.holders:
             return set()
         candidates = {runner.runner_id for runner in self.candidates}
@@ -51,9 +51,9 @@
 
 @dataclass(slots=True)
 class _ByAccess:
-    """The runners of a service that accept work, by what their version may get.
+    """Runners of a service that accept work, grouped by the access of their version.
 
-    The fields are named like the values of ``VersionAccess``.
+    The field names are the values of ``VersionAccess``.
     """
 
     open: list[Runner] = field(default_factory=list)
@@ -62,10 +62,10 @@
 
 
 class VersionChoice:
-    """Decides for the requests of one node.
+    """Chooses runners by software version for the requests of one node.
 
     Args:
-        state: What the node knows.
+        state: State of the node.
         rng: Source of randomness.
     """
 
@@ -75,38 +75,38 @@
         self._on_canary: Callable[[str, str], None] = lambda service, version: None
 
     def handle_canaries(self, handler: Callable[[str, str], None]) -> None:
-        """Call a handler with service and version for each send to an untrusted version."""
+        """Set a handler that is called with service and version for each canary that is sent."""
         self._on_canary = handler
 
     def usable(self, job: Job, now: float) -> UsableRunners:
-        """Return the runners for the next attempt of a request, which may become a canary."""
+        """Return the runners for the next attempt; decide whether the request is a canary."""
         accepting = self._state.pool.accepting(job.service, now)
-        if not self._differ(job.service, now):
+        if not self._may_differ(job.service, now):
             return UsableRunners(accepting, accepting)
         by_access = self._by_access(job.service, accepting, now)
         self._decide(job, by_access, now)
         trusted = by_access.open
         if job.is_canary:
-            focus = self._focus(job, by_access, now)
-            if focus:
-                return UsableRunners(focus, [*trusted, *focus])
+            canary_runners = self._canary_runners(job, by_access, now)
+            if canary_runners:
+                return UsableRunners(canary_runners, [*trusted, *canary_runners])
             job.is_canary = False
         if self._state.rollouts.stage(job.service) is RolloutStage.SHIFTING:
-            # New runners have empty caches: the old ones, which finish, still have the parts.
+            # New runners have empty caches; the old runners still hold the parts until they stop.
             return UsableRunners(trusted, accepting)
         return UsableRunners(trusted, trusted)
 
     def accepting(self, job: Job, now: float) -> list[Runner]:
-        """Return the runners that accept work and that the request may use, decided or not."""
+        """Return the runners that accept work and that the request may use."""
         accepting = self._state.pool.accepting(job.service, now)
-        if not self._differ(job.service, now):
+        if not self._may_differ(job.service, now):
             return accepting
         by_access = self._by_access(job.service, accepting, now)
         return [*by_access.open, *by_access.canary] if job.is_canary else by_access.open
 
     def may_use(self, job: Job, runner: Runner, now: float) -> bool:
-        """Return whether a request may use a runner of that version, if it accepts work."""
-        if not self._differ(job.service, now):
+        """Return whether a request may use a runner with this version, if it accepts work."""
+        if not self._may_differ(job.service, now):
             return True
         match self._access(job.service, runner, now):
             case VersionAccess.OPEN:
@@ -117,18 +117,18 @@
                 return False
 
     def is_untrusted(self, runner: Runner) -> bool:
-        """Return whether a runner's version is not trusted yet: it says nothing of the others."""
+        """Return whether a runner's version is untrusted and not representative of its service."""
         service, rollouts = runner.entry.service, self._state.rollouts
         if not rollouts.concerns(service):
             return False
         return rollouts.access(service, runner.entry.software) is not VersionAccess.OPEN
 
-    def keep_to_trusted(self, job: Job) -> None:
-        """Note that no runner of the target version can take a canary: it is none any more."""
+    def drop_canary(self, job: Job) -> None:
+        """Treat a canary as an ordinary request because no target runner can accept it."""
         job.is_canary = False
 
     def sent(self, job: Job, runner: Runner) -> None:
-        """Note an attempt that is being sent."""
+        """Record an attempt that is being sent, and count it if it is a canary."""
         rollouts = self._state.rollouts
         job.is_canary = False
         if not rollouts.concerns(job.service):
@@ -142,8 +142,8 @@
             fields = {"service": job.service, "version": version, "runner": runner.runner_id}
             logger.info("first canary", extra=fields | {"request": job.request.request_id})
 
-    def _differ(self, service: str, now: float) -> bool:
-        """Return whether runners of a service may differ in what their versions may get."""
+    def _may_differ(self, service: str, now: float) -> bool:
+        """Return whether versions of a service may currently differ in access."""
         return self._state.rollouts.concerns(service) or self._state.arrivals.any_held(now)
 
     def _access(self, service: str, runner: Runner, now: float) -> VersionAccess:
@@ -159,7 +159,7 @@
 
     def _by_access(self, service: str, accepting: list[Runner], now: float) -> _ByAccess:
         groups = _ByAccess()
-        # Few versions, many runners: what a version may get is worked out once.
+        # There are few versions and many runners, so the access of each version is computed once.
         known: dict[str, list[Runner]] = {}
         for runner in accepting:
             group = known.get(runner.entry.software)
@@ -172,27 +172,27 @@
         return groups
 
     def _last_resort(self, service: str, groups: _ByAccess, now: float) -> list[Runner]:
-        """Return the closed runners that help out where no other one takes any work at all.
+        """Return the closed runners to use when no open runner accepts work.
 
-        While a service shifts these are the old ones; a version that was held back since it
-        appeared beside others is used where the others are gone. So is one whose order was
-        withdrawn undecided: it may be the only one that the service ever had.
+        While traffic shifts, these are the runners of the old version. Otherwise a version is used
+        that was held back because it appeared beside others, if the others have stopped; and so is
+        a version whose order was withdrawn undecided, which may be the service's only version.
         """
         rollouts = self._state.rollouts
         if rollouts.stage(service) is RolloutStage.SHIFTING:
             return [
                 r for r in groups.closed if rollouts.may_finish_shift(service, r.entry.software)
             ]
-        alone = self._alone(service, now)
+        sole_version = self._sole_version(service, now)
         return [
             runner
             for runner in groups.closed
-            if runner.entry.software == alone
+            if runner.entry.software == sole_version
             or rollouts.access(service, runner.entry.software) is VersionAccess.OPEN
         ]
 
-    def _alone(self, service: str, now: float) -> str | None:
-        """Return the version that may serve since all runners that are listed have it."""
+    def _sole_version(self, service: str, now: float) -> str | None:
+        """Return the version that may serve because all listed runners have it, or None."""
         runners = self._state.pool.of_service(service)
         versions = {runner.entry.software for runner in runners if runner.stays(now)}
         if len(versions) != 1:
@@ -201,11 +201,11 @@
         return version if self._state.rollouts.may_serve_alone(service, version) else None
 
     def _decide(self, job: Job, groups: _ByAccess, now: float) -> None:
-        """Decide once under an order whether a request is a canary, and count it."""
+        """Decide once per order whether a request is a canary, and count the request."""
         order = self._state.rollouts.order(job.service)
-        if order is None or job.versions_of == order.identity:
+        if order is None or job.canary_decided_for == order.identity:
             return
-        job.versions_of = order.identity
+        job.canary_decided_for = order.identity
         job.is_canary = False
         if self._state.rollouts.stage(job.service) is not RolloutStage.CANARY or job.sends:
             return
@@ -213,40 +213,40 @@
         exposure.on_request(job.service, job.route.name, job.request.arrived_at)
         if not groups.canary:
             return
-        # With no trusted runner at work each canary that the account allows is worth it.
+        # Without a trusted runner, every canary that the exposure allows is sent.
         draw = 0.0
         if groups.open:
             draw = self._rng.random()
-            if not exposure.is_burst(job.service, self._focus_count(groups), now):
+            if not exposure.is_burst(job.service, self._canary_runner_count(groups), now):
                 return
         job.is_canary = exposure.admits(job.service, job.route.name, draw, now)
 
-    def _focus(self, job: Job, groups: _ByAccess, now: float) -> list[Runner]:
-        """Return the few runners of the target version that canaries go to now."""
+    def _canary_runners(self, job: Job, groups: _ByAccess, now: float) -> list[Runner]:
+        """Return the few runners of the target version that canaries are sent to now."""
         order = self._state.rollouts.order(job.service)
         assert order is not None
-        able = [
+        available = [
             runner
-            for runner in _ranked(order, groups.canary)
+            for runner in _ranked_runners(order, groups.canary)
             if runner.runner_id not in job.excluded and _has_place(job, runner, now)
         ]
-        return able[: max(1, round(self._focus_count(groups)))]
+        return available[: max(1, round(self._canary_runner_count(groups)))]
 
-    def _focus_count(self, groups: _ByAccess) -> float:
-        """Return how many runners all canaries together make as busy as the trusted ones are."""
+    def _canary_runner_count(self, groups: _ByAccess) -> float:
+        """Return how many target runners the canaries make as busy as the trusted runners."""
         share = self._state.exposure.share
-        # From a half on there is one for each trusted runner.
+        # From a share of one half on, there is one target runner for each trusted runner.
         return share * len(groups.open) / max(1.0 - share, share)
 
 
-def _ranked(order: RolloutOrder, runners: list[Runner]) -> list[Runner]:
-    """Return runners in an order on which all nodes agree without a word."""
+def _ranked_runners(order: RolloutOrder, runners: list[Runner]) -> list[Runner]:
+    """Return runners in an order that all nodes compute alike without communication."""
     by_id = {runner.runner_id: runner for runner in runners}
     return [by_id[name] for name in ranked(f"canaries of {order.revision.number}", by_id)]
 
 
 def _has_place(job: Job, runner: Runner, now: float) -> bool:
-    """Return whether a runner takes a request without a long wait."""
+    """Return whether a runner accepts a request without a long wait."""
     if runner.running(now) >= runner.entry.slots or now < runner.shed_until:
         return False
     return runner.prefill_wait(now) <= CANARY_WAIT_SHARE * job.route.target_seconds
--- a/src/hillstack/serving/weights_log.py
+++ b/src/hillstack/serving/weights_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of the bound until which runners with older weights are used."""
+"""Log fields of the time bound until which runners with older weights may be used."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 def bound_fields(named: Announcement, grace_seconds: float, now: float) -> dict[str, object]:
-    """Return the log fields of a named version's bound.
+    """Return the log fields of a named version's time bound.
 
     Args:
-        named: The version.
-        grace_seconds: Time after its naming until which older ones may be used.
+        named: The named version.
+        grace_seconds: Time after the naming for which older versions may be used.
         now: Time on the node's clock.
     """
     return {
--- a/tests/fleet/test_crash_bound.py
+++ b/tests/fleet/test_crash_bound.py
@@ -34,7 +34,7 @@
 
 from hillstack.core.request_fingerprint import content_name
 from hillstack.messages.runner_ends import RequestAtEnd, RunnerEndNotice
-from hillstack.serving.runner_ends import FATAL_TEXT
+from hillstack.serving.runner_ends import FATAL_REASON
 from tests.fleet.crash_traffic import (
     CONTACT_SECONDS,
     SENDS_ALLOWED_LATER,
@@ -110,7 +110,7 @@
     traffic.run(20.0, step)
     world.run(9.0)
     errors = [str(sent.error) for sent in tries if sent.error is not None]
-    return sum(FATAL_TEXT in error for error in errors) / len(tries)
+    return sum(FATAL_REASON in error for error in errors) / len(tries)
 
 
 @pytest.mark.parametrize("one_body", [False, True], ids=["own-bodies", "one-body"])
--- a/tests/fleet/test_fatal_requests.py
+++ b/tests/fleet/test_fatal_requests.py
@@ -18,7 +18,7 @@
 from hillstack.core.request_fingerprint import request_fingerprint
 from hillstack.core.runner_ends import END_SECONDS, EVIDENCE_SECONDS, FATAL_SECONDS, MAX_ENDS
 from hillstack.messages.runner_ends import RequestAtEnd, RunnerEndNotice
-from hillstack.serving.runner_ends import REPEAT_SECONDS
+from hillstack.serving.runner_ends import NOTICE_INTERVAL_SECONDS
 from hillstack.serving.types import Verdict
 from tests.fleet.builders import HOST, MODEL
 from tests.fleet.fatal_world import PARTS, World
@@ -212,7 +212,7 @@
     world.scheduler.spawn(world.loop, world.nodes["node-0"].pipeline.runner_ends.run())
     world.try_until_done("node-0", FATAL)
     world.lost_notices = 0
-    world.run(REPEAT_SECONDS + 0.05)
+    world.run(NOTICE_INTERVAL_SECONDS + 0.05)
     again = world.try_until_done("node-1", FATAL)
     assert again.verdict() is Verdict.FAILED
     assert len(world.runners.ended()) == 2
--- a/tests/fleet/test_regions_placement.py
+++ b/tests/fleet/test_regions_placement.py
@@ -480,7 +480,7 @@
 
 def test_what_is_borrowed_and_fetched_across_is_counted() -> None:
     metrics = FleetMetrics()
-    metrics.count_regions(BorrowReason.LATE, "10.0.0.1:1", across=True)
+    metrics.count_regions(BorrowReason.LATE, "10.0.0.1:1", is_cross_region=True)
     text = metrics.text().decode()
     counted = [
         'hillstack_borrowed_runners_total{reason="late"} 1.0',
--- a/tests/fleet/test_rollout_observer.py
+++ b/tests/fleet/test_rollout_observer.py
@@ -25,12 +25,12 @@
 from hillstack.core.software_rollouts import RolloutOrder, RolloutRecord, RolloutStage
 from hillstack.errors import BackendBrokenError
 from hillstack.messages.rollout_reports import OutcomeCounts, RolloutReport
-from hillstack.serving.attempt_watch import AttemptWatch
+from hillstack.serving.attempt_watch import AttemptMonitor
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.metrics import FleetMetrics
-from hillstack.serving.rollout_observer import MOST_ROLLOUTS, MOST_ROWS, RolloutObserver
+from hillstack.serving.rollout_observer import MAX_REPORT_ROWS, MAX_ROLLOUTS, RolloutObserver
 from hillstack.serving.store_events import RolloutOrdered, RolloutRecorded, RunnerListed
-from hillstack.serving.types import RefusalCause, RunnerGivenUpError, RunnerRefusedError
+from hillstack.serving.types import AttemptAbandonedError, RefusalCause, RunnerRefusedError
 from tests.fleet.builders import (
     APPLICATION,
     make_entry,
@@ -212,11 +212,11 @@
 
     def __init__(self, *, is_stream: bool = False) -> None:
         self.outcomes: list[AttemptOutcome] = []
-        self.watch = AttemptWatch(
+        self.watch = AttemptMonitor(
             KEY, "n-0", 0.0, 0.1, lambda outcome, now: self.outcomes.append(outcome)
         )
         if is_stream:
-            self.watch = AttemptWatch(
+            self.watch = AttemptMonitor(
                 KEY, "n-0", 0.0, 0.1, lambda o, now: self.outcomes.append(o), is_stream=True
             )
 
@@ -280,7 +280,7 @@
     [
         asyncio.CancelledError(),
         TimeoutError(),
-        RunnerGivenUpError("silent", step="await answer", peer="n-0"),
+        AttemptAbandonedError("silent", step="await answer", peer="n-0"),
     ],
 )
 def test_an_attempt_given_up_early_does_not_count(error: BaseException) -> None:
@@ -357,7 +357,7 @@
 
     def judge(self) -> ThresholdJudge:
         (order,) = self.state.rollouts.orders()
-        judge = self.observer._of_order(order, 0.0).judge
+        judge = self.observer._rollout_of_order(order, 0.0).judge
         assert isinstance(judge, ThresholdJudge)
         return judge
 
@@ -417,7 +417,7 @@
     observed.bench.serve(make_request())
     observed.observer.tick(observed.bench.scheduler.now)
     assert observed.observer.evidence(APPLICATION) is None
-    assert not observed.teller.told and not observed.observer._watched
+    assert not observed.teller.told and not observed.observer._rollouts
 
 
 @pytest.mark.parametrize(
@@ -511,7 +511,7 @@
         observed.state.runner_ends.note_end(runner_id, at, runs, at, 1)
         runner = observed.state.pool.get(runner_id)
         assert runner is not None
-        observed.observer._note(order, broken(runner_id, runner.entry.software), at)
+        observed.observer._record_outcome(order, broken(runner_id, runner.entry.software), at)
     assert 7 in observed.state.runner_ends.fatal()
 
 
@@ -613,25 +613,25 @@
 
 def test_outcomes_that_do_not_fit_a_report_follow_in_turn() -> None:
     observed = Observed()
-    watched = observed.observer._of_order(observed.state.rollouts.orders()[0], 0.0)
-    for number in range(MOST_ROWS + 5):
+    watched = observed.observer._rollout_of_order(observed.state.rollouts.orders()[0], 0.0)
+    for number in range(MAX_REPORT_ROWS + 5):
         watched.outcomes.add(AttemptOutcome(OutcomeKey(NEW, f"r-{number}", False), "n-0"), 0.0)
     told = set()
     for _ in range(2):
         observed.observer.tick(1.0)
-        assert len(observed.teller.latest().outcomes) == MOST_ROWS
+        assert len(observed.teller.latest().outcomes) == MAX_REPORT_ROWS
         told |= {row.route for row in observed.teller.latest().outcomes}
-    assert len(told) == MOST_ROWS + 5
+    assert len(told) == MAX_REPORT_ROWS + 5
 
 
 def test_reports_of_many_unknown_rollouts_are_bounded() -> None:
     observed = Observed()
-    for number in range(MOST_ROLLOUTS + 10):
+    for number in range(MAX_ROLLOUTS + 10):
         strange = RolloutReport(f"service-{number}", 1, "canary", 0)
         observed.observer.take_report("peer", 1, strange, 1.0)
-    assert len(observed.observer._watched) <= MOST_ROLLOUTS
+    assert len(observed.observer._rollouts) <= MAX_ROLLOUTS
     observed.observer.tick(1.0 + REPORTER_SECONDS)
-    assert len(observed.observer._watched) == 1
+    assert len(observed.observer._rollouts) == 1
 
 
 def test_outcomes_are_counted_by_service_and_version() -> None:
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -87,8 +87,8 @@
     Mutation(
         "the salt forgets the version",
         "serving/placement.py",
-        'return f"{wall}|{job.request.model}|{version}"',
-        'return f"{wall}|{job.request.model}"',
+        'return f"{isolation}|{job.request.model}|{version}"',
+        'return f"{isolation}|{job.request.model}"',
     ),
     Mutation(
         "isolated tenants share",
@@ -159,7 +159,7 @@
     Mutation(
         "parts are a source before they are read",
         "serving/cache_beliefs.py",
-        "return UNTOLD_SECONDS + UNTOLD_FACTOR * delay",
+        "return UNCONFIRMED_PREFILL_SECONDS + UNCONFIRMED_PREFILL_FACTOR * delay",
         "return 0.0",
     ),
     Mutation(
@@ -295,38 +295,39 @@
     Mutation(
         "an answer that ends at the deadline is dropped",
         "serving/pipeline.py",
-        "job.allow_until(job.deadline + TRANSIT_SECONDS, now)",
+        "job.extend_until(job.deadline + DEADLINE_TRANSIT_SECONDS, now)",
         "pass",
     ),
     Mutation(
         "the body of an answer is cut at the deadline",
         "serving/pipeline.py",
-        "job.allow_until(job.deadline + BODY_TRANSIT_SECONDS, self._clock())",
+        "job.extend_until(job.deadline + BODY_TRANSIT_SECONDS, self._clock())",
         "pass",
     ),
     Mutation(
         "a ready answer is cut at the deadline",
         "serving/pipeline.py",
-        "job.allow_until(now + DELIVERY_SECONDS, now)",
+        "job.extend_until(now + DELIVERY_SECONDS, now)",
         "pass",
     ),
     Mutation(
         "a runner's own error is forgotten when another one is tried",
         "serving/pipeline.py",
-        "job.runner_failure = await self._whole(job, answer)",
+        "job.failure_answer = await self._read_whole(job, answer)",
         "pass",
     ),
     Mutation(
         "a runner at work is left though no other takes the request",
         "serving/pipeline.py",
-        "return self._may_follow(job) and self._placement.has_other(job, runner, self._clock())",
-        "return self._may_follow(job)",
+        "return self._may_retry(job)"
+        " and self._placement.has_alternative(job, runner, self._clock())",
+        "return self._may_retry(job)",
     ),
     Mutation(
         "work of application servers is overdue after a fixed time",
         "serving/placement.py",
         "return self._durations[job.service].overdue_seconds()",
-        "return DUE_SECONDS",
+        "return FIRST_EVENT_OVERDUE_SECONDS",
     ),
     Mutation(
         "durations of answers are not learned",
@@ -337,8 +338,8 @@
     Mutation(
         "callers without a runner are not told when one takes work",
         "serving/pipeline.py",
-        'raise job.gave_up(Verdict.UNAVAILABLE, "no runner takes work", wait)',
-        'raise job.gave_up(Verdict.UNAVAILABLE, "no runner takes work")',
+        'raise job.give_up_error(Verdict.UNAVAILABLE, "no runner takes work", wait)',
+        'raise job.give_up_error(Verdict.UNAVAILABLE, "no runner takes work")',
     ),
     Mutation(
         "the library repeats requests",
@@ -427,8 +428,8 @@
     Mutation(
         "what may have run is given back to its tenant's limit",
         "serving/pipeline.py",
-        "if job.charged and not job.runs and not job.may_have_run:",
-        "if job.charged:",
+        "if job.charged_cost and not job.runs and not job.may_have_run:",
+        "if job.charged_cost:",
     ),
     Mutation(
         "a node's time is handed over again",
@@ -566,8 +567,8 @@
     Mutation(
         "a request stays on a connection that is silent while its runner speaks on others",
         "serving/pipeline.py",
-        "is_cut_off = now - job.quiet_from >= CONNECTION_SILENCE_SECONDS",
-        "is_cut_off = False",
+        "is_connection_silent = now - job.silent_since >= CONNECTION_SILENCE_SECONDS",
+        "is_connection_silent = False",
     ),
     Mutation(
         "a close that waits behind its request is seen only after it was sent",
@@ -578,7 +579,7 @@
     Mutation(
         "an answer whose head comes as the caller leaves is forgotten",
         "serving/pipeline.py",
-        "            _give_up_answer(sending)\n            raise",
+        "            _close_pending_answer(sending)\n            raise",
         "            raise",
     ),
     Mutation(
@@ -656,8 +657,8 @@
     Mutation(
         "attempts at a runner that has started again are waited for",
         "serving/pipeline.py",
-        "if not (runner.has_ended or is_silent or is_cut_off):",
-        "if not (is_silent or is_cut_off):",
+        "if not (runner.has_ended or is_silent or is_connection_silent):",
+        "if not (is_silent or is_connection_silent):",
     ),
     Mutation(
         "an entry that can't be read is passed over",
@@ -722,13 +723,14 @@
     Mutation(
         "all requests wait for the end of a backoff",
         "serving/backoff_waits.py",
-        "if self._waiting[runner.runner_id] >= self._places(runner, now):",
+        "if self._waiting[runner.runner_id] >= self._waiting_capacity(runner, now):",
         "if False:",
     ),
     Mutation(
         "requests wait for a backoff after which they are late",
         "serving/backoff_waits.py",
-        "return runner.ready_at + work + SPARE_SECONDS <= min(job.deadline, _due_at(job))",
+        "return runner.ready_at + work + DELIVERY_MARGIN_SECONDS <= min(\n"
+        "            job.deadline, _useful_until(job)\n        )",
         "return True",
     ),
     Mutation(
@@ -866,7 +868,7 @@
     Mutation(
         "a run that was left is at no end",
         "serving/runner_ends.py",
-        "if found is not None and may_work_on:",
+        "if found is not None and may_still_run:",
         "if False:",
     ),
     Mutation(
@@ -884,7 +886,7 @@
     Mutation(
         "bytes of the next process take an end back",
         "serving/runner_ends.py",
-        "if heard_at < ended_at + SAME_PROCESS_SECONDS:",
+        "if heard_at < ended_at + MIN_RESTART_SECONDS:",
         "if True:",
     ),
     Mutation(
@@ -902,7 +904,7 @@
     Mutation(
         "ends far back are not told to a node that starts",
         "serving/runner_ends.py",
-        "        notices += self._earlier_ends(others, now)\n",
+        "        notices += self._earlier_crash_notices(others, now)\n",
         "",
     ),
     Mutation(
