--- a/tests/fleet/crash_traffic.py
+++ b/tests/fleet/crash_traffic.py
@@ -1,4 +1,4 @@
-"""Callers that send requests again and again which crash each runner, beside ordinary ones."""
+"""Callers that repeatedly send requests that crash runners, and ordinary callers beside them."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 
 from tests.fleet.fatal_world import Outcome, World
 
-# Time that all nodes have to hear of an end, and the sends that may still come after it.
+# Time by which all nodes must know of a crash, and the sends that are allowed after it.
 CONTACT_SECONDS = 3.0
-ENDS_BEFORE_THE_BOUND = 3
+CRASHES_BEFORE_LIMIT = 3
 SENDS_ALLOWED_LATER = 3
 RESTART_SECONDS = 3.0
 DIRECTORY_SECONDS = 3.6
 STEP_SECONDS = 0.005
 
-# What a try differs in from others of its content, by its number.
+# Returns the changes that distinguish a try from other tries of its content, by its number.
 Variation = Callable[[int], dict[str, object]]
 
 
-def all_alike(_: int) -> dict[str, object]:
-    """Vary nothing."""
+def identical_tries(_: int) -> dict[str, object]:
+    """Make all tries identical."""
     return {}
 
 
 def other_parts(number: int) -> dict[str, object]:
-    """Name one of two prompts."""
+    """Send one of two prompts."""
     return {"parts": (("shared", 2_000), (f"own-{number % 2}", 500))}
 
 
 def other_query(number: int) -> dict[str, object]:
-    """Put a query of its own behind the path."""
+    """Send a different query with each try."""
     return {"query": f"try={number}"}
 
 
 def other_model(number: int) -> dict[str, object]:
-    """Name one of three models."""
+    """Request one of three models."""
     return {"model": f"model-{'abc'[number % 3]}"}
 
 
 @dataclass
 class FatalCaller:
-    """Sends one content again some time after each answer, at any node."""
+    """Sends one content through random nodes, again some time after each answer."""
 
     body: bytes
     next_at: float
@@ -54,21 +54,21 @@
 
 @dataclass
 class CrashTraffic:
-    """Runs a world under fatal requests and others.
+    """Runs a world with fatal requests and ordinary requests.
 
     Attributes:
-        others_a_second: Ordinary requests, each with a body of its own.
+        others_per_second: Rate of ordinary requests, each with a different body.
         pause: Shortest and longest time from an answer to the caller's next try.
-        leaves_after: Callers of fatal requests leave so long after they sent; None if they stay.
+        leaves_after_seconds: Time after which callers of fatal requests leave; None if they stay.
     """
 
     world: World
     seed: int
     fatal: int
-    vary: Variation = all_alike
-    others_a_second: float = 40.0
+    vary: Variation = identical_tries
+    others_per_second: float = 40.0
     pause: tuple[float, float] = (0.4, 1.0)
-    leaves_after: float | None = None
+    leaves_after_seconds: float | None = None
     others: list[Outcome] = field(default_factory=list)
     restart_seconds: float = RESTART_SECONDS
 
@@ -79,21 +79,21 @@
             FatalCaller(b"fatal %d" % number, now + self._rng.uniform(0.0, 1.0))
             for number in range(self.fatal)
         ]
-        self._starts: list[tuple[float, str]] = []
-        self._drops: list[tuple[float, str]] = []
+        self._restarts: list[tuple[float, str]] = []
+        self._removals: list[tuple[float, str]] = []
         self._ended: set[str] = set()
         self._started = 0
 
     def run(self, seconds: float, each_step: Callable[[float], None] | None = None) -> None:
-        """Go on for some seconds."""
+        """Run for some seconds of virtual time."""
         world = self.world
         until = world.scheduler.now + seconds
         while world.scheduler.now < until:
             now = world.scheduler.now
             self._restart_runners(now)
             for caller in self.callers:
-                self._go_on(caller, now)
-            if self._rng.random() < self.others_a_second * STEP_SECONDS:
+                self._advance(caller, now)
+            if self._rng.random() < self.others_per_second * STEP_SECONDS:
                 body = b"short %d" % len(self.others)
                 self.others.append(world.send(self._any_node(), body))
             if each_step is not None:
@@ -101,24 +101,24 @@
             world.run(STEP_SECONDS)
 
     def crashes(self, body: bytes) -> list[float]:
-        """Return when runners ended under a content."""
+        """Return the times of the crashes of runners that were running a content."""
         return self.world.runners.crashes_under(body)
 
-    def sends_later(self, body: bytes) -> int:
-        """Return how many sends reached a runner long after the third end under a content."""
+    def late_sends(self, body: bytes) -> int:
+        """Return how many sends of a content reached a runner long after its third crash."""
         crashes = self.crashes(body)
-        if len(crashes) < ENDS_BEFORE_THE_BOUND:
+        if len(crashes) < CRASHES_BEFORE_LIMIT:
             return 0
-        known_at = crashes[ENDS_BEFORE_THE_BOUND - 1] + CONTACT_SECONDS
+        known_at = crashes[CRASHES_BEFORE_LIMIT - 1] + CONTACT_SECONDS
         arrivals = self.world.runners.arrivals
         return sum(at > known_at and sent == body for at, sent in arrivals)
 
-    def most_sends_later(self) -> int:
-        """Return the largest number of late sends of any content."""
-        return max(self.sends_later(caller.body) for caller in self.callers)
+    def max_late_sends(self) -> int:
+        """Return the largest number of late sends of a single content."""
+        return max(self.late_sends(caller.body) for caller in self.callers)
 
-    def most_crashes(self) -> int:
-        """Return the largest number of ends under any content."""
+    def max_crashes(self) -> int:
+        """Return the largest number of crashes of a single content."""
         return max(len(self.crashes(caller.body)) for caller in self.callers)
 
     def served_others(self) -> int:
@@ -131,7 +131,7 @@
     def _any_node(self) -> str:
         return self._rng.choice(sorted(self.world.nodes))
 
-    def _go_on(self, caller: FatalCaller, now: float) -> None:
+    def _advance(self, caller: FatalCaller, now: float) -> None:
         outcome = caller.outcome
         if outcome is None:
             if now >= caller.next_at:
@@ -139,11 +139,14 @@
                 caller.sent_at = now
             return
         if outcome.task.done():
-            # Taken, so that the loop does not report it as lost.
+            # Read the result, so that the loop does not report an unretrieved exception.
             _ = outcome.task.cancelled() or outcome.error
             caller.outcome = None
             caller.next_at = now + self._rng.uniform(*self.pause)
-        elif self.leaves_after is not None and now >= caller.sent_at + self.leaves_after:
+        elif (
+            self.leaves_after_seconds is not None
+            and now >= caller.sent_at + self.leaves_after_seconds
+        ):
             self.world.loop.call_soon(outcome.task.cancel)
 
     def _send(self, caller: FatalCaller) -> Outcome:
@@ -155,12 +158,12 @@
         for runner in self.world.runners.ended():
             if runner.runner_id not in self._ended:
                 self._ended.add(runner.runner_id)
-                self._starts.append((now + self.restart_seconds, runner.runner_id))
-                self._drops.append((now + DIRECTORY_SECONDS, runner.runner_id))
-        for due in [due for due in self._starts if now >= due[0]]:
-            self._starts.remove(due)
+                self._restarts.append((now + self.restart_seconds, runner.runner_id))
+                self._removals.append((now + DIRECTORY_SECONDS, runner.runner_id))
+        for due in [due for due in self._restarts if now >= due[0]]:
+            self._restarts.remove(due)
             self._started += 1
             self.world.start_runner(f"j-{self._started}")
-        for due in [due for due in self._drops if now >= due[0]]:
-            self._drops.remove(due)
+        for due in [due for due in self._removals if now >= due[0]]:
+            self._removals.remove(due)
             self.world.unlist_runner(due[1])
--- a/tests/fleet/fatal_world.py
+++ b/tests/fleet/fatal_world.py
@@ -1,4 +1,4 @@
-"""Runners that requests can end, several nodes before them, and callers that try again."""
+"""Fake runners that requests can crash, several nodes, and callers that retry."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 )
 from tests.fleet.fake_runners import FakeLimiter, FakeSink
 
-# The age at which a fatal run ends its runner.
+# Age at which a fatal run crashes its runner.
 FATAL_AGE_SECONDS = 0.115
 EVENT_SECONDS = 0.02
 FIRST_EVENT_SECONDS = 0.03
@@ -49,41 +49,41 @@
 
 
 class CutConnectionError(Exception):
-    """Tells a run that its connection alone is cut."""
+    """Signals a run that only its own connection is cut."""
 
 
 @dataclass
 class FakeRunner:
-    """A process that ends when a fatal request has run on it for a while."""
+    """A process that crashes when a fatal request has run on it for a while."""
 
     runner_id: str
     clock: Callable[[], float]
     is_alive: bool = True
     runs: list[asyncio.Future[None]] = field(default_factory=list)
     served: list[str] = field(default_factory=list)
-    under: list[bytes] = field(default_factory=list)
+    running_bodies: list[bytes] = field(default_factory=list)
     crashed_at: float | None = None
-    # Bodies of the requests at work when it ended.
-    ended_under: list[bytes] = field(default_factory=list)
+    # Bodies of the requests that were running at the crash.
+    bodies_at_crash: list[bytes] = field(default_factory=list)
 
-    def end(self) -> None:
+    def crash(self) -> None:
         if not self.is_alive:
             return
         self.is_alive = False
         self.crashed_at = self.clock()
-        self.ended_under = list(self.under)
+        self.bodies_at_crash = list(self.running_bodies)
         for run in self.runs:
             if not run.done():
                 run.set_result(None)
 
-    def cut_one(self, number: int = 0) -> None:
-        """Cut one connection; the process lives on."""
+    def cut_connection(self, number: int = 0) -> None:
+        """Cut one connection; the process keeps running."""
         run = [run for run in self.runs if not run.done()][number]
         run.set_exception(CutConnectionError())
 
 
 class FakeRun:
-    """An answer that goes on until its events are sent, its runner ends, or it is closed."""
+    """An answer that continues until its events are sent, its runner crashes, or it is closed."""
 
     def __init__(
         self,
@@ -97,19 +97,19 @@
         self._request = request
         self._number = dispatch.last_event_id or 0
         self._last = events
-        self._over: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._ended_future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.status = 200
         self.signed = True
         self.headers: HeaderList = [(b"signature", b"s")]
         self._next_at = asyncio.get_running_loop().time() + FIRST_EVENT_SECONDS
-        self._works_on = runners.works_on
-        runner.runs.append(self._over)
-        runner.under.append(request.body)
+        self._continues_abandoned_runs = runners.continues_abandoned_runs
+        runner.runs.append(self._ended_future)
+        runner.running_bodies.append(request.body)
         runner.served.append(request.request_id)
         self._timer: asyncio.TimerHandle | None = None
         if request.body.startswith(b"fatal"):
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(FATAL_AGE_SECONDS, runner.end)
+            self._timer = loop.call_later(FATAL_AGE_SECONDS, runner.crash)
 
     async def next_piece(self) -> bytes:
         if self._number >= self._last:
@@ -125,38 +125,39 @@
         return b"whole"
 
     def close(self) -> None:
-        if self._timer is not None and self._works_on:
+        if self._timer is not None and self._continues_abandoned_runs:
             return
         if self._timer is not None:
             self._timer.cancel()
-        if self._request.body in self._runner.under:
-            self._runner.under.remove(self._request.body)
-        if self._over in self._runner.runs:
-            self._runner.runs.remove(self._over)
-        if self._over.done():
-            self._over.exception()
+        if self._request.body in self._runner.running_bodies:
+            self._runner.running_bodies.remove(self._request.body)
+        if self._ended_future in self._runner.runs:
+            self._runner.runs.remove(self._ended_future)
+        if self._ended_future.done():
+            self._ended_future.exception()
 
     async def _wait_until(self, when: float) -> None:
         left = when - asyncio.get_running_loop().time()
-        await asyncio.wait({self._over}, timeout=max(0.0, left))
-        if self._over.done():
+        await asyncio.wait({self._ended_future}, timeout=max(0.0, left))
+        if self._ended_future.done():
             raise ConnectionLostError("reset", step="relay", peer=self._runner.runner_id)
 
 
 class FakeRunners:
-    """All runners, as a client sees them.
+    """All runners, as seen by a client.
 
     Attributes:
-        events: Events of a stream that does not say, by the first word of its body.
-        works_on: Whether a runner works on, to its crash, on a fatal request whose caller has left.
-        arrivals: Requests that have reached a runner: when, and their bodies.
+        events: Number of events of a stream, by the first word of the request body.
+        continues_abandoned_runs: Whether a runner continues a fatal request, and crashes, after
+            the caller has left.
+        arrivals: Time and body of each request that has reached a runner.
     """
 
     def __init__(self, runner_ids: list[str], clock: Callable[[], float]) -> None:
         self.by_id = {runner_id: FakeRunner(runner_id, clock) for runner_id in runner_ids}
         self.events = {b"long": 400, b"short": 10}
         self.heads: dict[str, int] = {}
-        self.works_on = False
+        self.continues_abandoned_runs = False
         self.arrivals: list[tuple[float, bytes]] = []
 
     async def send(self, request: ServingRequest, dispatch: Dispatch) -> FakeRun:
@@ -173,7 +174,7 @@
         self.arrivals.append((asyncio.get_running_loop().time(), request.body))
         run = FakeRun(self, runner, request, dispatch, self.events.get(word, 20))
         if dispatch.salt is None:
-            # An application server sends its head when its work is done.
+            # An application server sends the head when its work is finished.
             try:
                 await run._wait_until(asyncio.get_running_loop().time() + 0.15)
             except BackendBrokenError:
@@ -185,16 +186,16 @@
         return [runner for runner in self.by_id.values() if not runner.is_alive]
 
     def crashes_under(self, body: bytes) -> list[float]:
-        """Return when runners ended that were at work on a request, the first one first."""
-        ended = [runner for runner in self.ended() if body in runner.ended_under]
+        """Return the times of the crashes of runners that were running a request, in order."""
+        ended = [runner for runner in self.ended() if body in runner.bodies_at_crash]
         return sorted(runner.crashed_at for runner in ended if runner.crashed_at is not None)
 
-    def ended_under(self, body: bytes) -> int:
-        return sum(body in runner.ended_under for runner in self.by_id.values())
+    def bodies_at_crash(self, body: bytes) -> int:
+        return sum(body in runner.bodies_at_crash for runner in self.by_id.values())
 
 
-class _Peers:
-    """One node's word to the others."""
+class _PeerNotifier:
+    """Delivers the notices of one node to the other nodes."""
 
     def __init__(self, world: World, name: str) -> None:
         self._world = world
@@ -218,8 +219,8 @@
         return
 
     def runner_ended(self, notice: RunnerEndNotice) -> None:
-        if self._world.lost_notices > 0:
-            self._world.lost_notices -= 1
+        if self._world.notices_to_drop > 0:
+            self._world.notices_to_drop -= 1
             return
         for node in self._world.reached_from(self._name):
             self._world.deliver(self._name, node, notice)
@@ -232,7 +233,7 @@
 
 @dataclass
 class Outcome:
-    """What became of one try of a caller."""
+    """The outcome of one try of a caller."""
 
     sink: FakeSink
     task: asyncio.Task[Any]
@@ -254,13 +255,13 @@
 
 
 class World:
-    """Runners, nodes, callers, in virtual time.
+    """Runners, nodes and callers in virtual time.
 
     Args:
         runners: Number of runners.
         nodes: Number of nodes.
         application: Whether the runners are application servers.
-        unsafe: Whether its requests may run once only.
+        unsafe: Whether requests to the application may run at most once.
     """
 
     def __init__(
@@ -274,8 +275,8 @@
         self.application = application
         self._table = _make_table(application, unsafe)
         self.nodes: dict[str, Node] = {}
-        self.lost_notices = 0
-        self.cut_nodes: set[str] = set()
+        self.notices_to_drop = 0
+        self.partitioned_nodes: set[str] = set()
         self._tries = 0
         for number in range(nodes):
             self.add_node(f"node-{number}")
@@ -285,11 +286,12 @@
         return node
 
     def reached_from(self, name: str) -> list[Node]:
-        """Return the nodes that hear a node: those of its side where some are cut apart."""
+        """Return the nodes that a node can reach: those on its side of a network partition."""
         return [
             node
             for other, node in self.nodes.items()
-            if other != name and (other in self.cut_nodes) == (name in self.cut_nodes)
+            if other != name
+            and (other in self.partitioned_nodes) == (name in self.partitioned_nodes)
         ]
 
     def deliver(self, source: str, node: Node, notice: RunnerEndNotice) -> None:
@@ -310,7 +312,7 @@
         model: str = "",
         parts: tuple[tuple[str, int], ...] = PARTS,
     ) -> Outcome:
-        """Begin a try of a caller; each has an identifier of its own."""
+        """Begin a try of a caller, with a separate request identifier."""
         self._tries += 1
         parts = () if self.application else parts
         path = path or ("/app/x" if self.application else "/gen/x")
@@ -326,18 +328,18 @@
         return Outcome(sink, task)
 
     def start_runner(self, runner_id: str) -> None:
-        """Start a runner; the directory tells all nodes of it at once."""
+        """Start a runner and list it on all nodes immediately."""
         self.runners.by_id[runner_id] = FakeRunner(runner_id, self.scheduler.clock)
         for node in self.nodes.values():
             node.state.apply(RunnerListed(self.entry(runner_id)), self.scheduler.now)
 
     def entry(self, runner_id: str) -> RunnerEntry:
-        """Return what the directory lists of a runner."""
+        """Return the directory entry of a runner."""
         service = APPLICATION if self.application else ENGINES
         return make_entry(runner_id, service, weights=0 if self.application else 1)
 
     def unlist_runner(self, runner_id: str) -> None:
-        """Drop a runner from the directory."""
+        """Remove a runner from the directory of all nodes."""
         for node in self.nodes.values():
             node.state.apply(RunnerUnlisted(runner_id), self.scheduler.now)
 
@@ -355,7 +357,7 @@
 
 
 class Node:
-    """One node."""
+    """State, placement and pipeline of one node."""
 
     def __init__(self, world: World, name: str, table: RoutingTable) -> None:
         entries = [world.entry(name) for name in world.runners.by_id]
@@ -364,7 +366,9 @@
         self.state.budget = SharedRetryBudget(1.0, 1_000.0, 10.0)
         for other in (*world.nodes, name):
             self.state.nodes.list_node(NodeEntry(other, f"10.1.0.1:{len(other)}", "zone-a"))
-        self.placement = RunnerPlacement(self.state, _Peers(world, name), "zone-a", make_rng())
+        self.placement = RunnerPlacement(
+            self.state, _PeerNotifier(world, name), "zone-a", make_rng()
+        )
         self.pipeline = RequestPipeline(
             self.state, world.runners, self.placement, world.scheduler.clock, FakeLimiter()
         )
--- a/tests/fleet/test_crash_bound.py
+++ b/tests/fleet/test_crash_bound.py
@@ -1,27 +1,19 @@
-"""A bound on the runners that one request can crash, whatever differs between its tries.
-
-Seen: a request under which three runners had crashed was sent to runners eight times more, and
-twelve crashed under it. Callers saw 502 and broken streams, their own and those that ran beside.
-
-How it came about: the verdict on a request weighs it against all others at the same ends. Several
-such requests at a time explain one another's ends and stand at each, so none is likelier than all
-else together, and each next end leaves the same doubt.
-Cause: nothing counted. The promise is a number of runners, and all that kept it was a guess.
-Proof: sixteen such requests at a time took up to 14 runners each, eight up to 10; counted, with the
-guess as it was, they take three each.
-
-Second cause: a try with another query, prompt or model was a new request, and the ends of the tries
-before it said nothing of it. Proof: two requests whose query differs took up to 27 runners each,
-with the count in force; named by what all tries share, four each.
-
-Third cause: a run was at an end only while its node waited for it. Its runner works on after the
-caller has left or the time is over, and crashes all the same. Proof: callers that leave 15 ms
-before the crash hid up to 31 of them; with runs counted for a second after they were left, four
-at most.
-
-Fourth cause, found by reading: ends were taken back by any later bytes of a runner, also by those
-of its next process at the same address, and by those that a node read late after a pause, which
-then told all others so. Proof: the last four tests, of which three fail without the mend.
+"""Limits the number of runners that one request can crash, whatever differs between its tries.
+
+The tests guard against four failures, seen as a request that had crashed three runners, was sent
+eight more times and crashed twelve. Callers received 502 and broken streams.
+
+1. A verdict weighs a request against all others that were running at the same crashes. Several
+   concurrent fatal requests explain each other's crashes, so none becomes the likely cause. Without
+   a count, sixteen of them crashed up to 14 runners each and eight up to 10; with it, three each.
+2. A try with another query, prompt or model counted as a new request. Two requests with varying
+   queries crashed up to 27 runners each; counted by the content that all tries share, four each.
+3. A run counted only while its node waited for it, but a runner continues, and crashes, after the
+   caller has left or the deadline has passed. Callers that left 15 ms before the crash hid up to 31
+   crashes; with runs counted for a second after they were abandoned, at most four.
+4. Later bytes of a runner retracted its crash, even if they came from its next process at the same
+   address, or if a node read them late after a pause and then notified all others. The last four
+   tests cover this; three of them fail if any later bytes retract a crash.
 """
 
 from __future__ import annotations
@@ -41,7 +33,7 @@
     STEP_SECONDS,
     CrashTraffic,
     Variation,
-    all_alike,
+    identical_tries,
     other_model,
     other_parts,
     other_query,
@@ -49,19 +41,19 @@
 from tests.fleet.fatal_world import Node, Outcome, World
 
 SECONDS = 25.0
-# One in fifty: what the record's own bound is for racks that end (``test_runner_ends``), rounded.
-MOST_INNOCENT_SHARE = 0.02
+# One in fifty: the rounded bound of the crash record for racks that fail (``test_runner_ends``).
+MAX_INNOCENT_SHARE = 0.02
 
 
 @pytest.mark.parametrize(
     ("nodes", "runners", "fatal", "vary"),
     [
-        pytest.param(4, 6, 1, all_alike, id="one"),
+        pytest.param(4, 6, 1, identical_tries, id="one"),
         pytest.param(4, 6, 2, other_query, id="other-query"),
         pytest.param(4, 6, 4, other_parts, id="other-parts"),
         pytest.param(6, 8, 3, other_model, id="other-model"),
-        pytest.param(7, 8, 8, all_alike, id="eight-at-a-time"),
-        pytest.param(4, 8, 16, all_alike, id="sixteen-at-a-time"),
+        pytest.param(7, 8, 8, identical_tries, id="eight-at-a-time"),
+        pytest.param(4, 8, 16, identical_tries, id="sixteen-at-a-time"),
     ],
 )
 @pytest.mark.parametrize("seed", [1, 2])
@@ -70,11 +62,11 @@
 ) -> None:
     traffic = CrashTraffic(World(runners, nodes), seed, fatal, vary)
     traffic.run(SECONDS)
-    assert traffic.most_sends_later() <= SENDS_ALLOWED_LATER
+    assert traffic.max_late_sends() <= SENDS_ALLOWED_LATER
 
 
 @pytest.mark.parametrize("pause", [0.7, 4.0, 13.0])
-@pytest.mark.parametrize("vary", [all_alike, other_query])
+@pytest.mark.parametrize("vary", [identical_tries, other_query])
 def test_tries_at_all_nodes_at_the_same_moment_are_bounded_too(
     vary: Variation, pause: float
 ) -> None:
@@ -91,10 +83,10 @@
 
 
 def innocent_share(seed: int, word: bytes, *, one_body: bool) -> float:
-    """Return the share of tries that are refused as fatal while runners end by themselves."""
+    """Return the share of tries that are refused as fatal while runners crash by themselves."""
     world = World(8, 4)
     world.runners.events[b"mid"] = 60
-    traffic = CrashTraffic(world, seed, 0, others_a_second=0.0)
+    traffic = CrashTraffic(world, seed, 0, others_per_second=0.0)
     rng = Random(seed)
     tries: list[Outcome] = []
 
@@ -105,7 +97,7 @@
             node = rng.choice(sorted(world.nodes))
             tries.append(world.send(node, body, query=f"try={number}"))
         if rng.random() < STEP_SECONDS / 2.0:
-            rng.choice(list(world.runners.by_id.values())).end()
+            rng.choice(list(world.runners.by_id.values())).crash()
 
     traffic.run(20.0, step)
     world.run(9.0)
@@ -115,15 +107,15 @@
 
 @pytest.mark.parametrize("one_body", [False, True], ids=["own-bodies", "one-body"])
 @pytest.mark.parametrize("word", [b"short", b"mid", b"long"])
-def test_few_others_are_refused_where_runners_end_by_themselves(
+def test_few_innocent_requests_are_refused_when_runners_crash_by_themselves(
     word: bytes, one_body: bool
 ) -> None:
     shares = [innocent_share(seed, word, one_body=one_body) for seed in (1, 2)]
-    assert max(shares) <= MOST_INNOCENT_SHARE
+    assert max(shares) <= MAX_INNOCENT_SHARE
 
 
 def test_requests_that_share_a_short_body_with_a_fatal_one_are_served() -> None:
-    """A fatal request by its query, and others of the same path, tenant and body."""
+    """Requests with the path, tenant and body of a request that is fatal because of its query."""
     world = World(8, 3)
     node = world.nodes["node-0"]
     watch = node.pipeline.runner_ends
@@ -147,15 +139,15 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_callers_that_leave_before_the_crash_hide_nothing(seed: int) -> None:
     world = World(6, 4)
-    world.runners.works_on = True
-    traffic = CrashTraffic(world, seed, 2, leaves_after=0.1)
+    world.runners.continues_abandoned_runs = True
+    traffic = CrashTraffic(world, seed, 2, leaves_after_seconds=0.1)
     traffic.run(SECONDS)
-    assert traffic.most_sends_later() <= SENDS_ALLOWED_LATER
+    assert traffic.max_late_sends() <= SENDS_ALLOWED_LATER
 
 
-def test_a_crash_that_nobody_saw_is_found_by_the_next_that_is_turned_away() -> None:
+def test_an_unobserved_crash_is_found_by_the_next_refused_connection() -> None:
     world = World(3, 1)
-    world.runners.works_on = True
+    world.runners.continues_abandoned_runs = True
     fatal = world.send("node-0", b"fatal 1")
     world.run(0.1)
     world.loop.call_soon(fatal.task.cancel)
@@ -166,13 +158,13 @@
     for number in range(6):
         world.send("node-0", b"short %d" % number)
     world.run(0.3)
-    (end,) = record.ends()
-    assert len(end.runs) == 1
+    (crash,) = record.ends()
+    assert len(crash.runs) == 1
 
 
-def test_a_run_that_its_caller_left_is_told_when_a_peer_tells_of_the_end() -> None:
+def test_an_abandoned_run_is_reported_when_a_peer_reports_the_crash() -> None:
     world = World(1, 2)
-    world.runners.works_on = True
+    world.runners.continues_abandoned_runs = True
     beside = world.send("node-1", b"long 1")
     fatal = world.send("node-0", b"fatal 1")
     world.run(0.1)
@@ -180,35 +172,35 @@
     world.run(0.5)
     assert beside.task.done() and beside.error is not None
     for node in world.nodes.values():
-        (end,) = node.state.runner_ends.ends()
-        assert len(end.runs) == 2
+        (crash,) = node.state.runner_ends.ends()
+        assert len(crash.runs) == 2
 
 
-def test_a_run_that_was_left_long_before_is_not_at_the_end() -> None:
+def test_a_run_abandoned_long_before_a_crash_is_not_counted() -> None:
     world = World(1, 1)
     left = world.send("node-0", b"long 1")
     world.send("node-0", b"long 2")
     world.run(0.2)
     world.loop.call_soon(left.task.cancel)
     world.run(1.5)
-    world.runners.by_id["i-0"].end()
+    world.runners.by_id["i-0"].crash()
     world.run(0.01)
-    (end,) = world.nodes["node-0"].state.runner_ends.ends()
-    assert len(end.runs) == 1
+    (crash,) = world.nodes["node-0"].state.runner_ends.ends()
+    assert len(crash.runs) == 1
 
 
-def _told_end(world: World, runner_id: str, ended_ms_ago: int) -> None:
-    """Let a peer tell the first node of an end."""
+def _report_crash_from_peer(world: World, runner_id: str, ended_ms_ago: int) -> None:
+    """Let a peer report a runner crash to the first node."""
     notice = RunnerEndNotice(runner_id, ended_ms_ago, [RequestAtEnd(77, 110, started=False)])
     watch = world.nodes["node-0"].pipeline.runner_ends
     world.loop.call_soon(watch.observe, "node-9", notice, world.scheduler.now)
     world.run(0.001)
 
 
-def test_a_runner_that_listens_again_after_some_seconds_has_ended_all_the_same() -> None:
+def test_a_runner_that_listens_again_after_some_seconds_has_crashed() -> None:
     world = World(1, 1)
     node = world.nodes["node-0"]
-    _told_end(world, "i-0", 0)
+    _report_crash_from_peer(world, "i-0", 0)
     world.run(3.0)
     assert world.try_until_done("node-0", b"short 1").is_served
     node.pipeline.runner_ends._refresh()
@@ -216,36 +208,36 @@
     assert node.state.runner_ends.get("i-0") is not None
 
 
-def test_a_connection_older_than_the_end_shows_that_its_runner_lives() -> None:
+def test_a_connection_older_than_the_crash_proves_that_its_runner_is_alive() -> None:
     world = World(1, 1)
     node = world.nodes["node-0"]
     world.send("node-0", b"long 1")
     world.run(4.0)
-    _told_end(world, "i-0", 3_000)
+    _report_crash_from_peer(world, "i-0", 3_000)
     assert node.state.crash_counts.count(77) == 0
 
 
-def test_bytes_that_were_read_late_do_not_show_that_a_runner_lives() -> None:
+def test_bytes_that_were_read_late_do_not_prove_that_a_runner_is_alive() -> None:
     world = World(1, 1)
     node = world.nodes["node-0"]
     on_time_since = [1_000.0]
     node.pipeline.runner_ends.handle_lag(lambda: on_time_since[0])
     world.send("node-0", b"long 1")
     world.run(1.0)
-    _told_end(world, "i-0", 500)
+    _report_crash_from_peer(world, "i-0", 500)
     assert node.state.crash_counts.count(77) == 1
-    # What is read in time again does.
+    # Bytes that are read without delay prove it.
     on_time_since[0] = world.scheduler.now
     world.run(0.1)
     node.pipeline.runner_ends._refresh()
     assert node.state.crash_counts.count(77) == 0
 
 
-def test_a_peer_that_heard_it_some_seconds_later_takes_no_end_back() -> None:
+def test_a_peer_with_later_contact_does_not_retract_a_crash() -> None:
     world = World(3, 1)
     node = world.nodes["node-0"]
     world.try_until_done("node-0", b"fatal 1")
-    ends = [end.runner_id for end in node.state.runner_ends.ends()]
+    ends = [crash.runner_id for crash in node.state.runner_ends.ends()]
     watch = node.pipeline.runner_ends
 
     def tell(runner_id: str) -> None:
@@ -253,16 +245,16 @@
         world.loop.call_soon(watch.observe, "node-9", told, world.scheduler.now)
         world.run(0.01)
 
-    # One that heard it at once does: connections of this node alone were cut.
+    # A peer with contact right after the crash retracts it: only this node's connections were cut.
     tell(ends[0])
     world.run(3.0)
     tell(ends[1])
-    assert [end.runner_id for end in node.state.runner_ends.ends()] == ends[1:]
+    assert [crash.runner_id for crash in node.state.runner_ends.ends()] == ends[1:]
 
 
 def test_nodes_that_left_runs_at_one_end_answer_no_notice_with_a_notice() -> None:
     world = World(2, 2)
-    world.runners.works_on = True
+    world.runners.continues_abandoned_runs = True
     tries = [world.send(f"node-{number % 2}", b"long %d" % number) for number in range(160)]
     world.run(0.2)
     for sent in tries:
@@ -276,7 +268,7 @@
         deliver(source, node, notice)
 
     world.deliver = count  # type: ignore[method-assign]
-    _told_end(world, "i-0", 0)
+    _report_crash_from_peer(world, "i-0", 0)
     world.run(2.0)
     assert told
     assert len(told) < 20
--- a/tests/fleet/test_event_framing.py
+++ b/tests/fleet/test_event_framing.py
@@ -1,4 +1,4 @@
-"""Whole events and their order, however the bytes are cut."""
+"""Framing of complete events and their order, however the bytes are split."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @given(st.integers(1, 20), st.lists(st.integers(1, 40), max_size=30))
-def test_any_cut_of_the_bytes_gives_the_same_events(count: int, cuts: list[int]) -> None:
+def test_any_split_of_the_bytes_gives_the_same_events(count: int, cuts: list[int]) -> None:
     stream = make_stream(count)
     framing = EventFraming(None)
     passed = b""
@@ -30,7 +30,7 @@
     assert not framing.inside_event
 
 
-def test_half_an_event_is_dropped_at_the_next_attempt() -> None:
+def test_an_incomplete_event_is_dropped_at_the_next_attempt() -> None:
     framing = EventFraming(None)
     framing.feed(make_stream(2) + b"id: 3\nda", "peer")
     assert framing.inside_event
@@ -38,7 +38,7 @@
     assert framing.feed(b"id: 3\ndata: whole\n\n", "peer") == b"id: 3\ndata: whole\n\n"
 
 
-def test_a_stream_that_begins_again_is_not_joined() -> None:
+def test_a_stream_that_restarts_from_the_beginning_is_rejected() -> None:
     framing = EventFraming(None)
     framing.feed(make_stream(2), "peer")
     framing.start_attempt()
@@ -46,7 +46,7 @@
         framing.feed(make_stream(1), "peer")
 
 
-def test_events_may_have_other_first_lines_and_no_identifier() -> None:
+def test_events_may_start_with_other_fields_and_lack_an_identifier() -> None:
     framing = EventFraming(None)
     data = b"weights: 2\nid: 1\ndata: x\n\n: comment\n\n"
     assert framing.feed(data, "peer") == data
--- a/tests/fleet/test_fatal_requests.py
+++ b/tests/fleet/test_fatal_requests.py
@@ -1,11 +1,9 @@
-"""Requests that end the runner that works on them.
-
-Seen: a few requests of one class ended the runner's process some 0.1 s after they had begun, at
-each runner that they reached. A request was sent to two runners, its caller tried once more by
-another node, which sent it to two more: each took four runners, and some twenty streams beside it
-at each.
-Cause: nothing told that a request had been at the end of a runner; a runner's end was the runner's
-fault, at each node and for each try anew.
+"""Requests that crash the runner that runs them.
+
+A fatal request crashes each runner about 0.1 s after it began there, together with about twenty
+other streams. If every node and every try treats the crash as the runner's own failure, a request
+is sent to two runners, and its caller's retry through another node to two more, so that each fatal
+request crashes four runners.
 """
 
 from __future__ import annotations
@@ -31,7 +29,7 @@
     return bool(request.param)
 
 
-def test_a_request_ends_two_runners_at_most_whoever_tries_it_again(application: bool) -> None:
+def test_a_fatal_request_crashes_at_most_two_runners(application: bool) -> None:
     world = World(8, 1, application=application)
     first = world.try_until_done("node-0", FATAL)
     assert first.verdict() in (Verdict.FAILED, "cut")
@@ -41,7 +39,7 @@
     assert len(world.runners.ended()) == 2
 
 
-def test_a_new_try_through_another_node_ends_no_further_runner(application: bool) -> None:
+def test_a_retry_through_another_node_crashes_no_further_runner(application: bool) -> None:
     world = World(8, 3, application=application)
     world.try_until_done("node-0", FATAL)
     for node in ("node-1", "node-2", "node-0"):
@@ -51,7 +49,7 @@
     assert len(world.runners.ended()) == 2
 
 
-def test_a_new_try_that_overtakes_the_word_of_the_end_is_stopped_on_its_runner() -> None:
+def test_a_retry_that_overtakes_the_crash_notice_is_aborted_at_its_runner() -> None:
     world = World(8, 2)
     first = world.send("node-0", FATAL)
     while not first.task.done():
@@ -62,7 +60,7 @@
     assert len(world.runners.ended()) == 2
 
 
-def test_what_is_refused_as_fatal_is_told_as_failed_and_not_as_not_run() -> None:
+def test_a_refused_fatal_request_is_reported_as_failed_not_as_not_run() -> None:
     world = World(8, 1)
     world.try_until_done("node-0", FATAL)
     again = world.try_until_done("node-0", FATAL)
@@ -79,7 +77,7 @@
     assert all(outcome.is_served for outcome in outcomes)
 
 
-def test_streams_beside_a_fatal_request_go_on_elsewhere() -> None:
+def test_streams_beside_a_fatal_request_are_resumed_at_other_runners() -> None:
     world = World(8, 2)
     streams = [world.send(f"node-{number % 2}", b"long %d" % number) for number in range(24)]
     world.run(2.0)
@@ -90,7 +88,7 @@
     assert all(stream.is_served for stream in streams)
 
 
-def test_those_that_had_just_begun_beside_it_are_served() -> None:
+def test_requests_that_just_began_beside_a_fatal_request_are_served() -> None:
     world = World(8, 2)
     fatal = world.send("node-0", FATAL)
     world.run(0.05)
@@ -101,7 +99,7 @@
     assert all(victim.is_served for victim in victims)
 
 
-def test_a_suspect_is_tried_where_little_can_fall_beside_it() -> None:
+def test_a_suspect_is_tried_at_a_runner_with_few_other_requests() -> None:
     world = World(6, 1)
     streams = [world.send("node-0", b"long %d" % number) for number in range(15)]
     world.run(1.0)
@@ -109,37 +107,37 @@
     world.run(1.0)
     assert not fatal.is_served
     second = world.runners.ended()[-1]
-    beside = min(len(runner.ended_under) for runner in world.runners.ended())
-    assert FATAL in second.ended_under
+    beside = min(len(runner.bodies_at_crash) for runner in world.runners.ended())
+    assert FATAL in second.bodies_at_crash
     assert beside <= 3
     world.run(8.0)
     assert all(stream.is_served for stream in streams)
 
 
-def test_others_keep_away_from_a_runner_with_a_suspect() -> None:
+def test_other_requests_avoid_a_runner_with_a_suspect() -> None:
     world = World(4, 1)
     world.send("node-0", FATAL)
     world.run(0.16)
     later = [world.send("node-0", b"short %d" % number) for number in range(6)]
     world.run(2.0)
     assert len(world.runners.ended()) == 2
-    beside = [body for runner in world.runners.ended() for body in runner.ended_under]
+    beside = [body for runner in world.runners.ended() for body in runner.bodies_at_crash]
     assert [body for body in beside if body != FATAL] == []
     assert all(outcome.is_served for outcome in later)
 
 
-def test_two_fatal_requests_at_once_end_two_runners_each() -> None:
+def test_two_concurrent_fatal_requests_crash_two_runners_each() -> None:
     world = World(10, 2)
     outcomes = [world.send("node-0", b"fatal 1"), world.send("node-1", b"fatal 2")]
     world.run(2.0)
     outcomes += [world.send("node-1", b"fatal 1"), world.send("node-0", b"fatal 2")]
     world.run(2.0)
     assert not any(outcome.is_served for outcome in outcomes)
-    assert world.runners.ended_under(b"fatal 1") <= 2
-    assert world.runners.ended_under(b"fatal 2") <= 2
+    assert world.runners.bodies_at_crash(b"fatal 1") <= 2
+    assert world.runners.bodies_at_crash(b"fatal 2") <= 2
 
 
-def test_several_callers_tries_of_one_fatal_request_at_once_end_two_runners() -> None:
+def test_concurrent_tries_of_one_fatal_request_crash_two_runners() -> None:
     world = World(8, 3)
     tries = [world.send(f"node-{number}", FATAL) for number in range(3)]
     world.run(0.05)
@@ -151,35 +149,35 @@
     assert len(world.runners.ended()) == 2
 
 
-def test_a_runner_that_ends_as_a_fatal_run_there_is_ended_counts_for_it() -> None:
+def test_a_crash_just_after_a_fatal_run_was_aborted_counts_for_that_run() -> None:
     world = World(8, 2)
-    world.cut_nodes = {"node-1"}
+    world.partitioned_nodes = {"node-1"}
     world.try_until_done("node-0", FATAL)
     record = world.nodes["node-1"].state.runner_ends
     again = world.send("node-1", FATAL)
     world.run(0.09)
-    world.cut_nodes = set()
-    # As the word of both ends comes, a try through the other node is under way.
-    at = next(runner for runner in world.runners.by_id.values() if FATAL in runner.under)
+    world.partitioned_nodes = set()
+    # A try through the other node is running when the notices of both crashes arrive.
+    at = next(runner for runner in world.runners.by_id.values() if FATAL in runner.running_bodies)
     ends = world.nodes["node-0"].state.runner_ends.ends()
-    for end in ends:
-        notice = world.nodes["node-0"].pipeline.runner_ends._notice(end, world.scheduler.now)
+    for crash in ends:
+        notice = world.nodes["node-0"].pipeline.runner_ends._notice(crash, world.scheduler.now)
         world.deliver("node-0", world.nodes["node-1"], notice)
     world.run(0.02)
     assert again.task.done() and at.is_alive
-    at.end()
+    at.crash()
     fingerprint = next(iter(record.fatal()))
     told = RunnerEndNotice(at.runner_id, 0, [RequestAtEnd(1, 2_000, True, 1_900)])
     world.deliver("node-0", world.nodes["node-1"], told)
     world.run(0.02)
     known = record.get(at.runner_id)
     assert known is not None and fingerprint in known.runs
-    # Its node tells the others.
+    # The node of the aborted run reports the crash to the others.
     other = world.nodes["node-0"].state.runner_ends.get(at.runner_id)
     assert other is not None and fingerprint in other.runs
 
 
-def test_a_suspect_that_no_runner_would_take_is_refused_at_once() -> None:
+def test_a_suspect_that_no_runner_accepts_is_refused_immediately() -> None:
     world = World(1, 1)
     first = world.try_until_done("node-0", FATAL)
     assert first.verdict() == "cut"
@@ -189,7 +187,7 @@
     assert world.scheduler.now - sent_at < 0.05
 
 
-def test_two_fatal_requests_at_one_runner_end_two_runners_each() -> None:
+def test_two_fatal_requests_at_one_runner_crash_two_runners_each() -> None:
     world = World(8, 1)
     world.runners.by_id.update()
     state = world.nodes["node-0"].state
@@ -201,24 +199,24 @@
     world.run(3.0)
     for body in (b"fatal 1", b"fatal 2", b"fatal 1", b"fatal 2"):
         world.try_until_done("node-0", body)
-    assert len(world.runners.ended()[0].ended_under) == 2
-    # The first end is the work of one of them; the other one is known by the two that it ended.
+    assert len(world.runners.ended()[0].bodies_at_crash) == 2
+    # One of the two caused the first crash; the other one is found after two more crashes.
     assert len(world.runners.ended()) <= 4
 
 
-def test_a_lost_notice_is_made_good_by_the_next_heartbeat() -> None:
+def test_a_lost_notice_is_repeated() -> None:
     world = World(8, 2)
-    world.lost_notices = 100
+    world.notices_to_drop = 100
     world.scheduler.spawn(world.loop, world.nodes["node-0"].pipeline.runner_ends.run())
     world.try_until_done("node-0", FATAL)
-    world.lost_notices = 0
+    world.notices_to_drop = 0
     world.run(NOTICE_INTERVAL_SECONDS + 0.05)
     again = world.try_until_done("node-1", FATAL)
     assert again.verdict() is Verdict.FAILED
     assert len(world.runners.ended()) == 2
 
 
-def test_a_node_that_starts_is_told_by_its_peers() -> None:
+def test_a_starting_node_receives_crashes_from_its_peers() -> None:
     world = World(8, 1)
     world.try_until_done("node-0", FATAL)
     world.run(10.0)
@@ -233,7 +231,7 @@
     assert len(world.runners.ended()) == 2
 
 
-def test_a_herd_of_restarting_nodes_makes_no_ends_and_forgets_none() -> None:
+def test_restarts_of_all_nodes_report_no_crashes_and_lose_none() -> None:
     world = World(8, 3)
     world.try_until_done("node-0", FATAL)
     streams = [world.send(f"node-{number % 3}", b"long %d" % number) for number in range(9)]
@@ -257,19 +255,19 @@
     assert len(world.runners.ended()) == 2
 
 
-def test_nodes_that_are_cut_apart_lose_two_runners_a_side() -> None:
+def test_partitioned_nodes_lose_two_runners_per_side() -> None:
     world = World(8, 2)
-    world.cut_nodes = {"node-1"}
+    world.partitioned_nodes = {"node-1"}
     for node in ("node-0", "node-1", "node-0", "node-1"):
         world.try_until_done(node, FATAL)
     assert len(world.runners.ended()) <= 4
 
 
-def test_a_connection_that_is_cut_is_no_end_of_its_runner() -> None:
+def test_a_cut_connection_is_not_a_runner_crash() -> None:
     world = World(3, 1)
     streams = [world.send("node-0", b"long %d" % number) for number in range(9)]
     world.run(0.2)
-    next(r for r in world.runners.by_id.values() if len(r.runs) > 1).cut_one()
+    next(r for r in world.runners.by_id.values() if len(r.runs) > 1).cut_connection()
     world.run(0.5)
     state = world.nodes["node-0"].state
     again = world.try_until_done("node-0", b"short 1")
@@ -286,8 +284,8 @@
     unlucky = world.send("node-0", b"unlucky")
     for _ in range(2):
         world.run(0.1)
-        runner = next(r for r in world.runners.by_id.values() if b"unlucky" in r.under)
-        runner.cut_one(len(runner.runs) - 1)
+        runner = next(r for r in world.runners.by_id.values() if b"unlucky" in r.running_bodies)
+        runner.cut_connection(len(runner.runs) - 1)
     world.run(0.2)
     assert unlucky.task.done()
     assert world.try_until_done("node-0", b"unlucky").is_served
@@ -295,7 +293,7 @@
     assert all(stream.is_served for stream in streams)
 
 
-def test_silence_and_refusals_are_no_ends() -> None:
+def test_silence_and_refusals_are_not_crashes() -> None:
     world = World(3, 1)
     state = world.nodes["node-0"].state
     world.runners.by_id["i-0"].is_alive = False
@@ -305,29 +303,29 @@
     assert not state.runner_ends.ends()
 
 
-def test_a_runner_that_ends_by_itself_makes_nobody_fatal() -> None:
+def test_a_runner_that_crashes_by_itself_makes_no_request_fatal() -> None:
     world = World(6, 2)
     streams = [world.send(f"node-{number % 2}", b"long %d" % number) for number in range(24)]
     world.run(1.0)
-    world.runners.by_id["i-0"].end()
+    world.runners.by_id["i-0"].crash()
     world.run(2.0)
-    world.runners.by_id["i-1"].end()
+    world.runners.by_id["i-1"].crash()
     world.run(8.0)
     for node in world.nodes.values():
         assert not node.state.runner_ends.fatal()
     lost_twice = [stream for stream in streams if not stream.is_served]
-    # The route allows two runners, so that streams at both ends are over.
+    # The route allows two attempts, so streams that were running at both crashes are cut.
     assert len(lost_twice) <= 8
 
 
-def test_a_request_of_many_callers_is_cleared_by_a_run_that_ends_well() -> None:
+def test_a_request_of_many_callers_is_cleared_by_a_successful_run() -> None:
     world = World(6, 2, application=True)
     outcomes = []
     for round_number in range(60):
         outcomes += [world.send(f"node-{number}", b"popular") for number in (0, 1)]
         if round_number in (20, 40):
-            busy = max(world.runners.by_id.values(), key=lambda runner: len(runner.under))
-            busy.end()
+            busy = max(world.runners.by_id.values(), key=lambda runner: len(runner.running_bodies))
+            busy.crash()
         world.run(0.03)
     world.run(2.0)
     for node in world.nodes.values():
@@ -335,25 +333,25 @@
     assert all(outcome.is_served for outcome in outcomes)
 
 
-def test_streams_of_many_callers_for_one_request_go_on_when_runners_end_by_themselves() -> None:
+def test_streams_of_one_request_by_many_callers_survive_unrelated_crashes() -> None:
     world = World(6, 2)
     outcomes = []
     for round_number in range(60):
         outcomes += [world.send(f"node-{number}", b"long popular") for number in (0, 1)]
         if round_number in (20, 40):
-            busy = max(world.runners.by_id.values(), key=lambda runner: len(runner.under))
-            busy.end()
+            busy = max(world.runners.by_id.values(), key=lambda runner: len(runner.running_bodies))
+            busy.crash()
         world.run(0.05)
     world.run(9.0)
     for node in world.nodes.values():
         assert not node.state.runner_ends.fatal()
     verdicts = [outcome.verdict() for outcome in outcomes]
-    # Cut are those whose second run, the last one that the route allows, was at the second end.
+    # A stream is cut if the second crash broke its second run, the last one that the route allows.
     assert verdicts.count("served") >= 0.8 * len(outcomes)
     assert Verdict.FAILED not in verdicts
 
 
-def test_a_run_that_outlives_the_age_at_which_others_ended_clears_its_request() -> None:
+def test_a_run_that_survives_the_age_of_earlier_crashes_clears_its_request() -> None:
     world = World(4, 1)
     node = world.nodes["node-0"]
     stream = world.send("node-0", b"long popular")
@@ -379,7 +377,7 @@
     assert stream.is_served
 
 
-def test_an_answer_that_is_ready_is_delivered_though_its_request_is_found_fatal_meanwhile() -> None:
+def test_a_ready_answer_is_delivered_although_its_request_is_found_fatal() -> None:
     world = World(4, 1, application=True)
     node = world.nodes["node-0"]
     reading = world.send("node-0", b"slowly read")
@@ -409,15 +407,15 @@
     for number in range(6):
         world.send("node-0", b"long %d" % number)
     world.run(1.0)
-    runner = max(world.runners.by_id.values(), key=lambda runner: len(runner.under))
-    there = len(runner.under)
+    runner = max(world.runners.by_id.values(), key=lambda runner: len(runner.running_bodies))
+    there = len(runner.running_bodies)
     assert there > 1
-    runner.cut_one()
+    runner.cut_connection()
     world.run(0.001)
-    assert [len(end.runs) for end in record.ends()] == [there]
+    assert [len(crash.runs) for crash in record.ends()] == [there]
 
 
-def test_an_unsafe_request_is_never_sent_again_and_fatal_on_its_second_try() -> None:
+def test_an_unsafe_request_is_never_resent_and_is_fatal_after_its_second_try() -> None:
     world = World(6, 2, application=True, unsafe=True)
     first = world.try_until_done("node-0", FATAL)
     assert first.verdict() is Verdict.FAILED
@@ -429,7 +427,7 @@
     assert len(world.runners.ended()) == 2
 
 
-def test_an_unsafe_request_beside_it_is_not_repeated() -> None:
+def test_an_unsafe_request_beside_a_fatal_request_is_not_repeated() -> None:
     world = World(1, 1, application=True, unsafe=True)
     beside = world.send("node-0", b"beside")
     world.send("node-0", FATAL)
@@ -439,7 +437,7 @@
     assert served.count("r-1") == 1
 
 
-def test_the_record_is_bounded_and_forgets() -> None:
+def test_the_crash_record_is_bounded_and_expires() -> None:
     world = World(4, 1)
     node = world.nodes["node-0"]
     record = node.state.runner_ends
@@ -453,13 +451,13 @@
     world.loop.call_soon(tell)
     world.run(0.1)
     assert len(record.ends()) == MAX_ENDS
-    assert all(len(end.runs) <= 128 for end in record.ends())
+    assert all(len(crash.runs) <= 128 for crash in record.ends())
     world.run(END_SECONDS + 1.0)
     assert world.try_until_done("node-0", b"short 1").is_served
     assert not record
 
 
-def test_a_fatal_request_is_tried_once_more_after_its_time_and_forgotten_in_the_end() -> None:
+def test_a_fatal_request_gets_one_more_try_and_expires_later() -> None:
     world = World(8, 1)
     world.try_until_done("node-0", FATAL)
     record = world.nodes["node-0"].state.runner_ends
@@ -475,24 +473,24 @@
     assert not record
 
 
-def test_a_runner_that_was_told_to_leave_or_to_load_does_not_end_by_a_request() -> None:
+def test_a_leaving_or_loading_runner_that_disconnects_is_not_a_crash() -> None:
     world = World(6, 1)
     state = world.nodes["node-0"].state
     world.send("node-0", b"long 1")
     world.run(0.1)
     first = next(runner for runner in state.pool.all() if runner.attempts)
     state.pool.note_leaving(first)
-    world.runners.by_id[first.runner_id].end()
+    world.runners.by_id[first.runner_id].crash()
     world.run(0.1)
     second = next(runner for runner in state.pool.all() if runner.attempts)
     state.pool.note_loading(second, "model-a", 2, world.scheduler.now)
-    world.runners.by_id[second.runner_id].end()
+    world.runners.by_id[second.runner_id].crash()
     world.run(1.0)
     assert len(world.runners.ended()) == 2
     assert not state.runner_ends
 
 
-def test_a_calm_node_works_out_no_fingerprint(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_crashes_no_fingerprint_is_computed(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(*_: object) -> int:
         raise AssertionError
 
@@ -501,7 +499,7 @@
     assert all(world.try_until_done("node-0", b"short %d" % n).is_served for n in range(5))
 
 
-def test_metrics_tell_of_ends_and_verdicts() -> None:
+def test_crashes_and_verdicts_are_counted() -> None:
     world = World(8, 1)
     world.try_until_done("node-0", FATAL)
     world.run(0.1)
--- a/tests/fleet/test_pipeline.py
+++ b/tests/fleet/test_pipeline.py
@@ -1,4 +1,4 @@
-"""The life of a request, in virtual time and without sockets."""
+"""The request pipeline in virtual time, without sockets."""
 
 from __future__ import annotations
 
@@ -102,7 +102,7 @@
 
 
 def make_bench(**behaviours: Behaviour) -> Bench:
-    """Return a bench with application runners of these names; ``_`` stands for ``-``."""
+    """Return a bench with application runners of these names; ``_`` is replaced by ``-``."""
     entries = [make_entry(name.replace("_", "-")) for name in behaviours]
     bench = Bench(make_state(make_table(make_route()), *entries))
     for name, behaviour in behaviours.items():
@@ -163,7 +163,7 @@
     assert not bench.client.dispatches
 
 
-def test_without_configuration_the_refusal_promises_and_says_when_to_come_back() -> None:
+def test_without_configuration_a_request_is_refused_with_a_retry_time() -> None:
     bench = make_bench(i_1=answers(b"x"))
     bench.state.table = None
     _, error = bench.serve(make_request())
@@ -215,14 +215,14 @@
     assert len(used) == len(set(used)) == 2
 
 
-def test_a_runners_own_error_on_a_safe_request_gets_a_second_attempt() -> None:
+def test_a_runner_error_on_a_safe_request_gets_a_second_attempt() -> None:
     bench = make_bench(i_1=answers(b"no", status=500), i_22=answers(b"no", status=500))
     sink, error = bench.serve(make_request())
     assert error is None
     assert (sink.status, sink.body, len(bench.client.dispatches)) == (500, b"no", 2)
 
 
-def test_a_runners_own_error_on_an_unsafe_request_is_passed_on() -> None:
+def test_a_runner_error_on_an_unsafe_request_is_passed_on() -> None:
     bench = make_bench(i_1=answers(b"no", status=500), i_22=answers(b"ok"))
     make_unsafe(bench)
     sink, error = bench.serve(make_request())
@@ -259,7 +259,7 @@
     [begins(1.98, 0.1, b"done"), begins(2.03, b"done"), answers(2.1, b"done")],
     ids=["body after the deadline", "head after the deadline", "long body"],
 )
-def test_an_answer_on_its_way_at_the_deadline_is_delivered(behaviour: Behaviour) -> None:
+def test_an_answer_in_transit_at_the_deadline_is_delivered(behaviour: Behaviour) -> None:
     bench = make_bench(i_1=behaviour)
     make_unsafe(bench)
     sink, error = bench.serve(make_request(patience=2.0), within=2.3)
@@ -284,33 +284,33 @@
 
 
 @pytest.mark.parametrize("second", [refuses(RefusalCause.FULL), breaks(), breaks(0.3), hangs()])
-def test_a_runners_own_error_is_passed_on_where_no_other_runner_answers(second: Behaviour) -> None:
-    # Tampere trouble-1 seed 1: a 500 of an application server became a 502 of the router's own.
+def test_a_runner_error_is_passed_on_if_no_other_runner_answers(second: Behaviour) -> None:
+    # Tampere trouble-1 seed 1: the router replaced the 500 of an application server by its own 502.
     bench = make_bench(i_1=answers(b"error", status=500), i_22=second)
     other = bench.state.pool.get("i-22")
     assert other is not None
-    # The first attempt goes to the runner that fails.
+    # Makes the first attempt go to the failing runner.
     other.shed_until = 0.01
     sink, error = bench.serve(make_request(patience=2.0))
     assert error is None
     assert (sink.status, sink.body, sink.finished) == (500, b"error", True)
 
 
-def test_a_silent_runner_is_left_for_another_one() -> None:
+def test_a_silent_runner_is_abandoned_for_another_one() -> None:
     bench = make_bench(i_1=hangs(), i_22=answers(b"ok"))
     for _ in range(3):
         sink, error = bench.serve(make_request())
         assert error is None and sink.body == b"ok"
 
 
-def test_a_silent_application_server_is_left_whatever_model_a_request_names() -> None:
+def test_a_silent_application_server_is_abandoned_for_requests_with_a_prompt() -> None:
     bench = make_bench(i_1=hangs(), i_22=answers(b"ok"))
     for _ in range(3):
         sink, error = bench.serve(make_request(parts=PARTS))
         assert error is None and sink.body == b"ok"
 
 
-def test_an_application_without_a_runner_tells_when_whatever_model_a_request_names() -> None:
+def test_an_application_without_a_runner_gives_a_retry_time_for_a_prompt() -> None:
     bench = make_bench(i_1=answers(b"x"))
     runner = bench.state.pool.get("i-1")
     assert runner is not None
@@ -320,7 +320,7 @@
     assert refusal.retry_after == pytest.approx(0.9)
 
 
-def test_a_slow_runner_is_not_left_where_no_other_takes_the_request() -> None:
+def test_a_slow_runner_is_not_abandoned_if_no_other_runner_accepts() -> None:
     bench = make_bench(i_1=begins(1.9, b"done"), i_22=answers(b"x"))
     other = bench.state.pool.get("i-22")
     assert other is not None
@@ -329,7 +329,7 @@
     assert error is None and sink.body == b"done"
 
 
-def test_a_runners_own_error_is_passed_on_where_no_other_takes_the_request() -> None:
+def test_a_runner_error_is_passed_on_if_no_other_runner_accepts() -> None:
     bench = make_bench(i_1=answers(b"error", status=500))
     sink, error = bench.serve(make_request())
     assert error is None
@@ -338,7 +338,7 @@
 
 @pytest.mark.parametrize("work_seconds", [0.45, 0.9])
 def test_ordinary_work_of_an_application_server_is_not_broken_off(work_seconds: float) -> None:
-    # inc-8f26: work of up to 0.45 s is ordinary; an attempt counted as overdue after 0.4 s.
+    # inc-8f26: attempts counted as overdue after 0.4 s, but ordinary work takes up to 0.45 s.
     bench = make_bench(i_1=begins(work_seconds, b"a"), i_22=begins(work_seconds, b"b"))
     for _ in range(ANSWERS_A_LOOK + 5):
         sink, error = bench.serve(make_request())
@@ -347,7 +347,7 @@
     assert len(bench.client.dispatches) == ANSWERS_A_LOOK + 5
 
 
-def test_a_silent_application_server_is_left_soon_where_work_is_short() -> None:
+def test_a_silent_application_server_is_abandoned_soon_if_answers_are_fast() -> None:
     bench = make_bench(i_1=begins(0.02, b"a"), i_22=begins(0.02, b"b"))
     for _ in range(ANSWERS_A_LOOK):
         bench.serve(make_request())
@@ -365,21 +365,21 @@
     assert (sink.body, sink.finished) == (b"".join(EVENTS), True)
 
 
-def keep_hearing(bench: Bench, seconds: float) -> None:
-    """Let other connections to all runners bring bytes for some time."""
+def keep_receiving(bench: Bench, seconds: float) -> None:
+    """Receive bytes from all runners over other connections for some time."""
 
-    async def hear() -> None:
+    async def receive() -> None:
         for _ in range(int(seconds / 0.1)):
             now = bench.scheduler.now
             for runner in bench.state.pool.all():
                 bench.state.pool.heard(runner, now)
             await asyncio.sleep(0.1)
 
-    bench.scheduler.spawn(bench.scheduler.new_loop(), hear())
+    bench.scheduler.spawn(bench.scheduler.new_loop(), receive())
 
 
 def breaks_off_then(first: Behaviour, second: Behaviour) -> Behaviour:
-    """Behave in one way at the first request, in another one from then on."""
+    """Return a behaviour that is ``first`` for the first request, and ``second`` for all others."""
     used: list[str] = []
 
     async def behave(request: ServingRequest, dispatch: Any) -> Any:
@@ -390,35 +390,35 @@
 
 
 def test_a_stream_whose_own_connection_is_silent_goes_on_elsewhere() -> None:
-    # The runner is heard over other connections, so that it isn't silent itself.
+    # The runner sends bytes over other connections, so the runner itself isn't silent.
     behave = breaks_off_then(answers(EVENTS[0], 100.0), answers(*EVENTS[1:]))
     bench = make_stream_bench(i_1=behave, i_22=behave)
-    keep_hearing(bench, 10.0)
+    keep_receiving(bench, 10.0)
     sink, error = bench.serve(stream_request(), within=4.0)
     assert error is None
     assert (sink.body, sink.heads, sink.finished) == (b"".join(EVENTS), 1, True)
     assert bench.client.answers[0].closed
 
 
-def test_a_request_whose_own_connection_is_silent_is_sent_elsewhere() -> None:
+def test_a_request_with_a_silent_connection_is_sent_to_another_runner() -> None:
     behave = breaks_off_then(hangs(), answers(b"ok"))
     bench = make_bench(i_1=behave, i_22=behave)
-    keep_hearing(bench, 10.0)
+    keep_receiving(bench, 10.0)
     sink, error = bench.serve(make_request(), within=4.0)
     assert error is None and sink.body == b"ok"
     assert len(bench.client.cancelled) == 1
 
 
-def test_a_stream_that_its_runner_holds_back_for_a_while_is_left_there() -> None:
+def test_a_stream_with_a_short_pause_stays_at_its_runner() -> None:
     bench = make_stream_bench(i_1=answers(EVENTS[0], 2.0, *EVENTS[1:]), i_22=answers(*EVENTS[1:]))
     bench.client.behaviours["i-22"] = bench.client.behaviours["i-1"]
-    keep_hearing(bench, 10.0)
+    keep_receiving(bench, 10.0)
     sink, error = bench.serve(stream_request())
     assert error is None and sink.finished
     assert len(bench.client.dispatches) == 1
 
 
-def test_a_request_whose_caller_leaves_is_taken_back_from_the_runner() -> None:
+def test_a_request_is_cancelled_at_the_runner_when_its_caller_leaves() -> None:
     bench = make_bench(i_1=hangs())
     task = bench.run(bench.pipeline.serve(make_request(), FakeSink()), until=0.1)
     task.cancel()
@@ -430,7 +430,7 @@
     assert runner is not None and not runner.attempts
 
 
-def test_a_stream_is_passed_on_in_whole_events() -> None:
+def test_a_stream_is_passed_on_in_complete_events() -> None:
     whole = b"".join(EVENTS)
     bench = make_stream_bench(i_1=answers(whole[:5], whole[5:20], whole[20:]))
     sink, error = bench.serve(stream_request())
@@ -467,7 +467,7 @@
     assert len(bench.client.dispatches) == 1
 
 
-def test_events_that_the_caller_has_are_not_joined_again() -> None:
+def test_events_that_the_caller_has_are_not_sent_again() -> None:
     bench = make_stream_bench(resumable=False, i_1=answers(*EVENTS))
     sink, error = bench.serve(stream_request(last_event_id=3))
     assert isinstance(error, RejectedError) and sink.body == b""
@@ -514,7 +514,7 @@
     assert bench.client.dispatches[0].salt == f"t:tenant-1|{MODEL}|1"
 
 
-def test_a_runner_that_names_other_weights_is_asked_again_with_those() -> None:
+def test_a_request_is_resent_with_the_weights_that_the_runner_reports() -> None:
     bench = make_stream_bench(i_1=answers(*EVENTS))
     sends: list[int] = []
 
@@ -531,7 +531,7 @@
     assert bench.client.dispatches[1].salt == f"shared|{MODEL}|2"
 
 
-def test_runners_with_weights_that_are_too_old_are_refused_not_used() -> None:
+def test_runners_with_weights_that_are_too_old_are_not_used() -> None:
     bench = make_stream_bench(i_1=answers(*EVENTS))
     bench.state.apply(WeightsNamed(MODEL, 2), -10.0)
     _, error = bench.serve(stream_request())
@@ -547,7 +547,7 @@
     assert bench.client.cancelled == ["i-1"]
 
 
-def test_an_address_taken_over_by_another_runner_is_given_up() -> None:
+def test_a_runner_whose_address_has_another_instance_is_leaving() -> None:
     bench = make_bench(i_1=refuses(RefusalCause.OTHER_INSTANCE))
     _, error = bench.serve(make_request())
     assert_rejected(error, Verdict.UNAVAILABLE)
@@ -555,7 +555,7 @@
     assert runner is not None and runner.leaving
 
 
-def test_weights_of_a_split_are_kept() -> None:
+def test_a_traffic_split_follows_its_weights() -> None:
     shares = (ServiceShare("application", 75), ServiceShare("other", 25))
     bench = make_bench(i_1=answers(b"x"))
     bench.client.behaviours["o-1"] = answers(b"y")
@@ -567,7 +567,7 @@
     assert used.count("o-1") == 10
 
 
-def test_peers_are_told_of_large_prefills() -> None:
+def test_peers_are_notified_of_large_prefills() -> None:
     bench = make_stream_bench(i_1=answers(*EVENTS))
     bench.serve(stream_request())
     notice = bench.peers.placements[0]
@@ -580,34 +580,34 @@
     assert matched == 2_000
 
 
-def readable(bench: Bench, notice: PlacementNotice, at: float) -> int:
-    """Return the tokens that can be fetched from a runner at a time."""
+def fetchable_tokens(bench: Bench, notice: PlacementNotice, at: float) -> int:
+    """Return the number of tokens that can be fetched from a runner at a time."""
     index = bench.state.index
     return index.matched_tokens(notice.runner_id, notice.salt, notice.prompt_parts(), at)
 
 
 def test_what_a_peer_has_sent_is_a_source_only_once_it_is_read() -> None:
-    # F17: the expected time was told and not used, so fetches came too early and missed.
+    # F17: the expected time was reported but not used, so fetches came too early and missed.
     bench = make_stream_bench(i_1=answers(*EVENTS))
     notice = PlacementNotice("i-1", "salt", [("shared", 2_000)], 2_500, delay_ms=400, number=7)
     bench.placement.observe_placement("node-2", notice, 10.0)
-    # Nobody tells of it: long after it was expected.
-    assert [readable(bench, notice, at) for at in (10.5, 11.7, 12.0)] == [0, 0, 2_000]
-    # Numbers are each sender's own, and one that was not heard of says nothing.
+    # Without a report, the prompt counts as prefilled long after the expected time.
+    assert [fetchable_tokens(bench, notice, at) for at in (10.5, 11.7, 12.0)] == [0, 0, 2_000]
+    # Placement numbers are specific to their sender, and unknown numbers are ignored.
     bench.placement.observe_read("node-3", 7, 10.6)
     bench.placement.observe_read("node-2", 8, 10.6)
-    assert readable(bench, notice, 10.6) == 0
+    assert fetchable_tokens(bench, notice, 10.6) == 0
     bench.placement.observe_read("node-2", 7, 10.6)
-    assert readable(bench, notice, 10.6) == 2_000
+    assert fetchable_tokens(bench, notice, 10.6) == 2_000
 
 
-def test_the_first_event_shows_and_tells_that_the_parts_are_read() -> None:
+def test_the_first_event_marks_and_reports_the_prompt_as_prefilled() -> None:
     bench = make_stream_bench(i_1=answers(*EVENTS))
     bench.serve(stream_request())
     (sent,) = bench.peers.placements
     assert sent.prefill_tokens == 2_500
     assert bench.peers.reads == [sent.number]
-    assert readable(bench, sent, bench.scheduler.now) == 2_000
+    assert fetchable_tokens(bench, sent, bench.scheduler.now) == 2_000
 
 
 STORE = KeptCacheStore("10.9.9.9:1", "zone-a", 1_000_000, 10_000.0)
@@ -621,39 +621,39 @@
     return bench
 
 
-def stored(bench: Bench, notice: PlacementNotice, *times: float) -> list[int]:
-    """Return the tokens that can be fetched from the store at some times."""
+def stored_tokens(bench: Bench, notice: PlacementNotice, *times: float) -> list[int]:
+    """Return the number of tokens that can be fetched from the store at each of the times."""
     index, parts = bench.state.index, notice.prompt_parts()
     return [index.matched_tokens(STORE.address, notice.salt, parts, at) for at in times]
 
 
-def test_parts_are_in_the_kept_store_only_when_they_have_been_moved_there() -> None:
+def test_parts_are_in_the_store_only_after_their_transfer() -> None:
     bench = make_store_bench()
     read = PlacementNotice("i-1", "salt", [("shared", 20_000)], 0, save_to=STORE.address)
     bench.placement.observe_placement("node-2", read, 10.0)
     bench.placement.observe_read("node-2", read.number, 10.0)
     # 20,000 tokens of 160 kB at 10 Gbit/s take 2.56 s.
-    assert stored(bench, read, 10.1, 12.4, 12.7) == [0, 0, 20_000]
+    assert stored_tokens(bench, read, 10.1, 12.4, 12.7) == [0, 0, 20_000]
 
 
-def test_what_a_runner_does_not_save_is_not_in_the_kept_store() -> None:
+def test_parts_that_are_not_saved_are_not_in_the_store() -> None:
     bench = make_store_bench()
     read = PlacementNotice("i-1", "salt", [("shared", 2_000)], 0)
     bench.placement.observe_placement("node-2", read, 10.0)
     bench.placement.observe_read("node-2", read.number, 10.0)
-    assert stored(bench, read, 100.0) == [0]
+    assert stored_tokens(bench, read, 100.0) == [0]
 
 
-def test_saves_wait_for_one_another_on_the_link_of_the_store() -> None:
+def test_saves_queue_on_the_link_of_the_store() -> None:
     bench = make_store_bench()
     for number, name in enumerate(("a", "b")):
         second = PlacementNotice(
             "i-1", "salt", [(name, 10_000)], 10_000, number=number, save_to=STORE.address
         )
         bench.placement.observe_placement("node-2", second, 10.0)
-    # Each takes 1.28 s on the link.
+    # Each save occupies the link for 1.28 s.
     bench.placement.observe_read("node-2", second.number, 10.1)
-    assert stored(bench, second, 11.5, 12.5, 12.7) == [0, 0, 10_000]
+    assert stored_tokens(bench, second, 11.5, 12.5, 12.7) == [0, 0, 10_000]
 
 
 def test_shared_parts_are_saved_once_and_a_prompts_own_part_never() -> None:
@@ -666,11 +666,11 @@
     assert saved == [STORE.address, None]
 
 
-def test_a_last_part_that_comes_again_is_saved_as_well() -> None:
+def test_a_repeated_last_part_is_saved() -> None:
     bench = make_store_bench()
     for number in (1, 2, 3):
         bench.serve(stream_request(request_id=f"r-{number}"))
-    # The store has all of it by the first save; without that save it would be asked again.
+    # The first save stored the whole prompt, so the later requests save nothing.
     saved = [dispatch.save_to for dispatch in bench.client.dispatches]
     assert saved == [STORE.address, None, None]
     shape = stream_request().shape
@@ -682,7 +682,7 @@
     assert bench.client.dispatches[-1].save_to == STORE.address
 
 
-def test_nothing_is_saved_while_the_link_of_the_store_is_taken_for_long() -> None:
+def test_nothing_is_saved_while_the_link_of_the_store_has_a_long_queue() -> None:
     bench = make_store_bench()
     for name in ("a", "b"):
         notice = PlacementNotice("i-1", "salt", [(name, 10_000)], 10_000, save_to=STORE.address)
@@ -691,7 +691,7 @@
     assert bench.client.dispatches[-1].save_to is None
 
 
-def test_requests_of_a_node_that_has_just_started_wait_for_what_they_need() -> None:
+def test_requests_at_a_starting_node_wait_for_configuration_and_caches() -> None:
     # zamudio-reg trouble-3: twelve requests were refused in the 25 ms before the first read.
     bench = make_stream_bench(i_1=answers(*EVENTS))
     bench.state.start_gate = gate = StartGate()
@@ -709,8 +709,8 @@
     assert task.done() and sink.status == 200
 
 
-def starting_bench(table_known: bool) -> Bench:
-    """Return a bench whose node has ended its first read and knows of no caches yet."""
+def make_starting_bench(table_known: bool) -> Bench:
+    """Return a bench whose node has finished its first read but knows no cached parts yet."""
     bench = make_stream_bench(i_1=answers(*EVENTS))
     bench.state.start_gate = StartGate()
     bench.state.start_gate.open()
@@ -726,16 +726,16 @@
         (True, {"key": "unknown"}, Verdict.UNAUTHENTICATED),
     ],
 )
-def test_what_a_starting_node_will_refuse_does_not_wait_for_caches(
+def test_a_request_that_will_be_refused_does_not_wait_for_caches(
     table_known: bool, changes: dict[str, Any], verdict: Verdict
 ) -> None:
-    bench = starting_bench(table_known)
+    bench = make_starting_bench(table_known)
     _, error = bench.serve(stream_request(**changes), within=0.001)
     assert_rejected(error, verdict)
 
 
 def test_a_prompt_over_its_tenants_limit_does_not_wait_for_caches() -> None:
-    bench = starting_bench(table_known=True)
+    bench = make_starting_bench(table_known=True)
     table = bench.state.table
     assert table is not None
     limit = TenantLimit(100.0, 100.0, LimitUnit.TOKENS, 200.0)
@@ -755,7 +755,7 @@
     assert refusal.retry_after is not None
 
 
-def test_requests_are_refused_at_once_while_the_runners_are_not_known() -> None:
+def test_requests_are_refused_immediately_while_the_runners_are_not_known() -> None:
     bench = make_bench(i_1=answers(b"x"))
     make_limited(bench)
     bench.state.directory_known = False
@@ -777,15 +777,15 @@
     with caplog.at_level("INFO"):
         bench.serve(make_request())
     line = next(record for record in caplog.records if record.message == "no runner")
-    told = {key: getattr(line, key) for key in ("known", "leaving", "suspected", "tried")}
-    assert told == {"known": 3, "leaving": 1, "suspected": 1, "tried": 1}
+    logged = {key: getattr(line, key) for key in ("known", "leaving", "suspected", "tried")}
+    assert logged == {"known": 3, "leaving": 1, "suspected": 1, "tried": 1}
 
 
 @pytest.mark.parametrize(
     ("suspected", "loading", "leaving", "expected"),
     [(0.9, 0.0, False, 0.9), (0.0, 1.4, False, 1.4), (2.0, 0.7, False, 2.0), (0.9, 0.0, True, 0.5)],
 )
-def test_a_caller_without_a_runner_is_told_when_one_takes_work(
+def test_a_refusal_without_a_runner_gives_the_time_until_one_accepts_work(
     suspected: float, loading: float, leaving: bool, expected: float
 ) -> None:
     bench = make_stream_bench(i_1=answers(*EVENTS), i_22=answers(*EVENTS))
@@ -797,7 +797,7 @@
     assert refusal.retry_after == pytest.approx(expected)
 
 
-def test_in_an_overload_a_request_is_refused_at_once_with_a_time() -> None:
+def test_in_an_overload_a_request_is_refused_immediately_with_a_retry_time() -> None:
     bench = make_stream_bench(i_1=answers(*EVENTS))
     runner = bench.state.pool.get("i-1")
     assert runner is not None
@@ -811,7 +811,7 @@
 
 
 @pytest.mark.parametrize("after", [0.0, 0.2])
-def test_in_an_overload_a_request_that_a_runner_refused_is_refused_at_once(after: float) -> None:
+def test_in_an_overload_a_request_refused_by_a_runner_is_refused_immediately(after: float) -> None:
     refusing = refuses(RefusalCause.FULL, after=after)
     bench = make_stream_bench(i_1=refusing, i_22=answers(*EVENTS))
     busy = bench.state.pool.get("i-22")
@@ -822,7 +822,7 @@
     assert [dispatch.runner_id for dispatch in bench.client.dispatches] == ["i-1"]
 
 
-def test_a_request_that_would_wait_until_its_deadline_is_refused_at_once() -> None:
+def test_a_request_that_would_wait_until_its_deadline_is_refused_immediately() -> None:
     bench = make_stream_bench(i_1=answers(*EVENTS))
     runner = bench.state.pool.get("i-1")
     assert runner is not None
@@ -832,11 +832,11 @@
     assert refusal.retry_after is not None
 
 
-def test_no_request_is_refused_while_few_places_are_taken_and_nothing_waits() -> None:
+def test_no_request_is_refused_while_few_slots_are_used_and_nothing_waits() -> None:
     bench = make_stream_bench(i_1=answers(*EVENTS))
     runner = bench.state.pool.get("i-1")
     assert runner is not None
-    # A recent refusal and scarce memory weigh more than the objective of half a second.
+    # The penalties for a recent refusal and for scarce memory exceed the objective of 0.5 s.
     bench.state.pool.shed(runner, 0.0)
     runner.attempts.add("a-1", OwnAttempt(0, 110_000, 0.0, 9.0, started=True))
     sink, error = bench.serve(stream_request())
@@ -844,7 +844,7 @@
 
 
 def test_a_long_prompt_is_not_refused_for_its_own_work() -> None:
-    # Gate of Lagos scale-1: of the largest tenth 0.39 were served, of all 0.91.
+    # Lagos scale-1: only 0.39 of the largest tenth of prompts were served, but 0.91 of all.
     bench = make_stream_bench(i_1=answers(*EVENTS))
     request = make_request("/gen/x", parts=(("shared", 50), ("own", 60_000)))
     sink, error = bench.serve(request)
@@ -852,7 +852,7 @@
 
 
 def make_limited(bench: Bench, rate: float = 100.0) -> None:
-    """Give the tenant a limit in tokens."""
+    """Give the tenant a rate limit in tokens."""
     limit = TenantLimit(rate, rate, LimitUnit.TOKENS, 200.0)
     keys = {KEY: TenantEntry("tenant-1", limit=limit)}
     bench.state.table = make_table(make_route(), version=2, keys=keys)
@@ -869,7 +869,7 @@
     assert bench.limiter.given_back == []
 
 
-def test_a_request_is_charged_once_whatever_the_attempts() -> None:
+def test_a_request_is_charged_once_for_all_attempts() -> None:
     bench = make_bench(i_1=breaks(), i_2=breaks())
     make_limited(bench)
     bench.serve(make_request())
@@ -878,7 +878,7 @@
     assert bench.limiter.given_back == []
 
 
-def test_a_request_is_charged_what_it_names() -> None:
+def test_a_request_is_charged_the_tokens_that_it_declares() -> None:
     bench = make_bench(i_1=answers(b"x"))
     make_limited(bench)
     request = make_request()
@@ -887,7 +887,7 @@
     assert bench.limiter.taken == [("tenant-1", 1_540, 1)]
 
 
-def test_what_no_runner_has_run_is_given_back() -> None:
+def test_the_charge_is_refunded_if_no_runner_has_run_the_request() -> None:
     bench = make_bench(i_1=refuses(RefusalCause.FULL))
     make_limited(bench)
     _, error = bench.serve(make_request())
@@ -895,7 +895,7 @@
     assert bench.limiter.given_back == [("tenant-1", 200.0)]
 
 
-def test_what_may_have_run_is_not_given_back_when_the_caller_leaves() -> None:
+def test_the_charge_is_kept_if_the_request_may_have_run() -> None:
     bench = make_bench(i_1=hangs())
     make_limited(bench)
     bench.state.freshness.prove(0.0)
@@ -905,13 +905,13 @@
     assert bench.limiter.given_back == []
 
 
-def test_tenants_without_a_limit_are_not_asked_for() -> None:
+def test_tenants_without_a_limit_are_not_charged() -> None:
     bench = make_bench(i_1=answers(b"x"))
     bench.serve(make_request())
     assert bench.limiter.taken == []
 
 
-def test_the_log_tells_of_each_request_on_older_weights(caplog: pytest.LogCaptureFixture) -> None:
+def test_each_request_on_older_weights_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     bench = make_stream_bench(i_1=answers(*EVENTS))
     bench.serve(stream_request())
@@ -920,9 +920,9 @@
     now = bench.scheduler.now
     bench.state.note_weights_named(WeightsNamed(MODEL, 2), now - 1.0, "node-7", now)
     bench.serve(stream_request(request_id="r-2"))
-    told = [vars(record) for record in caplog.records if record.getMessage() in messages]
-    assert [fields["msg"] for fields in told] == messages
-    for fields in told:
+    logged = [vars(record) for record in caplog.records if record.getMessage() in messages]
+    assert [fields["msg"] for fields in logged] == messages
+    for fields in logged:
         assert (fields["weights"], fields["superseded_by"], fields["newest"]) == (1, 2, 2)
         assert (fields["source"], fields["bound_by"]) == ("node-7", "named")
         assert fields["named_seconds_ago"] >= 1.0
@@ -930,9 +930,9 @@
         assert total == pytest.approx(VERSION_GRACE, abs=0.002)
 
 
-def test_an_attempt_at_a_runner_that_has_started_again_goes_on_at_another_one() -> None:
-    # Its connection says nothing, as where the machine went down with the process; the runner is
-    # back under its name long before the silence would be noticed.
+def test_an_attempt_at_a_restarted_runner_continues_at_another_one() -> None:
+    # The connection stays silent, as if the machine had failed with the process. The runner
+    # restarts under its name long before the silence would be noticed.
     behave = breaks_off_then(answers(EVENTS[0], 100.0), answers(*EVENTS[1:]))
     bench = make_stream_bench(i_1=behave, i_22=behave)
     first: list[Runner] = []
@@ -945,7 +945,7 @@
     bench.scheduler.spawn(bench.scheduler.new_loop(), end_first())
     sink, error = bench.serve(stream_request(), within=0.5)
     assert error is None and len(first) == 1
-    # It ended under this request, which may be why.
+    # The crash is recorded with this request, which may be its cause.
     ended = [end.runner_id for end in bench.state.runner_ends.ends()]
     assert ended == [first[0].runner_id]
     assert (sink.body, sink.heads, sink.finished) == (b"".join(EVENTS), 1, True)
--- a/tests/fleet/test_regions_placement.py
+++ b/tests/fleet/test_regions_placement.py
@@ -1,4 +1,4 @@
-"""Which region's runners serve a request, and what is moved between regions."""
+"""Placement across regions: which region serves a request, and what is fetched between regions."""
 
 from __future__ import annotations
 
@@ -62,17 +62,17 @@
 SALT = f"shared|{MODEL}|1"
 SUBJECT = PromptPart("subject", 3_780)
 OWN = PromptPart("own", 2_890)
-# A move of the subject takes 39 ms within a zone and 0.4 s between regions.
+# A transfer of the subject part takes 39 ms within a zone and 0.4 s between regions.
 ENGINE = EngineProfile(12, 93_049, 327_680.0, 280_000.0, (MODEL,))
 BODY = b"x" * 9_200
-# What a prompt takes of the link: its way there is the greater part.
+# Bytes of a prompt on the link; the direction to the runner carries more than the answer.
 PROMPT_BYTES = len(BODY) + HEAD_BYTES
 FAR_STORE = KeptCacheStore("10.9.9.9:1", "b-1", 1_000_000, 1_500_000.0)
 NEAR_STORE = KeptCacheStore("10.9.9.8:1", "a-2", 1_000_000, 1_500_000.0)
 
 
 class Region:
-    """A node of region a beside the runners of regions a and b."""
+    """A node of region a, with the runners of regions a and b."""
 
     def __init__(
         self,
@@ -132,7 +132,7 @@
             self.placement.sent(job, placed, f"attempt-{next(self._numbers)}", now)
         return placed
 
-    def lose(self, region: str, share: float = 1.0) -> None:
+    def fail_runners(self, region: str, share: float = 1.0) -> None:
         runners = [r for r in self.state.pool.all() if REGIONS[r.entry.zone] == region]
         for place, runner in enumerate(runners):
             if place < share * len(runners):
@@ -150,13 +150,13 @@
                     runner.attempts.add(str(number), OwnAttempt(0, 0, 0.0, 9.0))
 
     def fill_link(self, job: Job | None = None) -> None:
-        """Use up the node's share of the link, until it has no room for a job."""
+        """Use up the node's share of the link until it has no room for a job."""
         request = (job or self.prompt()).request
-        far = next(r for r in self.state.pool.all() if REGIONS[r.entry.zone] == "b")
+        remote_runner = next(r for r in self.state.pool.all() if REGIONS[r.entry.zone] == "b")
         while self.regions.has_link_room(request, 0.0):
-            self.regions.sent(far, request)
+            self.regions.sent(remote_runner, request)
 
-    def keep(self, holder: str, part: PromptPart = SUBJECT) -> None:
+    def cache_part(self, holder: str, part: PromptPart = SUBJECT) -> None:
         self.state.index.note(holder, SALT, [part])
 
 
@@ -164,35 +164,35 @@
     return REGIONS[placed.runner.entry.zone] if placed is not None else None
 
 
-def test_in_calm_all_prompts_stay_in_their_region() -> None:
+def test_without_load_all_prompts_stay_in_their_region() -> None:
     region = Region()
     jobs = [region.prompt(f"subject-{number}") for number in range(30)]
     placed = [region.place_and_send(job, 0.1 * place) for place, job in enumerate(jobs)]
-    assert {region_of(one) for one in placed} == {"a"}
+    assert {region_of(placed_one) for placed_one in placed} == {"a"}
 
 
-def test_in_calm_all_calls_stay_in_their_region() -> None:
+def test_without_load_all_calls_stay_in_their_region() -> None:
     region = Region()
     assert {region_of(region.place_and_send(region.call())) for _ in range(12)} == {"a"}
 
 
-def test_a_prompt_follows_a_part_that_lies_in_the_other_region_only() -> None:
+def test_a_prompt_follows_a_part_cached_only_in_the_other_region() -> None:
     region = Region()
-    region.keep("engine-b-1-0")
+    region.cache_part("engine-b-1-0")
     placed = region.place(region.prompt())
     assert placed is not None
     assert (region_of(placed), placed.borrowed) == ("b", BorrowReason.CACHED)
     assert placed.repeated_tokens == 0
 
 
-def test_a_prompt_stays_where_its_part_lies_in_both_regions() -> None:
+def test_a_prompt_stays_if_its_part_is_cached_in_both_regions() -> None:
     region = Region()
-    region.keep("engine-b-1-0")
-    region.keep("engine-a-3-0")
+    region.cache_part("engine-b-1-0")
+    region.cache_part("engine-a-3-0")
     assert region_of(region.place(region.prompt())) == "a"
 
 
-def test_a_part_of_few_tokens_draws_no_request_to_the_other_region() -> None:
+def test_a_small_cached_part_attracts_no_request_to_the_other_region() -> None:
     region = Region()
     region.state.index.note("engine-b-1-0", SALT, [PromptPart("small", 200)])
     shape = PromptShape((PromptPart("small", 200), OWN), 9)
@@ -220,7 +220,7 @@
 
 def test_a_region_without_runners_is_served_by_the_other() -> None:
     region = Region()
-    region.lose("a")
+    region.fail_runners("a")
     placed = region.place(region.prompt())
     assert placed is not None
     assert (region_of(placed), placed.borrowed) == ("b", BorrowReason.NO_RUNNER)
@@ -228,13 +228,13 @@
 
 def test_calls_of_a_region_without_runners_are_served_by_the_other() -> None:
     region = Region()
-    region.lose("a")
+    region.fail_runners("a")
     placed = region.place(region.call())
     assert placed is not None
     assert (region_of(placed), placed.borrowed) == ("b", BorrowReason.NO_RUNNER)
 
 
-def test_a_call_goes_to_the_other_region_where_its_own_has_no_room() -> None:
+def test_a_call_goes_to_the_other_region_if_its_own_has_no_room() -> None:
     region = Region()
     region.fill_applications("a")
     placed = region.place(region.call())
@@ -242,33 +242,33 @@
     assert (region_of(placed), placed.borrowed) == ("b", BorrowReason.FULL)
 
 
-def test_a_call_waits_in_its_region_where_no_region_has_room() -> None:
+def test_a_call_waits_in_its_region_if_no_region_has_room() -> None:
     region = Region()
     region.fill_applications("a")
     region.fill_applications("b")
     assert region_of(region.place(region.call())) == "a"
 
 
-def test_half_a_region_beside_a_burst_borrows_what_the_link_bears() -> None:
+def test_half_a_region_under_a_burst_uses_its_share_of_the_link() -> None:
     region = Region()
-    region.lose("a", 0.5)
+    region.fail_runners("a", 0.5)
     placed = [region.place_and_send(region.prompt(f"s-{n}"), n * 0.001) for n in range(120)]
-    carried = [region_of(one) for one in placed].count("b") * PROMPT_BYTES
+    carried = [region_of(placed_one) for placed_one in placed].count("b") * PROMPT_BYTES
     at_once = BURST_SECONDS * link_share_bytes()
     assert 0.9 * at_once < carried <= at_once + 0.12 * link_share_bytes()
 
 
-def test_half_a_region_beside_a_burst_serves_the_rest_itself() -> None:
+def test_half_a_region_under_a_burst_serves_the_rest_itself() -> None:
     region = Region()
-    region.lose("a", 0.5)
+    region.fail_runners("a", 0.5)
     placed = [region.place_and_send(region.prompt(f"s-{n}"), n * 0.001) for n in range(120)]
-    assert {region_of(one) for one in placed} == {"a", "b"}
+    assert {region_of(placed_one) for placed_one in placed} == {"a", "b"}
 
 
-def test_prompts_of_a_lost_region_keep_to_the_share_of_the_link() -> None:
+def test_prompts_of_a_failed_region_stay_within_the_share_of_the_link() -> None:
     region = Region()
-    region.lose("a")
-    # Callers ask for three times of what the node's share of the link carries.
+    region.fail_runners("a")
+    # Callers send three times the load that the node's share of the link can carry.
     seconds, rate = 20, 3 * link_share_bytes() / PROMPT_BYTES
     served = 0
     for number in range(int(seconds * rate)):
@@ -283,14 +283,14 @@
     return LINK_MEGABITS * 1_000_000 / 8 / 2 / nodes
 
 
-def test_a_late_prompt_stays_where_the_link_has_no_room() -> None:
+def test_a_late_prompt_stays_if_the_link_has_no_room() -> None:
     region = Region()
     region.fill_engines("a")
     region.fill_link()
     assert region_of(region.place(region.prompt())) == "a"
 
 
-def test_work_of_the_own_region_takes_nothing_of_the_link() -> None:
+def test_requests_within_the_region_use_nothing_of_the_link() -> None:
     region = Region()
     for number in range(200):
         region.place_and_send(region.prompt(), 0.2 * number)
@@ -306,7 +306,7 @@
     assert not region.placement.has_room(job, 0.0)
 
 
-def test_a_share_of_the_link_fills_again_with_time() -> None:
+def test_a_share_of_the_link_refills_over_time() -> None:
     share = LinkShare(LINK_MEGABITS)
     share.allows(1.0, 30, 0.0)
     share.spend(125_000.0)
@@ -314,35 +314,35 @@
     assert share.allows(60_000.0, 30, 2.0)
 
 
-def test_a_share_of_the_link_does_not_grow_when_the_clock_stands() -> None:
+def test_a_share_of_the_link_does_not_grow_while_the_clock_stands_still() -> None:
     share = LinkShare(LINK_MEGABITS)
     assert share.allows(60_000.0, 30, 5.0)
     share.spend(125_000.0)
     assert not share.allows(1.0, 30, 5.0)
 
 
-def test_a_part_is_fetched_from_the_other_region_rather_than_read_again() -> None:
+def test_a_part_is_fetched_from_the_other_region_instead_of_prefilled() -> None:
     region = Region()
-    region.keep("engine-b-1-0")
+    region.cache_part("engine-b-1-0")
     region.fill_link()
     placed = region.place(region.prompt())
     assert placed is not None
     assert placed.fetches_across and placed.repeated_tokens == 0
 
 
-def test_a_part_of_the_own_region_is_fetched_there() -> None:
+def test_a_part_cached_in_the_region_is_fetched_there() -> None:
     region = Region()
-    region.keep("engine-b-1-0")
-    region.keep("engine-a-2-0")
+    region.cache_part("engine-b-1-0")
+    region.cache_part("engine-a-2-0")
     region.state.pool.of_service(ENGINES)[3].prefill_done_at = 0.4
     region.fill_engines("b")
     placed = region.place(region.prompt())
     assert placed is not None and not placed.fetches_across
 
 
-def test_a_part_is_read_again_where_a_fetch_across_would_be_late() -> None:
+def test_a_part_is_prefilled_again_if_a_cross_region_fetch_would_be_late() -> None:
     region = Region()
-    region.keep("engine-b-1-0")
+    region.cache_part("engine-b-1-0")
     region.fill_engines("a", 0.25)
     region.fill_link()
     placed = region.place(region.prompt())
@@ -363,14 +363,14 @@
 
 def test_the_store_of_the_other_region_is_a_source() -> None:
     region = Region(store=FAR_STORE)
-    region.keep(FAR_STORE.address)
+    region.cache_part(FAR_STORE.address)
     region.fill_link()
     placed = region.place(region.prompt())
     assert placed is not None
     assert (placed.fetch_from, placed.fetches_across) == (FAR_STORE.address, True)
 
 
-def test_a_further_attempt_stays_in_its_region_and_leaves_the_zone() -> None:
+def test_a_retry_stays_in_its_region_and_avoids_the_zone() -> None:
     region = Region()
     first = region.place(region.call())
     assert first is not None
@@ -381,7 +381,7 @@
     assert second.runner.entry.zone != first.runner.entry.zone
 
 
-def test_a_further_attempt_of_a_prompt_stays_in_its_region_and_leaves_the_zone() -> None:
+def test_a_retry_of_a_prompt_stays_in_its_region_and_avoids_the_zone() -> None:
     region = Region()
     job = region.prompt()
     first = region.place(job)
@@ -392,24 +392,24 @@
     assert second.runner.entry.zone != first.runner.entry.zone
 
 
-def test_runners_of_the_other_region_are_not_weighed_while_the_own_one_serves_in_time(
+def test_runners_of_the_other_region_are_not_considered_without_need(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     region = Region()
-    asked: list[str] = []
+    loaded_regions: list[str] = []
     load = RunnerLoad(0, 0, 0)
 
-    def noted(runner: Runner, now: float) -> RunnerLoad:
-        asked.append(REGIONS[runner.entry.zone])
+    def record_load(runner: Runner, now: float) -> RunnerLoad:
+        loaded_regions.append(REGIONS[runner.entry.zone])
         return load
 
-    monkeypatch.setattr(Runner, "load", noted)
+    monkeypatch.setattr(Runner, "load", record_load)
     region.place(region.prompt())
-    assert set(asked) == {"a"}
+    assert set(loaded_regions) == {"a"}
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_deployment_of_one_region_chooses_as_without_regions(seed: int) -> None:
+def test_placement_with_one_named_region_equals_placement_without_regions(seed: int) -> None:
     named = Topology("a-1", "a", dict.fromkeys(REGIONS, "a"))
     choices = []
     for topology in (Topology("a-1"), named):
@@ -418,9 +418,9 @@
         placed = []
         for number in range(40):
             job = region.prompt(f"subject-{rng.randrange(8)}")
-            one = region.place_and_send(job, number * 0.01)
-            assert one is not None
-            placed.append((one.runner.runner_id, one.fetch_from, one.borrowed))
+            placed_one = region.place_and_send(job, number * 0.01)
+            assert placed_one is not None
+            placed.append((placed_one.runner.runner_id, placed_one.fetch_from, placed_one.borrowed))
         choices.append(placed)
     assert choices[0] == choices[1]
 
@@ -430,7 +430,7 @@
     read_time = time.time
 
     def refuse() -> float:
-        # Log records and counters of the libraries carry the time of day; it decides nothing there.
+        # Libraries read the time of day for log records and counters only.
         if sys._getframe(1).f_globals["__name__"].startswith("hillstack"):
             raise AssertionError("the time of day was read")
         return read_time()
@@ -471,14 +471,14 @@
     assert sent_to[0] == "app-a-1" and sent_to[1] in ("app-a-2", "app-a-3")
 
 
-def test_calls_of_a_lost_region_keep_to_the_share_of_the_link() -> None:
+def test_calls_of_a_failed_region_stay_within_the_share_of_the_link() -> None:
     region = Region()
-    region.lose("a")
+    region.fail_runners("a")
     region.fill_link(region.call())
     assert region.place(region.call()) is None
 
 
-def test_what_is_borrowed_and_fetched_across_is_counted() -> None:
+def test_borrowed_runners_and_cross_region_fetches_are_counted() -> None:
     metrics = FleetMetrics()
     metrics.count_regions(BorrowReason.LATE, "10.0.0.1:1", is_cross_region=True)
     text = metrics.text().decode()
--- a/tests/fleet/test_rollout_observer.py
+++ b/tests/fleet/test_rollout_observer.py
@@ -1,4 +1,4 @@
-"""What is seen and told of the versions of a rollout, and that a bad one is closed in time."""
+"""Observation and reports of the versions in a rollout; a bad version is closed in time."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
     return RolloutReport(APPLICATION, REVISION, stage, old_running, list(outcomes), bad)
 
 
-# What all nodes saw.
+# Evidence from the reports of all nodes.
 
 
 def test_counts_of_all_processes_add_up() -> None:
@@ -90,21 +90,21 @@
     assert evidence.totals()[KEY].answered == 10
 
 
-def test_lost_reports_are_made_up_for_by_the_next() -> None:
+def test_the_next_report_replaces_lost_ones() -> None:
     evidence = RolloutEvidence()
     evidence.take("a", 1, report(counts(3)), 0.0)
     evidence.take("a", 1, report(counts(30, 7)), 0.0)
     assert evidence.totals()[KEY].failed == 7
 
 
-def test_a_restarted_node_keeps_what_it_counted_before() -> None:
+def test_counts_of_a_node_before_its_restart_are_kept() -> None:
     evidence = RolloutEvidence()
     evidence.take("a", 1, report(counts(10)), 0.0)
     evidence.take("a", 2, report(counts(3)), 0.0)
     assert evidence.totals()[KEY].answered == 13
 
 
-def test_a_late_word_of_the_process_before_is_not_the_nodes_state() -> None:
+def test_a_late_report_of_an_earlier_process_is_not_the_nodes_state() -> None:
     evidence = RolloutEvidence()
     evidence.take("a", 1, report(old_running=5, stage="shifting"), 0.0)
     evidence.take("a", 2, report(old_running=0, stage="shifting"), 0.1)
@@ -112,7 +112,7 @@
     assert evidence.reporters(0.2)["a"].old_running == 0
 
 
-def test_a_first_word_of_the_process_before_that_comes_late_is_not_believed_for_long() -> None:
+def test_a_late_first_report_of_an_earlier_process_is_soon_replaced() -> None:
     evidence = RolloutEvidence()
     evidence.take("a", 2, report(old_running=3, stage="shifting"), 0.0)
     evidence.take("a", 1, report(old_running=0, stage="shifting"), 0.1)
@@ -129,14 +129,14 @@
     assert evidence.reporters(0.1)["a"].stage == "shifting"
 
 
-def test_a_silent_node_does_not_report() -> None:
+def test_a_silent_node_is_no_reporter() -> None:
     evidence = RolloutEvidence()
     evidence.take("a", 1, report(), 0.0)
     assert list(evidence.reporters(REPORTER_SECONDS - 0.1)) == ["a"]
     assert not evidence.reporters(REPORTER_SECONDS)
 
 
-def test_one_peers_word_is_enough() -> None:
+def test_one_bad_report_of_a_peer_is_enough() -> None:
     evidence = RolloutEvidence()
     evidence.take("a", 1, report(bad=True), 0.0)
     evidence.take("a", 1, report(), 0.0)
@@ -150,24 +150,24 @@
     for number in range(MOST_PROCESSES + 10):
         evidence.take("b", number, report(counts(1)), 0.0)
     assert len(evidence.totals()) == MOST_KEYS
-    # One that could not be told from others is passed over; one process was "a".
+    # Outcomes and processes beyond the limits are ignored; one of the processes is "a".
     assert sum(total.answered for total in evidence.totals().values()) <= MOST_KEYS
 
 
-def test_a_report_with_too_many_or_too_few_delays_is_taken_as_far_as_it_goes() -> None:
+def test_a_report_with_too_many_or_too_few_delays_is_cut_or_padded() -> None:
     evidence = RolloutEvidence()
     evidence.take("a", 1, report(OutcomeCounts(NEW, ROUTE, False, 2, 0, [1] * 30)), 0.0)
     evidence.take("b", 1, report(OutcomeCounts(NEW, ROUTE, False, 2, 0, [1])), 0.0)
     assert evidence.totals()[KEY].delays == (2, *[1] * (DELAY_BUCKETS - 1))
 
 
-# What one node saw.
+# Outcomes at one node.
 
 
 @pytest.mark.parametrize(
     ("slowness", "bucket"), [(0.0, 0), (0.25, 0), (0.5, 2), (1.0, 4), (2.0, 6), (4.0, 8), (99.0, 9)]
 )
-def test_delays_are_told_in_half_octaves(slowness: float, bucket: int) -> None:
+def test_delays_are_counted_in_half_octaves(slowness: float, bucket: int) -> None:
     assert delay_bucket(slowness) == bucket
 
 
@@ -175,7 +175,7 @@
     return AttemptOutcome(OutcomeKey(version, ROUTE, False), runner_id, failed=True, broken=True)
 
 
-def test_a_broken_answer_counts_after_a_moment() -> None:
+def test_a_broken_answer_counts_after_the_cut_window() -> None:
     outcomes = OwnOutcomes()
     outcomes.add(broken("n-0", NEW), 1.0)
     assert not outcomes.settle(1.0 + CUT_SECONDS / 2)
@@ -183,7 +183,7 @@
     assert outcomes.rows()[0].failed == 1
 
 
-def test_connections_to_several_versions_that_a_cut_ends_count_for_none() -> None:
+def test_connections_to_several_versions_broken_by_a_network_cut_do_not_count() -> None:
     outcomes = OwnOutcomes()
     for runner_id, version, at in (("n-0", NEW, 1.0), ("o-0", OLD, 1.2), ("o-1", OLD, 1.3)):
         outcomes.add(broken(runner_id, version), at)
@@ -191,14 +191,14 @@
     assert not outcomes.rows()
 
 
-def test_new_runners_that_break_together_are_no_cut() -> None:
+def test_new_runners_that_break_together_are_not_a_network_cut() -> None:
     outcomes = OwnOutcomes()
     for number in range(4):
         outcomes.add(broken(f"n-{number}", NEW), 1.0)
     assert len(outcomes.settle(2.0)) == 4
 
 
-def test_what_broke_at_a_runner_that_a_request_ended_does_not_count() -> None:
+def test_attempts_broken_by_a_fatal_request_do_not_count() -> None:
     outcomes = OwnOutcomes()
     outcomes.add(broken("n-0", NEW), 1.0)
     outcomes.add(broken("n-1", NEW), 1.0)
@@ -207,16 +207,16 @@
     assert outcomes.rows()[0].failed == 1
 
 
-class Watched:
-    """A watch of an attempt, and what it made of it."""
+class MonitoredAttempt:
+    """An attempt monitor and the outcomes that it reported."""
 
     def __init__(self, *, is_stream: bool = False) -> None:
         self.outcomes: list[AttemptOutcome] = []
-        self.watch = AttemptMonitor(
+        self.monitor = AttemptMonitor(
             KEY, "n-0", 0.0, 0.1, lambda outcome, now: self.outcomes.append(outcome)
         )
         if is_stream:
-            self.watch = AttemptMonitor(
+            self.monitor = AttemptMonitor(
                 KEY, "n-0", 0.0, 0.1, lambda o, now: self.outcomes.append(o), is_stream=True
             )
 
@@ -226,19 +226,19 @@
 
 
 def test_an_answer_counts_with_its_delay() -> None:
-    watched = Watched()
-    watched.watch.head(200, 0.2, signed=True)
-    watched.watch.ended(5.0)
-    (outcome,) = watched.outcomes
+    attempt = MonitoredAttempt()
+    attempt.monitor.head(200, 0.2, signed=True)
+    attempt.monitor.ended(5.0)
+    (outcome,) = attempt.outcomes
     assert not outcome.failed and outcome.slowness == pytest.approx(2.0)
 
 
-def test_a_stream_is_as_late_as_its_first_event() -> None:
-    watched = Watched(is_stream=True)
-    watched.watch.head(200, 0.01, signed=True)
-    watched.watch.first_bytes(0.4)
-    watched.watch.ended(5.0)
-    assert watched.outcomes[0].slowness == pytest.approx(4.0)
+def test_the_delay_of_a_stream_is_that_of_its_first_event() -> None:
+    attempt = MonitoredAttempt(is_stream=True)
+    attempt.monitor.head(200, 0.01, signed=True)
+    attempt.monitor.first_bytes(0.4)
+    attempt.monitor.ended(5.0)
+    assert attempt.outcomes[0].slowness == pytest.approx(4.0)
 
 
 @pytest.mark.parametrize(
@@ -254,25 +254,25 @@
 def test_a_failure_is_a_server_error_or_an_unsigned_success(
     status: int, signed: bool, failed: bool
 ) -> None:
-    watched = Watched()
-    watched.watch.head(status, 0.1, signed=signed)
-    watched.watch.ended(0.2)
-    assert watched.outcomes[0].failed == failed and not watched.outcomes[0].broken
+    attempt = MonitoredAttempt()
+    attempt.monitor.head(status, 0.1, signed=signed)
+    attempt.monitor.ended(0.2)
+    assert attempt.outcomes[0].failed == failed and not attempt.outcomes[0].broken
 
 
 def test_an_answer_that_breaks_off_is_a_failure() -> None:
-    watched = Watched()
-    watched.watch.head(200, 0.1, signed=True)
-    watched.watch.raised(BackendBrokenError("reset", step="relay", peer="n-0"))
-    watched.watch.ended(0.2)
-    assert watched.outcomes[0].failed and watched.outcomes[0].broken
+    attempt = MonitoredAttempt()
+    attempt.monitor.head(200, 0.1, signed=True)
+    attempt.monitor.raised(BackendBrokenError("reset", step="relay", peer="n-0"))
+    attempt.monitor.ended(0.2)
+    assert attempt.outcomes[0].failed and attempt.outcomes[0].broken
 
 
 def test_a_refusal_does_not_count() -> None:
-    watched = Watched()
-    watched.watch.raised(refused())
-    watched.watch.ended(0.2)
-    assert not watched.outcomes
+    attempt = MonitoredAttempt()
+    attempt.monitor.raised(refused())
+    attempt.monitor.ended(0.2)
+    assert not attempt.outcomes
 
 
 @pytest.mark.parametrize(
@@ -283,49 +283,49 @@
         AttemptAbandonedError("silent", step="await answer", peer="n-0"),
     ],
 )
-def test_an_attempt_given_up_early_does_not_count(error: BaseException) -> None:
-    watched = Watched()
-    watched.watch.raised(error)
-    watched.watch.ended(0.05)
-    assert not watched.outcomes
-
-
-def test_an_attempt_that_was_ended_for_what_its_request_does_says_nothing_of_its_time() -> None:
-    watched = Watched()
-    watched.watch.raised(asyncio.CancelledError())
-    watched.watch.stopped()
-    watched.watch.ended(0.8)
-    assert not watched.outcomes
-
-
-def test_a_failure_counts_also_where_the_attempt_was_ended_afterwards() -> None:
-    watched = Watched()
-    watched.watch.head(500, 0.1, signed=True)
-    watched.watch.raised(asyncio.CancelledError())
-    watched.watch.stopped()
-    watched.watch.ended(0.8)
-    assert watched.outcomes[0].failed
-
-
-def test_an_attempt_given_up_late_counts_with_the_time_that_was_waited() -> None:
-    watched = Watched()
-    watched.watch.raised(asyncio.CancelledError())
-    watched.watch.ended(0.8)
-    (outcome,) = watched.outcomes
+def test_an_attempt_abandoned_early_does_not_count(error: BaseException) -> None:
+    attempt = MonitoredAttempt()
+    attempt.monitor.raised(error)
+    attempt.monitor.ended(0.05)
+    assert not attempt.outcomes
+
+
+def test_the_time_of_an_attempt_aborted_as_fatal_does_not_count() -> None:
+    attempt = MonitoredAttempt()
+    attempt.monitor.raised(asyncio.CancelledError())
+    attempt.monitor.stopped()
+    attempt.monitor.ended(0.8)
+    assert not attempt.outcomes
+
+
+def test_a_failure_counts_even_if_the_attempt_was_aborted_later() -> None:
+    attempt = MonitoredAttempt()
+    attempt.monitor.head(500, 0.1, signed=True)
+    attempt.monitor.raised(asyncio.CancelledError())
+    attempt.monitor.stopped()
+    attempt.monitor.ended(0.8)
+    assert attempt.outcomes[0].failed
+
+
+def test_an_attempt_abandoned_late_counts_with_the_time_waited() -> None:
+    attempt = MonitoredAttempt()
+    attempt.monitor.raised(asyncio.CancelledError())
+    attempt.monitor.ended(0.8)
+    (outcome,) = attempt.outcomes
     assert not outcome.failed and outcome.slowness == pytest.approx(8.0)
 
 
-class Teller:
-    """Keeps what is told."""
+class FakeReporter:
+    """Stores the reports that are sent."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[list[RolloutReport], bool]] = []
+        self.sent_reports: list[tuple[list[RolloutReport], bool]] = []
 
     def tell_rollouts(self, reports: list[RolloutReport], *, urgent: bool = False) -> None:
-        self.told.append((reports, urgent))
+        self.sent_reports.append((reports, urgent))
 
     def latest(self) -> RolloutReport:
-        return self.told[-1][0][0]
+        return self.sent_reports[-1][0][0]
 
 
 class Observed:
@@ -335,11 +335,11 @@
         entries = [make_entry("n-0", software=NEW), make_entry("o-0", software=OLD)]
         self.bench = Bench(make_state(make_table(make_route(attempts=2)), *entries))
         self.state: FleetState = self.bench.state
-        self.teller = Teller()
+        self.reporter = FakeReporter()
         self.metrics = FleetMetrics()
         self.observer = RolloutObserver(
             self.state,
-            self.teller,
+            self.reporter,
             ThresholdJudge,
             self.bench.placement.usual_seconds,
             self.metrics,
@@ -369,10 +369,10 @@
 
 
 def test_a_node_that_starts_late_learns_the_orders_age_from_one_that_saw_it() -> None:
-    """By the record alone it took the order to be as old as when the record was written.
+    """The record alone gives the age of the order only as of when the record was written.
 
-    Each node that started and held the duty wrote that on, so the age stood still meanwhile: with
-    holders replaced every 4.6 s a rollout of 12 s was decided after 19.0 s.
+    If each newly started lease holder writes that age again, the age does not advance: with holders
+    replaced every 4.6 s, a rollout of 12 s was decided after 19.0 s.
     """
     saw, starts = Observed(), Observed(ordered=False)
     order = RolloutOrder(APPLICATION, NEW, OVER_SECONDS, rev(REVISION))
@@ -391,12 +391,12 @@
     )
     starts.state.apply(RolloutOrdered(order), 30.0)
     starts.state.apply(RolloutRecorded(record), 30.0)
-    starts.observer.take_report("node-2", 7, saw.teller.latest(), 30.0)
+    starts.observer.take_report("node-2", 7, saw.reporter.latest(), 30.0)
     starts.observer.tick(30.0)
-    assert starts.teller.latest().order_age_ms == saw.teller.latest().order_age_ms >= 30_000
+    assert starts.reporter.latest().order_age_ms == saw.reporter.latest().order_age_ms >= 30_000
 
 
-def test_an_age_that_is_told_to_and_fro_does_not_grow() -> None:
+def test_an_order_age_exchanged_repeatedly_does_not_grow() -> None:
     first, second = Observed(), Observed()
     for node in (first, second):
         node.observer.tick(0.0)
@@ -405,19 +405,19 @@
         for node in (first, second):
             node.bench.scheduler.run_until(now)
             node.observer.tick(now)
-        first.observer.take_report("second", 1, second.teller.latest(), now)
-        second.observer.take_report("first", 1, first.teller.latest(), now)
+        first.observer.take_report("second", 1, second.reporter.latest(), now)
+        second.observer.take_report("first", 1, first.reporter.latest(), now)
     age = now + HEARD_AFTER_SECONDS
-    assert age - 0.001 <= first.teller.latest().order_age_ms / 1000 <= age
+    assert age - 0.001 <= first.reporter.latest().order_age_ms / 1000 <= age
 
 
-def test_without_an_order_nothing_is_counted_or_told() -> None:
+def test_without_an_order_nothing_is_counted_or_reported() -> None:
     observed = Observed(ordered=False)
     observed.bench.client.behaviours = dict.fromkeys(("n-0", "o-0"), answers(b"x"))
     observed.bench.serve(make_request())
     observed.observer.tick(observed.bench.scheduler.now)
     assert observed.observer.evidence(APPLICATION) is None
-    assert not observed.teller.told and not observed.observer._rollouts
+    assert not observed.reporter.sent_reports and not observed.observer._rollouts
 
 
 @pytest.mark.parametrize(
@@ -432,7 +432,7 @@
         (refuses(RefusalCause.FULL), (0, 0)),
     ],
 )
-def test_the_pipeline_tells_how_attempts_end(behaviour, expected) -> None:  # type: ignore[no-untyped-def]
+def test_the_pipeline_reports_outcomes_of_attempts(behaviour, expected) -> None:  # type: ignore[no-untyped-def]
     observed = Observed()
     observed.bench.client.behaviours = {"o-0": behaviour}
     observed.bench.serve(make_request(), 10.0)
@@ -440,34 +440,38 @@
     assert (total.answered, total.failed) == expected
 
 
-def test_a_node_tells_its_counts_while_an_order_is_undecided() -> None:
+def test_a_node_reports_its_counts_while_an_order_is_undecided() -> None:
     observed = Observed()
     observed.bench.client.behaviours = {"o-0": answers(b"x")}
     observed.bench.serve(make_request())
     observed.observer.tick(observed.bench.scheduler.now)
-    told = observed.teller.latest()
-    assert (told.service, told.order_revision, told.stage) == (APPLICATION, REVISION, "canary")
-    assert [(row.version, row.answered) for row in told.outcomes] == [(OLD, 1)]
+    sent_reports = observed.reporter.latest()
+    assert (sent_reports.service, sent_reports.order_revision, sent_reports.stage) == (
+        APPLICATION,
+        REVISION,
+        "canary",
+    )
+    assert [(row.version, row.answered) for row in sent_reports.outcomes] == [(OLD, 1)]
 
 
 @pytest.mark.parametrize("stage", [RolloutStage.COMPLETE, RolloutStage.REVERTED])
-def test_a_decided_rollout_is_told_no_more(stage: RolloutStage) -> None:
+def test_a_decided_rollout_is_no_longer_reported(stage: RolloutStage) -> None:
     observed = Observed()
     observed.record(stage)
     observed.observer.tick(1.0)
-    assert not observed.teller.told
+    assert not observed.reporter.sent_reports
 
 
-def test_a_condemnation_is_told_until_the_store_knows() -> None:
+def test_a_bad_verdict_is_reported_until_the_store_has_it() -> None:
     observed = Observed()
     observed.observer.take_report("peer", 1, report(bad=True), 1.0)
     assert observed.state.rollouts.stage(APPLICATION) is RolloutStage.REVERTED
-    assert observed.teller.told[-1][1] and observed.teller.latest().bad
+    assert observed.reporter.sent_reports[-1][1] and observed.reporter.latest().bad
     observed.observer.tick(2.0)
-    assert observed.teller.latest().bad and observed.teller.latest().stage == "reverted"
+    assert observed.reporter.latest().bad and observed.reporter.latest().stage == "reverted"
 
 
-def test_a_bad_word_about_an_order_that_is_not_known_yet_counts_when_it_comes() -> None:
+def test_a_bad_report_on_an_unknown_order_counts_once_the_order_is_known() -> None:
     observed = Observed(ordered=False)
     observed.observer.take_report("peer", 1, report(bad=True), 1.0)
     order = RolloutOrder(APPLICATION, NEW, OVER_SECONDS, rev(REVISION))
@@ -476,7 +480,7 @@
     assert observed.state.rollouts.stage(APPLICATION) is RolloutStage.REVERTED
 
 
-def test_a_bad_word_about_an_earlier_order_does_not_count() -> None:
+def test_a_bad_report_on_an_earlier_order_does_not_count() -> None:
     observed = Observed()
     earlier = RolloutReport(APPLICATION, REVISION - 1, "canary", 0, [], True)
     observed.observer.take_report("peer", 1, earlier, 1.0)
@@ -484,7 +488,7 @@
     assert observed.state.rollouts.stage(APPLICATION) is RolloutStage.CANARY
 
 
-def test_a_bad_word_after_the_completion_changes_nothing() -> None:
+def test_a_bad_report_after_the_completion_changes_nothing() -> None:
     observed = Observed()
     observed.record(RolloutStage.COMPLETE)
     observed.observer.take_report("peer", 1, report(bad=True), 1.0)
@@ -499,11 +503,11 @@
     assert line.__dict__["evidence"] == {f"{NEW} {ROUTE}": "20/40 [0,0,0,0,20,0,0,0,0,0]"}
 
 
-# Requests that end runners.
+# Requests that crash runners.
 
 
-def end_runners(observed: Observed, *runner_ids: str) -> None:
-    """Let one request end runners one after the other, with an attempt beside it at each."""
+def crash_runners(observed: Observed, *runner_ids: str) -> None:
+    """Let one request crash runners one after the other, each with another attempt running."""
     order = observed.state.rollouts.orders()[0]
     for number, runner_id in enumerate(runner_ids):
         at = 1.0 + 0.2 * number
@@ -515,23 +519,23 @@
     assert 7 in observed.state.runner_ends.fatal()
 
 
-def test_what_broke_beside_a_request_that_ends_runners_of_both_versions_does_not_count() -> None:
+def test_attempts_broken_beside_a_request_that_crashes_both_versions_do_not_count() -> None:
     observed = Observed()
-    end_runners(observed, "n-0", "o-0")
+    crash_runners(observed, "n-0", "o-0")
     observed.observer.tick(2.0)
     assert not observed.totals()
 
 
-def test_a_version_whose_runners_alone_end_under_a_request_is_not_excused() -> None:
+def test_failures_count_if_a_request_crashes_runners_of_one_version_only() -> None:
     observed = Observed()
     entry = make_entry("n-1", software=NEW)
     observed.state.apply(RunnerListed(entry), 0.0)
-    end_runners(observed, "n-0", "n-1")
+    crash_runners(observed, "n-0", "n-1")
     observed.observer.tick(2.0)
     assert observed.totals()[KEY].failed == 2
 
 
-# What the node holds of the target, for the rollout's holder.
+# The node's opinion of the target version, for the node that decides the rollout.
 
 
 def test_without_an_order_there_is_no_opinion() -> None:
@@ -556,7 +560,7 @@
     assert opinion.reason == "found bad by another node; here: 0 looks"
 
 
-def test_the_judge_looks_only_when_a_look_is_due() -> None:
+def test_the_judge_evaluates_only_when_due() -> None:
     observed = Observed()
     for _ in range(10):
         observed.observer.opinion(APPLICATION)
@@ -581,47 +585,47 @@
     assert observed.judge().ordered_at == pytest.approx(-6.0)
 
 
-def test_the_end_of_the_last_attempt_at_an_old_runner_is_told_at_once() -> None:
+def test_the_end_of_the_last_attempt_at_an_old_runner_is_reported_immediately() -> None:
     observed = Observed()
     observed.bench.client.behaviours = {"o-0": begins(1.0, b"x")}
     scheduler = observed.bench.scheduler
     scheduler.at(0.3, lambda: observed.record(RolloutStage.SHIFTING))
     scheduler.at(0.4, lambda: observed.observer.tick(0.4))
     observed.bench.run(observed.bench.pipeline.serve(make_request(), FakeSink()), 0.9)
-    assert observed.teller.latest().old_running == 1
+    assert observed.reporter.latest().old_running == 1
     scheduler.run_until(2.0)
-    assert observed.teller.latest().old_running == 0
-    assert observed.teller.told[-1][1]
+    assert observed.reporter.latest().old_running == 0
+    assert observed.reporter.sent_reports[-1][1]
 
 
-def test_an_attempt_at_an_old_runner_that_helps_out_while_shifting_is_told_at_once() -> None:
+def test_an_attempt_at_an_old_runner_while_shifting_is_reported_immediately() -> None:
     observed = Observed()
     observed.record(RolloutStage.SHIFTING)
     observed.observer.tick(0.0)
-    assert observed.teller.latest().old_running == 0
+    assert observed.reporter.latest().old_running == 0
     runner = observed.state.pool.get("n-0")
     assert runner is not None
     runner.suspected_until = 5.0
     observed.bench.client.behaviours = {"o-0": begins(1.0, b"x")}
     observed.bench.run(observed.bench.pipeline.serve(make_request(), FakeSink()), 0.5)
-    assert observed.teller.latest().old_running == 1
-    assert observed.teller.told[-1][1]
-    told = len(observed.teller.told)
+    assert observed.reporter.latest().old_running == 1
+    assert observed.reporter.sent_reports[-1][1]
+    sent_reports = len(observed.reporter.sent_reports)
     observed.bench.run(observed.bench.pipeline.serve(make_request(), FakeSink()), 0.9)
-    assert len(observed.teller.told) == told
+    assert len(observed.reporter.sent_reports) == sent_reports
 
 
 def test_outcomes_that_do_not_fit_a_report_follow_in_turn() -> None:
     observed = Observed()
-    watched = observed.observer._rollout_of_order(observed.state.rollouts.orders()[0], 0.0)
+    attempt = observed.observer._rollout_of_order(observed.state.rollouts.orders()[0], 0.0)
     for number in range(MAX_REPORT_ROWS + 5):
-        watched.outcomes.add(AttemptOutcome(OutcomeKey(NEW, f"r-{number}", False), "n-0"), 0.0)
-    told = set()
+        attempt.outcomes.add(AttemptOutcome(OutcomeKey(NEW, f"r-{number}", False), "n-0"), 0.0)
+    sent_reports = set()
     for _ in range(2):
         observed.observer.tick(1.0)
-        assert len(observed.teller.latest().outcomes) == MAX_REPORT_ROWS
-        told |= {row.route for row in observed.teller.latest().outcomes}
-    assert len(told) == MAX_REPORT_ROWS + 5
+        assert len(observed.reporter.latest().outcomes) == MAX_REPORT_ROWS
+        sent_reports |= {row.route for row in observed.reporter.latest().outcomes}
+    assert len(sent_reports) == MAX_REPORT_ROWS + 5
 
 
 def test_reports_of_many_unknown_rollouts_are_bounded() -> None:
@@ -691,7 +695,7 @@
     assert answered == {len(traffic.sent)}
 
 
-def test_a_bad_version_is_closed_everywhere_soon(network: NodeNetwork) -> None:
+def test_a_bad_version_is_soon_closed_on_all_nodes(network: NodeNetwork) -> None:
     traffic = make_traffic(network)
     traffic.behaviour = failing
     traffic.order()
@@ -734,7 +738,7 @@
 ) -> None:
     traffic = make_traffic(network)
     traffic.behaviour = failing
-    # Of 240 a second that take 0.05 s each, 2.7 run at each of the four old runners.
+    # With 240 requests per second of 0.05 s each, 2.7 run at each of the four old runners.
     traffic.busy_from = 3
     traffic.order()
     traffic.play(12.0, rate=240.0)
@@ -743,7 +747,7 @@
     assert stages == {RolloutStage.REVERTED}
 
 
-def test_a_bad_version_is_closed_by_word_of_mouth_while_the_store_is_down(
+def test_a_bad_version_is_closed_by_peer_reports_while_the_store_is_down(
     network: NodeNetwork,
 ) -> None:
     traffic = make_traffic(network)
@@ -769,7 +773,7 @@
     network.close()
 
 
-def test_nodes_that_are_cut_off_keep_to_their_part(network: NodeNetwork) -> None:
+def test_partitioned_nodes_stay_within_their_share(network: NodeNetwork) -> None:
     traffic = make_traffic(network)
     traffic.behaviour = failing
     traffic.order()
@@ -783,7 +787,7 @@
     traffic.assert_closed_in_time()
 
 
-def test_nodes_that_come_back_into_touch_close_the_version_at_once(network: NodeNetwork) -> None:
+def test_nodes_that_rejoin_after_a_partition_close_the_version(network: NodeNetwork) -> None:
     traffic = make_traffic(network)
     traffic.behaviour = failing
     traffic.order()
@@ -800,7 +804,7 @@
     assert len(traffic.sent) == before
 
 
-def test_a_paused_node_closes_the_version_when_it_wakes() -> None:
+def test_a_paused_node_closes_the_version_when_it_resumes() -> None:
     network = NodeNetwork(NODES, 3, table=rollout_table(), own_loops=True)
     traffic = make_traffic(network)
     traffic.behaviour = failing
@@ -818,7 +822,7 @@
     network.close()
 
 
-def test_restarted_nodes_bring_no_slack_and_lose_no_evidence(network: NodeNetwork) -> None:
+def test_restarted_nodes_add_no_slack_and_lose_no_evidence(network: NodeNetwork) -> None:
     traffic = make_traffic(network)
     traffic.order()
     for _ in range(4):
@@ -833,11 +837,11 @@
         assert evidence is not None
         totals = evidence.totals()
         counted.append(sum(t.answered for key, t in totals.items() if key.version == NEW))
-    # What a process counted after its last report, and had under way, ends with it.
+    # A restart loses running attempts and the counts since the last report of the process.
     assert min(counted) >= 0.8 * len(traffic.sent)
 
 
-def test_a_herd_of_restarts_sends_nothing_to_the_untrusted_version(network: NodeNetwork) -> None:
+def test_simultaneous_restarts_send_nothing_to_the_untrusted_version(network: NodeNetwork) -> None:
     traffic = make_traffic(network)
     traffic.order()
     traffic.play(3.0)
@@ -849,7 +853,7 @@
     traffic.assert_bounded()
 
 
-def test_new_runners_that_come_before_their_order_get_nothing_before_it(
+def test_new_runners_listed_before_their_order_get_no_requests(
     network: NodeNetwork,
 ) -> None:
     traffic = make_traffic(network)
@@ -862,7 +866,7 @@
     assert traffic.sent
 
 
-def test_when_the_holder_shifts_all_nodes_tell_that_nothing_is_left_at_old_runners(
+def test_while_shifting_all_nodes_report_no_attempts_at_old_runners(
     network: NodeNetwork,
 ) -> None:
     traffic = make_traffic(network)
--- a/tests/fleet/test_rollout_placement.py
+++ b/tests/fleet/test_rollout_placement.py
@@ -1,4 +1,4 @@
-"""Which runners requests use while a rollout of software is under way."""
+"""Placement during a software rollout: which versions requests are sent to."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
     ordered: bool = True,
     service: str = APPLICATION,
 ) -> Bench:
-    """Return a bench with runners ``o-0`` and so on of the old version, ``n-0`` of the new one."""
+    """Return a bench with runners ``o-N`` of the old version and ``n-N`` of the new version."""
     route = make_route(attempts=3)
     if service == ENGINES:
         kind = RouteKind.STREAM
@@ -116,12 +116,12 @@
 
 
 async def resumes(request: ServingRequest, dispatch: Dispatch) -> FakeAnswer:
-    """Answer with the events that the caller does not have yet."""
+    """Answer with the events that the caller has not received yet."""
     return FakeAnswer(list(EVENTS[dispatch.last_event_id or 0 :]))
 
 
 def serve(bench: Bench, count: int) -> Counter[str]:
-    """Serve requests of an application; return the sends by runner."""
+    """Serve requests of an application; return the number of sends by runner."""
     before = len(bench.client.dispatches)
     for _ in range(count):
         bench.serve(make_request(), 0.1)
@@ -141,38 +141,38 @@
     assert 20 < sends_to_new(sends) < 60
 
 
-def test_without_an_order_no_runner_is_looked_at_for_its_version(
+def test_without_an_order_versions_are_not_checked(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     bench = make_bench(32, 0, ordered=False)
     job = bench.pipeline._admission.admit(make_request())
-    looks = Mock()
-    monkeypatch.setattr(SoftwareRollouts, "access", looks)
-    monkeypatch.setattr(VersionArrivals, "is_held", looks)
+    access_checks = Mock()
+    monkeypatch.setattr(SoftwareRollouts, "access", access_checks)
+    monkeypatch.setattr(VersionArrivals, "is_held", access_checks)
     usable = bench.placement.versions.usable(job, 0.0)
     assert usable.candidates is usable.holders
     assert usable.candidates == bench.state.pool.accepting(APPLICATION, 0.0)
     assert bench.placement.has_room(job, 0.0)
     serve(bench, 20)
-    looks.assert_not_called()
+    access_checks.assert_not_called()
 
 
-def test_an_untrusted_version_gets_no_more_than_its_share() -> None:
+def test_an_untrusted_version_gets_at_most_its_share() -> None:
     sends = serve(make_bench(), 400)
     assert 0.07 * 400 < sends_to_new(sends) <= SHARE * 400
 
 
-def test_the_slack_comes_on_top() -> None:
+def test_the_slack_is_added_to_the_share() -> None:
     bench = make_bench(slack=20.0)
-    bench.run(pass_by(), SLACK_SETTLE_SECONDS)
+    bench.run(do_nothing(), SLACK_SETTLE_SECONDS)
     assert 14 <= sends_to_new(serve(bench, 100)) <= SHARE * 100 + 20
 
 
-async def pass_by() -> None:
+async def do_nothing() -> None:
     return
 
 
-def test_canaries_are_gathered_so_that_a_new_runner_is_as_busy_as_an_old_one() -> None:
+def test_canaries_are_concentrated_to_make_a_new_runner_as_busy_as_old_ones() -> None:
     sends = serve(make_bench(8, 8), 400)
     (canaries,) = [count for name, count in sends.items() if is_new(name)]
     usual = (sends.total() - canaries) / 8
@@ -239,7 +239,7 @@
     assert sends_to_new(sends) == sends.total() == 9
 
 
-def test_refused_requests_of_a_service_without_trusted_runners_are_told_when_to_come() -> None:
+def test_a_refusal_without_trusted_runners_gives_a_retry_time() -> None:
     bench = make_bench(new=4)
     for runner in runners(bench, new=False):
         runner.suspected_until = 2.0
@@ -248,14 +248,14 @@
     assert rejected.retry_after == pytest.approx(2.0)
 
 
-def test_the_log_tells_that_runners_are_closed() -> None:
+def test_closed_runners_are_counted_for_the_log() -> None:
     bench = make_bench()
     record(bench, RolloutStage.REVERTED)
     job = bench.pipeline._admission.admit(make_request())
     assert bench.placement.census(job, 0.0).closed == 4
 
 
-def test_a_new_runner_with_old_weights_does_not_keep_a_canary_from_being_served() -> None:
+def test_a_canary_is_served_if_new_runners_have_old_weights() -> None:
     bench = make_bench(service=ENGINES)
     for runner in runners(bench, new=True):
         runner.weights[MODEL] = 0
@@ -264,13 +264,13 @@
         assert error is None and sink.status == 200
 
 
-def test_a_canary_fetches_what_old_runners_keep() -> None:
+def test_a_canary_fetches_parts_cached_by_old_runners() -> None:
     bench = make_bench(old=1, new=1, service=ENGINES)
     warm = bench.state.pool.get("o-0")
     assert warm is not None
     sources = set()
     for _ in range(60):
-        # Beside one prompt that is cached at the old runner alone.
+        # The shared part is cached only at the old runner.
         bench.state.index.clear("n-0")
         bench.state.index.note("o-0", f"shared|{MODEL}|1", [PromptPart("shared", 20_000)])
         bench.serve(stream_request(parts=(("shared", 20_000), ("own", 500))), 1.0)
@@ -290,7 +290,7 @@
     assert to_old and all(dispatch.fetch_from is None for dispatch in to_old)
 
 
-def test_slow_canaries_do_not_change_what_is_expected_of_the_trusted_runners() -> None:
+def test_slow_canaries_do_not_change_the_expected_prefill_rate() -> None:
     bench = make_bench(old=1, new=1, service=ENGINES)
     behave(bench, begins(0.5, *EVENTS), new=True)
     behave(bench, begins(0.02, *EVENTS), new=False)
@@ -300,13 +300,13 @@
     assert bench.placement.prefill_rate(ENGINES) > 38_000
 
 
-def test_while_shifting_all_goes_to_the_new_version() -> None:
+def test_while_shifting_all_requests_go_to_the_new_version() -> None:
     bench = make_bench()
     record(bench, RolloutStage.SHIFTING)
     assert sends_to_new(serve(bench, 50)) == 50
 
 
-def test_while_shifting_old_runners_help_out_if_no_new_one_takes_work() -> None:
+def test_while_shifting_old_runners_are_used_if_no_new_one_accepts_work() -> None:
     bench = make_bench()
     record(bench, RolloutStage.SHIFTING)
     for runner in runners(bench, new=True):
@@ -315,7 +315,7 @@
     assert len(bench.client.answers) == 10
 
 
-def test_while_shifting_old_runners_do_not_help_out_beside_a_new_one() -> None:
+def test_while_shifting_old_runners_are_not_used_if_a_new_one_accepts_work() -> None:
     bench = make_bench()
     record(bench, RolloutStage.SHIFTING)
     for runner in list(runners(bench, new=True))[1:]:
@@ -342,26 +342,26 @@
     assert not serve(bench, 5)
 
 
-def test_a_recorded_completion_stands_before_a_late_condemnation() -> None:
+def test_a_recorded_completion_overrides_a_late_bad_verdict() -> None:
     bench = make_bench()
     bench.state.rollouts.condemn(APPLICATION, rev(REVISION))
     record(bench, RolloutStage.COMPLETE)
     assert sends_to_new(serve(bench, 5)) == 5
 
 
-def test_a_reverted_version_gets_nothing_new() -> None:
+def test_a_reverted_version_gets_no_new_requests() -> None:
     bench = make_bench()
     record(bench, RolloutStage.REVERTED)
     assert sends_to_new(serve(bench, 50)) == 0
 
 
-def test_a_condemned_version_gets_nothing_new_whatever_the_store_says() -> None:
+def test_a_version_found_bad_gets_no_new_requests_whatever_the_store_says() -> None:
     bench = make_bench()
     bench.state.rollouts.condemn(APPLICATION, rev(REVISION))
     assert sends_to_new(serve(bench, 50)) == 0
 
 
-def test_a_reverted_version_loses_nothing_that_it_runs() -> None:
+def test_a_reverted_version_completes_its_running_requests() -> None:
     bench = make_bench(old=1, new=1, service=ENGINES)
     slow = answers(EVENTS[0], 0.3, EVENTS[1], 0.3, EVENTS[2])
     behave(bench, slow, new=True)
@@ -380,7 +380,7 @@
 
 
 @pytest.mark.parametrize("recorded", [False, True])
-def test_after_a_withdrawn_order_for_the_only_version_it_goes_on(recorded: bool) -> None:
+def test_after_a_withdrawn_order_the_only_version_is_used(recorded: bool) -> None:
     bench = make_bench(old=0)
     if recorded:
         record(bench, RolloutStage.CANARY)
@@ -389,7 +389,7 @@
 
 
 @pytest.mark.parametrize("stage", [None, RolloutStage.CANARY, RolloutStage.REVERTED])
-def test_after_a_withdrawn_order_a_version_that_was_bad_stays_closed_also_where_it_is_alone(
+def test_after_a_withdrawn_order_a_bad_version_stays_closed_even_if_it_is_alone(
     stage: RolloutStage | None,
 ) -> None:
     bench = make_bench(old=0)
@@ -401,7 +401,7 @@
     assert sends_to_new(serve(bench, 5)) == 0
 
 
-def test_after_a_withdrawn_order_its_target_does_not_help_out_where_others_are_listed() -> None:
+def test_after_a_withdrawn_order_its_target_is_not_used_if_others_are_listed() -> None:
     bench = make_bench()
     bench.state.apply(RolloutWithdrawn(APPLICATION, rev(REVISION + 1)), bench.scheduler.now)
     for runner in runners(bench, new=False):
@@ -409,7 +409,7 @@
     assert sends_to_new(serve(bench, 5)) == 0
 
 
-def test_new_runners_that_are_listed_before_their_order_wait_for_it() -> None:
+def test_new_runners_listed_before_their_order_wait_for_it() -> None:
     bench = make_bench(new=0, ordered=False)
     list_runners(bench, NEW, 4)
     early = sends_to_new(serve(bench, 20))
@@ -418,14 +418,14 @@
     assert sends_to_new(serve(bench, 200)) <= SHARE * 200
 
 
-def test_without_an_order_a_new_version_is_used_after_a_while() -> None:
+def test_without_an_order_a_new_version_is_used_after_the_hold_time() -> None:
     bench = make_bench(new=0, ordered=False)
     list_runners(bench, NEW, 4)
-    bench.run(pass_by(), HOLD_SECONDS)
+    bench.run(do_nothing(), HOLD_SECONDS)
     assert sends_to_new(serve(bench, 80)) > 20
 
 
-def test_a_new_version_is_used_at_once_where_no_other_takes_work() -> None:
+def test_a_new_version_is_used_immediately_if_no_other_accepts_work() -> None:
     bench = make_bench(new=0, ordered=False)
     list_runners(bench, NEW, 4)
     for runner in runners(bench, new=False):
@@ -433,7 +433,7 @@
     assert sends_to_new(serve(bench, 5)) == 5
 
 
-def test_an_overload_of_the_new_runners_alone_refuses_nobody() -> None:
+def test_an_overload_of_only_the_new_runners_causes_no_refusals() -> None:
     bench = make_bench(old=2, new=2, service=ENGINES)
     for runner in runners(bench, new=True):
         runner.prefill_done_at = 50.0
@@ -443,14 +443,14 @@
         assert error is None
 
 
-def test_requests_without_room_at_trusted_runners_are_not_sent_to_untrusted_ones() -> None:
+def test_requests_refused_by_trusted_runners_are_not_sent_to_untrusted_ones() -> None:
     bench = make_bench(old=1, new=4)
     behave(bench, refuses(RefusalCause.FULL), new=False)
     sends = serve(bench, 60)
     assert sends_to_new(sends) <= SHARE * 60
 
 
-def test_a_runner_of_another_service_is_as_before() -> None:
+def test_runners_of_another_service_are_not_affected() -> None:
     bench = make_bench(service=ENGINES)
     entry = replace(make_entry("o-9", APPLICATION), software="v7")
     bench.state.apply(RunnerListed(entry), 0.0)
@@ -459,7 +459,7 @@
     assert not bench.state.rollouts.concerns(APPLICATION)
 
 
-def test_a_broken_stream_of_a_canary_goes_on_at_a_trusted_runner() -> None:
+def test_a_broken_stream_of_a_canary_is_resumed_at_a_trusted_runner() -> None:
     bench = make_bench(old=1, new=1, service=ENGINES)
     reset = BackendBrokenError("reset", step="relay", peer="n-0")
     behave(bench, answers(EVENTS[0], reset), new=True)
