--- a/src/hillstack/serving/job.py
+++ b/src/hillstack/serving/job.py
@@ -34,7 +34,7 @@
     """A runner chosen for an attempt, and the costs that placement expects.
 
     Attributes:
-        borrowed: Why a runner of another region was chosen; None for a runner of the own region.
+        borrowed: Why a runner of another region was chosen; None for a runner of the local region.
         fetches_across: Whether cached parts are fetched from another region.
     """
 
--- a/src/hillstack/serving/metrics.py
+++ b/src/hillstack/serving/metrics.py
@@ -172,7 +172,7 @@
         """Count an attempt at a runner of another region, and a fetch of cached parts.
 
         Args:
-            borrowed: Why a runner of another region was chosen; None for one of the own region.
+            borrowed: Why a runner of another region was chosen; None for one of the local region.
             fetch_from: Address from which parts are fetched; None for no fetch.
             across: Whether the parts are fetched from another region.
         """
--- a/src/hillstack/serving/placement.py
+++ b/src/hillstack/serving/placement.py
@@ -62,7 +62,8 @@
 FIRST_EVENT_OVERDUE_SECONDS = 0.4
 FIRST_EVENT_OVERDUE_FACTOR = 1.5
 # All nodes give their callers the same end of a backoff as retry time. Retries are spread over this
-# time, half of a usual objective (0.2 to 0.8 s), or they would overload the runner again.
+# time, about half of the shortest objective of known deployments (0.2 to 0.8 s); otherwise they
+# would overload the runner again.
 RETURN_SPREAD_SECONDS = 0.3
 # Expected time of an application server that has not answered yet: the longest work seen.
 USUAL_ANSWER_SECONDS = 0.1
@@ -206,7 +207,7 @@
         )
 
     def _reachable(self, job: Job, runners: Iterable[Runner], now: float) -> list[Runner]:
-        """Return the runners that are in the own region, or reachable over the regions' link."""
+        """Return the runners that are in the local region, or reachable over the regions' link."""
         if self._regions.has_link_room(job.request, now):
             return list(runners)
         return [runner for runner in runners if not self._regions.is_cross_region(runner)]
@@ -262,14 +263,14 @@
         return min(backing_off, key=_available_at, default=None)
 
     def expected_work_seconds(self, job: Job) -> float:
-        """Return the seconds until an idle runner has prefilled the request or answered it."""
+        """Return the seconds for which an idle runner prefills a prompt or works on a call."""
         shape = job.request.shape
         if shape is None or self._state.engine_of(job.service) is None:
             return self.usual_seconds(job.service) or USUAL_ANSWER_SECONDS
         return shape.prompt_tokens / self.prefill_rate(job.service)
 
     def _runners_available_later(self, job: Job, now: float) -> Iterator[Runner]:
-        """Return the runners that will accept the request sooner or later."""
+        """Return the runners that accept the request now or are expected to accept it later."""
         oldest = self._oldest_allowed(job, now)
         for runner in self._state.pool.of_service(job.service):
             if not runner.stays(now) or not self.versions.may_use(job, runner, now):
--- a/src/hillstack/serving/region_choice.py
+++ b/src/hillstack/serving/region_choice.py
@@ -1,10 +1,10 @@
 """Decides whether a request may be sent to a runner of another region, and at what cost.
 
-Runners of the own region are preferred. Runners of another region are considered only if no runner
-of the own region accepts the request, if the best one would answer late, or if it would prefill
-shared parts again that are cached in the other region; and only if this node's share of the link
-between the regions has room. A runner of the other region is chosen if it costs less, including the
-round trip and the bytes on the link.
+Runners of the local region are preferred. Runners of another region are considered only if no
+runner of the local region accepts the request, if the best local runner would answer late, or if it
+would prefill shared parts again that are cached in the other region; and only if this node's share
+of the link between the regions has room. A runner of the other region is chosen if it costs less,
+including the round trip and the bytes on the link.
 """
 
 from __future__ import annotations
--- a/src/hillstack/serving/runner_ends.py
+++ b/src/hillstack/serving/runner_ends.py
@@ -1,10 +1,10 @@
 """Detects requests that crash runners, together with the peers, and stops them.
 
-A fatal request is one that crashes the runners that run it. The monitor records runner crashes seen
-by this node and by peers, notifies the peers of its own, aborts running fatal requests and rejects
-further tries of them. A request whose connection breaks may be a suspect: it is kept apart from
-other suspects until it is answered or found fatal. While no runner has crashed recently, each
-attempt only costs an entry in a dictionary.
+A fatal request is a request that crashes the runners that run it. The monitor records the runner
+crashes that this node and its peers see, reports this node's crashes to the peers, aborts running
+fatal requests and rejects further tries of them. A request that was running at a crash may be a
+suspect; suspects are sent to separate runners until they are answered or found fatal. While no
+runner has crashed recently, each attempt only costs an entry in a dictionary.
 """
 
 from __future__ import annotations
@@ -146,11 +146,11 @@
         self._on_time_since = on_time_since
 
     def _has_survived(self, runner: Runner, ended_at: float) -> bool:
-        """Return whether a process that seemed to crash sent bytes afterwards."""
-        heard_at = runner.last_heard_at
-        if heard_at <= ended_at + LATE_BYTES_SECONDS or heard_at < self._on_time_since():
+        """Return whether a process that seemed to crash at a time has sent bytes afterwards."""
+        received_at = runner.last_heard_at
+        if received_at <= ended_at + LATE_BYTES_SECONDS or received_at < self._on_time_since():
             return False
-        if heard_at < ended_at + MIN_RESTART_SECONDS:
+        if received_at < ended_at + MIN_RESTART_SECONDS:
             return True
         # An attempt sent before the crash that still runs belongs to the same process.
         return any(at is runner and job.sent_at < ended_at for job, at in self._active.values())
@@ -294,8 +294,8 @@
     async def _wait_for_separation(self, job: Job) -> None:
         """Wait for a runner without another suspect, for a bounded time.
 
-        Several callers' tries of one request are sent one at a time, so that each try does not
-        crash a runner of its own.
+        Tries of one request by several callers are sent one at a time, because each of them could
+        crash another runner.
         """
         started_at = self._clock()
         latest = job.deadline - SEPARATION_WAIT_SECONDS
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -886,13 +886,13 @@
     Mutation(
         "bytes of the next process take an end back",
         "serving/runner_ends.py",
-        "if heard_at < ended_at + MIN_RESTART_SECONDS:",
+        "if received_at < ended_at + MIN_RESTART_SECONDS:",
         "if True:",
     ),
     Mutation(
         "bytes that were read late take an end back",
         "serving/runner_ends.py",
-        " or heard_at < self._on_time_since()",
+        " or received_at < self._on_time_since()",
         "",
     ),
     Mutation(
