--- a/src/hillstack/daemon/__init__.py
+++ b/src/hillstack/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The router process: wiring, transports and lifecycle."""
+"""The processes of router and fleet nodes: wiring, transports, background tasks, lifecycle."""
--- a/src/hillstack/daemon/backend_watch.py
+++ b/src/hillstack/daemon/backend_watch.py
@@ -1,4 +1,4 @@
-"""Watches back ends: machine list, status, load and cache events."""
+"""Polls the machine list and the back ends, and subscribes to the cache events of engines."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class BackendWatch:
-    """Keeps fleet and cache index up to date.
+    """Keeps the fleet and the cache index up to date.
 
     Args:
         fleet: Back ends and their load.
-        index: Cache beliefs.
-        surroundings: Machine list, status and load pages, cache events, clock.
-        machine_interval: Seconds between reads of the list.
-        load_interval: Seconds between reads of a status and load page.
-        choose_peer: Returns the address of another node, if there is one.
+        index: Estimated contents of the engines' caches.
+        surroundings: Access to the machine list, back ends, cache events, peers and clock.
+        machine_interval: Mean seconds between reads of the machine list.
+        load_interval: Mean seconds between reads of the status and load of one back end.
+        choose_peer: Returns the address of another node, or None if no other node is known.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._subscribers: dict[str, tuple[str, asyncio.Task[None]]] = {}
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Poll the machine list and all back ends until cancelled."""
         try:
             while True:
                 await self.read_machines()
@@ -64,19 +64,19 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     async def read_machines(self) -> None:
-        """Read the machine list once, from the platform or else from another node.
+        """Read the machine list once, from the platform or, if that fails, from another node.
 
-        When neither answers, the list in hand stays in use: an outage must not take back ends
-        away.
+        If neither answers, the last list stays in use, so that an outage of the platform does not
+        remove back ends.
         """
         try:
             self._apply(await self._surroundings.fetch_machines(), age=0.0)
         except PlatformError as error:
-            logger.debug("machine list not read", extra=error_fields(error))
+            logger.debug("could not read the machine list", extra=error_fields(error))
             await self._read_from_peer()
 
     def machine_list(self) -> MachineListReply | None:
-        """Return the list in use for another node; None before the first."""
+        """Return the current machine list and its age; None before the first successful read."""
         if self._read_at is None:
             return None
         machines = tuple(backend.machine for backend in self._fleet.all())
@@ -91,7 +91,7 @@
                 address, MachineListRequest(), PEER_TIMEOUT_SECONDS
             )
         except PeerError as error:
-            logger.debug("no machine list from peer", extra=error_fields(error))
+            logger.debug("could not read the machine list from a peer", extra=error_fields(error))
             return
         if isinstance(reply, MachineListReply):
             self._apply(list(reply.machines), reply.age)
@@ -125,7 +125,7 @@
                 await self._read_backend(backend)
             except BackendError as error:
                 self._fleet.observe_failure(machine_id, self._surroundings.clock())
-                logger.info("back end not read", extra=error_fields(error))
+                logger.info("could not read back end", extra=error_fields(error))
             await asyncio.sleep(self._load_interval * (0.5 + self._surroundings.rng.random()))
 
     async def _read_backend(self, backend: Backend) -> None:
@@ -137,7 +137,7 @@
         if machine.kind is not BackendKind.ENGINE:
             return
         if self._index.observe_incarnation(machine.machine_id, status.incarnation):
-            logger.info("engine incarnation", extra={"peer": machine.machine_id})
+            logger.info("engine has a new incarnation", extra={"peer": machine.machine_id})
         self._subscribe(backend, status.incarnation)
         report = await self._surroundings.backends.fetch_load(machine.address)
         self._fleet.observe_load(machine.machine_id, report, self._surroundings.clock())
--- a/src/hillstack/daemon/bundle_sync.py
+++ b/src/hillstack/daemon/bundle_sync.py
@@ -1,8 +1,8 @@
-"""Keeps the newest accepted bundle in force on a node.
+"""Fetches new bundles, so that the newest valid bundle is in force on a node.
 
-Bundles come from other nodes, asked at the start and whenever one announces a higher version, and
-from the key-value service. Only a few nodes of a zone watch and poll the service; the rest hear of
-new versions through gossip.
+A node fetches bundles from the key-value service and from other nodes: at startup, and whenever
+another node announces a higher version. Only a few nodes of each zone watch and poll the service;
+the other nodes learn of new versions through gossip.
 """
 
 from __future__ import annotations
@@ -34,11 +34,17 @@
 
 
 class BundleSync:
-    """Fetches bundles and hands them to the adopter.
+    """Fetches bundles and passes them to the adopter.
 
     Args:
-        on_adopted: Called after a bundle came into force.
-        poll_interval: Seconds between reads of the head.
+        adopter: Verifies bundles and holds the bundle in force.
+        membership: The member list.
+        peers: Messages to other nodes.
+        key_value: The key-value service.
+        on_adopted: Called after a new bundle is in force.
+        poll_interval: Mean seconds between reads of the head.
+        clock: Monotonic seconds.
+        rng: Source of randomness.
     """
 
     def __init__(
@@ -65,10 +71,10 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def first_bundle(self, seeds: Sequence[str]) -> None:
-        """Ask peers and the key-value service until some bundle is in force.
+        """Ask peers and the key-value service until a bundle is in force.
 
-        After the first answer the others get a short while, and the highest version wins: a
-        restarted node should not fall back behind what it had before.
+        After the first answer, the remaining requests get a grace period and the highest version
+        wins, so that a restarted node is unlikely to start on an older bundle than it had before.
         """
         while self._adopter.version == 0:
             tasks = [asyncio.create_task(self._fetch_from(seed)) for seed in seeds]
@@ -82,13 +88,13 @@
                 await asyncio.sleep(pause)
 
     def on_announced(self, address: str, version: int) -> None:
-        """Fetch the bundle from a node that announced a version, if it is newer."""
+        """Fetch the bundle from a node that announced a version, if the version is newer."""
         if version <= self._adopter.version or address in self._fetching:
             return
         self._track(asyncio.create_task(self._fetch_and_consider(address)))
 
     def consider(self, signed: SignedBundle, source: str) -> None:
-        """Adopt a bundle if it is newer and valid; a bad one is logged and dropped."""
+        """Adopt a bundle if it is newer and valid; log and discard an invalid bundle."""
         try:
             adopted = self._adopter.consider(signed, self._clock())
         except BundleError as error:
@@ -100,14 +106,14 @@
             self._on_adopted()
 
     async def poll(self) -> None:
-        """Read the head now and then, as one of the zone's watchers."""
+        """Poll the head while this node is one of its zone's watchers."""
         while True:
             await asyncio.sleep(self._poll_interval * (0.5 + self._rng.random()))
             if self._is_watcher():
                 await self._read_store()
 
     async def watch(self) -> None:
-        """Follow the head by a watch, as one of the zone's watchers."""
+        """Watch the head while this node is one of its zone's watchers."""
         while True:
             if self._is_watcher():
                 with contextlib.suppress(PlatformError, BundleError):
@@ -136,7 +142,7 @@
                 return None
             return await self._store.bundle(head.version)
         except (PlatformError, BundleError) as error:
-            logger.debug("platform not read", extra=error_fields(error))
+            logger.debug("could not read the bundle from the platform", extra=error_fields(error))
             return None
 
     async def _fetch_from(self, address: str) -> SignedBundle | None:
@@ -147,7 +153,7 @@
             if isinstance(reply, BundleReply) and reply.signed_bundle:
                 return parse_signed_bundle(reply.signed_bundle, address)
         except (PeerError, BundleError) as error:
-            logger.debug("peer gave no bundle", extra=error_fields(error))
+            logger.debug("could not fetch the bundle from a peer", extra=error_fields(error))
         finally:
             self._fetching.discard(address)
         return None
@@ -171,7 +177,7 @@
 
 
 async def _first_answers(tasks: list[asyncio.Task[SignedBundle | None]]) -> list[SignedBundle]:
-    """Return the bundles fetched until a short while after the first, newest first."""
+    """Return the first bundle and those that arrive in the grace period, newest first."""
     pending: set[asyncio.Task[SignedBundle | None]] = set(tasks)
     found: list[SignedBundle] = []
     while pending and not found:
--- a/src/hillstack/daemon/cache_follower.py
+++ b/src/hillstack/daemon/cache_follower.py
@@ -1,9 +1,10 @@
-"""Follows what runners and stores of kept KV cache keep, and tells the peers what they do not know.
+"""Reads the contents of KV caches from their holders and corrects the estimates of all nodes.
 
-Beliefs about caches come from what this node and its peers send. They miss what a holder evicts,
-what it loses in a restart, and everything from before this node's own start. Each holder is
-therefore watched by one node: it reads the holder's whole list once, then its changes, and tells
-the peers where that differs from what all believed.
+A holder is a runner or a store of saved KV cache. The nodes estimate the contents of each holder
+from the requests that they send. These estimates miss evictions, losses in a restart, and
+everything that was cached before the node started. Each holder is therefore watched by one node:
+the node reads the holder's complete list once and its changes from then on, and reports to the
+peers where the contents differ from the estimate.
 """
 
 from __future__ import annotations
@@ -22,27 +23,30 @@
 
 logger = logging.getLogger(__name__)
 
-# How soon a holder that changed hands is followed again; without a change a look costs nothing.
-ASSIGN_SECONDS = 0.25
-# The longest that a holder holds a question for changes back; shorter ones are priced as probes.
-WAIT_SECONDS = 1.0
-# Between two questions to one holder: changes come late by about as much anyway.
+# Interval between checks of which holders this node watches. A check without a change is cheap.
+ASSIGN_INTERVAL_SECONDS = 0.25
+# How long a holder may delay its answer until there are changes (long poll). The platform prices
+# shorter waits as probes.
+LONG_POLL_SECONDS = 1.0
+# Minimum interval between polls of one holder. Changes are delayed by about as much anyway.
 CALL_INTERVAL_SECONDS = 0.3
-# Between two failed questions: bounds what a holder that is down costs.
+# Pause after a failed poll; bounds the cost of a holder that is down.
 RETRY_SECONDS = 0.6
-# Between two lists of one holder, which hold up its work.
+# Minimum interval between complete lists of one holder, since a list holds up the holder's work.
 RELIST_SECONDS = 5.0
-# A part sent that lately may be missing from a list without having been dropped.
+# A part sent to a holder less than this long ago may be missing from a list without having been
+# evicted.
 SETTLING_SECONDS = 0.5
-# A save that is that late was not made: events come late by up to half of that.
-UNSEEN_SECONDS = 1.0
-# Smaller parts are read again in under 7 ms: not worth a word to all.
-MIN_TOLD_TOKENS = 256
+# A save that is not confirmed after this time is taken as not made. Change events are delayed by up
+# to half of this time.
+UNCONFIRMED_SECONDS = 1.0
+# Differences in smaller parts are not reported to peers: a prefill of them takes less than 7 ms.
+MIN_REPORTED_TOKENS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class CacheEntry:
-    """What a holder keeps of a part under a salt; 0 tokens when it has dropped the part."""
+    """The cached tokens of a prompt part under a salt; 0 tokens if the holder evicted the part."""
 
     salt: str
     part: PromptPart
@@ -50,11 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheListing:
-    """All that a holder keeps.
+    """The complete contents of a holder.
 
     Attributes:
-        epoch: Changes when the holder has restarted and lost everything.
-        cursor: Where its changes go on.
+        epoch: Changes when the holder restarts and loses its contents.
+        cursor: Position in the holder's changes from which to continue.
     """
 
     epoch: int
@@ -64,10 +68,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheChanges:
-    """What has changed at a holder.
+    """Changes of a holder's contents since a cursor.
 
     Attributes:
-        gap: Whether changes are missing.
+        gap: Whether some changes since the cursor are missing.
     """
 
     epoch: int
@@ -77,10 +81,10 @@
 
 
 class CacheFeed(Protocol):
-    """Asks holders what they keep."""
+    """Reads the contents of holders."""
 
     async def listing(self, holder: CacheHolder) -> CacheListing:
-        """Return all that a holder keeps; raises ``BackendError``."""
+        """Return the complete contents of a holder; raises ``BackendError``."""
         ...
 
     async def changes(self, holder: CacheHolder, since: int, wait_seconds: float) -> CacheChanges:
@@ -89,36 +93,36 @@
 
 
 class CachePeers(Protocol):
-    """Tells the peers what a holder keeps."""
+    """Sends cache contents and failures of holders to the peers."""
 
     def live_zones(self) -> dict[str, str]:
-        """Return the zone of each node that is alive; the same object until that changes."""
+        """Return the zone of each live node; the same object until the live nodes change."""
         ...
 
     def cached(self, holder_id: str, entry: CacheEntry) -> None:
-        """Tell what a holder keeps of a part."""
+        """Report the cached tokens of one part to all peers."""
         ...
 
     def send_cache(self, node_id: str, holder_id: str, entries: Sequence[CacheEntry]) -> None:
-        """Tell one peer what a holder keeps."""
+        """Send the contents of a holder to one peer."""
         ...
 
     def cache_lost(self, holder_id: str) -> None:
-        """Tell that a holder has lost everything."""
+        """Report that a holder has lost its contents."""
         ...
 
     def restarted(self, runner_id: str) -> None:
-        """Tell that a runner's process has ended and its next one answers."""
+        """Report that a runner's process was replaced by a new one."""
         ...
 
     def store_unavailable(self, address: str) -> None:
-        """Tell that a store of kept KV cache does not answer."""
+        """Report that a store of saved KV cache does not answer."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class _Position:
-    """Up to where a holder was followed."""
+    """The position up to which a holder's changes were read."""
 
     epoch: int
     cursor: int
@@ -126,12 +130,12 @@
 
 
 class CacheFollower:
-    """Follows the holders that this node watches.
+    """Reads the contents and changes of the holders that this node watches.
 
     Args:
-        state: What the node knows.
-        feed: Asks holders.
-        peers: Where peers are told.
+        state: The node's view of the fleet.
+        feed: Reads the contents of holders.
+        peers: Sends reports to the peers.
         clock: Monotonic seconds.
     """
 
@@ -146,12 +150,12 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Watch the assigned holders until cancelled."""
         await self._state.start_gate.passed()
         try:
             while True:
                 self._assign()
-                await asyncio.sleep(ASSIGN_SECONDS)
+                await asyncio.sleep(ASSIGN_INTERVAL_SECONDS)
         finally:
             for task in self._tasks.values():
                 task.cancel()
@@ -161,20 +165,21 @@
         return list(self._tasks)
 
     def welcome(self, node_id: str) -> None:
-        """Tell a node that has just started what the holders watched here keep.
+        """Send the contents of the watched holders to a node that has just started.
 
-        What is cached in one region is of no use in another one, and would fill the way there.
+        Nodes of other regions get nothing: they cannot use this region's caches, and the lists
+        would fill the link between the regions.
         """
         node = self._state.nodes.get(node_id)
         if node is not None and not self._state.topology.is_own_region(node.zone):
             return
         for holder_id in self._tasks:
-            parts = self._state.index.parts_of(holder_id, MIN_TOLD_TOKENS)
+            parts = self._state.index.parts_of(holder_id, MIN_REPORTED_TOKENS)
             entries = [CacheEntry(salt, part) for salt, part in parts]
             self._peers.send_cache(node_id, holder_id, entries)
 
     def _assign(self) -> None:
-        """Begin and end to follow holders, as the nodes that are alive share them."""
+        """Start and stop watching holders according to the assignment over the live nodes."""
         holders, zones = self._state.cache_holders(), self._peers.live_zones()
         changed = self._assignment.update(holders, zones)
         ended = {holder_id for holder_id, task in self._tasks.items() if task.done()}
@@ -195,10 +200,10 @@
             try:
                 position = await self._advance(holder, position)
             except RunnerRestartedError:
-                self._restarted(holder)
+                self._on_restarted(holder)
                 return
             except BackendError as error:
-                self._failed(holder, error, first=reachable)
+                self._on_failed(holder, error, first=reachable)
                 reachable = False
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
@@ -208,17 +213,17 @@
             await asyncio.sleep(max(0.0, started_at + CALL_INTERVAL_SECONDS - self._clock()))
 
     async def _advance(self, holder: CacheHolder, position: _Position | None) -> _Position:
-        """Take over the next changes, or the whole list where changes are missing."""
+        """Apply the next changes, or the complete list if changes are missing."""
         if position is None:
             return await self._relist(holder)
-        changes = await self._feed.changes(holder, position.cursor, WAIT_SECONDS)
+        changes = await self._feed.changes(holder, position.cursor, LONG_POLL_SECONDS)
         if changes.epoch != position.epoch:
-            self._lost_everything(holder, changes.epoch)
+            self._on_cache_lost(holder, changes.epoch)
             return await self._relist(holder)
         for entry in changes.entries:
             self._observe(holder, entry)
         if holder.is_store:
-            self._drop_unseen(holder)
+            self._drop_unconfirmed(holder)
         if changes.gap and self._clock() - position.listed_at >= RELIST_SECONDS:
             return await self._relist(holder)
         return _Position(changes.epoch, changes.cursor, position.listed_at)
@@ -228,10 +233,10 @@
         listing = await self._feed.listing(holder)
         listed = {(entry.salt, entry.part.part_id) for entry in listing.entries}
         read_by = asked_at - SETTLING_SECONDS
-        gone = self._state.index.retain(holder.holder_id, listed, read_by)
-        for salt, part in gone:
+        evicted = self._state.index.retain(holder.holder_id, listed, read_by)
+        for salt, part in evicted:
             dropped = CacheEntry(salt, PromptPart(part.part_id, 0))
-            self._tell(holder, dropped, believed=part.tokens)
+            self._report(holder, dropped, estimated=part.tokens)
         for entry in listing.entries:
             self._observe(holder, entry)
         self._state.note_cache_heard(holder.holder_id)
@@ -239,43 +244,48 @@
             "holder": holder.holder_id,
             "epoch": listing.epoch,
             "parts": len(listing.entries),
-            "dropped": len(gone),
+            "dropped": len(evicted),
         }
         logger.info("cache listed", extra=fields)
         return _Position(listing.epoch, listing.cursor, self._clock())
 
-    def _drop_unseen(self, holder: CacheHolder) -> None:
-        """Drop what should long be there: a save that would have waited too long is not made."""
-        due = self._clock() - UNSEEN_SECONDS
+    def _drop_unconfirmed(self, holder: CacheHolder) -> None:
+        """Remove parts whose save to a store was never confirmed.
+
+        The store skips a save that would have to wait for too long.
+        """
+        due = self._clock() - UNCONFIRMED_SECONDS
         for salt, part in self._state.index.take_unseen(holder.holder_id, due):
-            self._tell(holder, CacheEntry(salt, PromptPart(part.part_id, 0)), believed=part.tokens)
+            self._report(
+                holder, CacheEntry(salt, PromptPart(part.part_id, 0)), estimated=part.tokens
+            )
 
     def _observe(self, holder: CacheHolder, entry: CacheEntry) -> None:
-        """Take over what a holder keeps of a part, and tell the peers if it is news."""
-        believed = self._state.index.confirm(holder.holder_id, entry.salt, entry.part)
-        self._tell(holder, entry, believed=believed)
+        """Apply the observed tokens of a part, and report them to the peers if they changed."""
+        estimated = self._state.index.confirm(holder.holder_id, entry.salt, entry.part)
+        self._report(holder, entry, estimated=estimated)
 
-    def _tell(self, holder: CacheHolder, entry: CacheEntry, *, believed: int) -> None:
+    def _report(self, holder: CacheHolder, entry: CacheEntry, *, estimated: int) -> None:
         tokens = entry.part.tokens
-        if tokens != believed and max(tokens, believed) >= MIN_TOLD_TOKENS:
+        if tokens != estimated and max(tokens, estimated) >= MIN_REPORTED_TOKENS:
             self._peers.cached(holder.holder_id, entry)
 
-    def _lost_everything(self, holder: CacheHolder, epoch: int) -> None:
+    def _on_cache_lost(self, holder: CacheHolder, epoch: int) -> None:
         self._state.index.clear(holder.holder_id)
         self._peers.cache_lost(holder.holder_id)
         logger.info("cache lost", extra={"holder": holder.holder_id, "epoch": epoch})
 
-    def _restarted(self, holder: CacheHolder) -> None:
+    def _on_restarted(self, holder: CacheHolder) -> None:
         runner = self._state.pool.get(holder.holder_id)
         if runner is not None:
             self._state.note_restarted(runner, self._clock())
             self._peers.restarted(holder.holder_id)
 
-    def _failed(self, holder: CacheHolder, error: BackendError, *, first: bool) -> None:
+    def _on_failed(self, holder: CacheHolder, error: BackendError, *, first: bool) -> None:
         if first:
             fields = error_fields(error) | {"holder": holder.holder_id}
             logger.info("cache feed lost", extra=fields)
-        # A store that refuses the question still serves fetches.
+        # A store that refuses to list its contents still serves fetches.
         if holder.is_store and not isinstance(error, BackendRefusedError):
             self._state.note_unavailable(holder.holder_id, self._clock())
             self._peers.store_unavailable(holder.holder_id)
--- a/src/hillstack/daemon/caller_room.py
+++ b/src/hillstack/daemon/caller_room.py
@@ -1,8 +1,9 @@
-"""Keeps a node able to take connections from callers.
+"""Bounds the open connections of callers, so that the node can accept new connections.
 
-Each connection takes a descriptor of the process, and when none is left the system hands over no
-further one: callers wait in the backlog of a node that still says it is ready. So connections that
-rest are closed before that, and readiness is taken back while none can be taken.
+Each connection uses a file descriptor of the process. If no descriptor is left, the system accepts
+no further connection, and callers wait in the backlog of a node that still reports that it is
+ready. Idle connections are therefore closed before the descriptors run out, and the node reports
+that it is not ready while it cannot accept connections.
 """
 
 from __future__ import annotations
@@ -13,89 +14,93 @@
 
 logger = logging.getLogger(__name__)
 
-# Kept for files by the platform, and what a node has open besides connections of callers and those
-# for their requests: listeners, datagrams, the store, questions to 45 runners at once.
+# Descriptors that the platform reserves for files, and those that a node uses besides connections
+# of callers and the runner connections for their requests: listeners, datagram sockets, connections
+# to the store, status calls to 45 runners at once.
 RESERVED_DESCRIPTORS = 300
-# Each request that is served may hold a connection of its caller and one to a runner.
+# A request in progress may hold a connection from its caller and a connection to a runner.
 DESCRIPTORS_PER_CALLER = 2
-# Resting connections are closed down to that share of the most, so that not each new one costs an
-# old one.
-LOW_SHARE = 0.9
-# The event loop takes no connections for a second after it could not, then tries again; the
-# question about readiness comes each second.
+# Idle connections are closed down to this share of the maximum, so that a full node does not have
+# to close one connection for each new one.
+LOW_WATER_SHARE = 0.9
+# After a failed accept the event loop pauses accepting for a second and then tries again. Readiness
+# is queried every second.
 EXHAUSTED_SECONDS = 1.5
 
 
-# A connection of the HTTP server. Its ``cycle`` is its latest request, None before the first; its
-# ``shutdown`` closes it, after its answer if it has a request.
+# A connection of the HTTP server. ``cycle`` is its latest request, None before the first request.
+# ``shutdown`` closes the connection, after the answer if a request is in progress.
 CallerConnection = Any
 
 
-def most_callers(descriptors: int) -> int:
-    """Return how many connections of callers fit into a limit of descriptors."""
+def max_caller_connections(descriptors: int) -> int:
+    """Return how many caller connections fit into a limit of file descriptors."""
     return max(1, (descriptors - RESERVED_DESCRIPTORS) // DESCRIPTORS_PER_CALLER)
 
 
-class CallerRoom:
-    """Watches how many connections callers have open.
+class ConnectionLimiter:
+    """Closes idle caller connections, and reports whether new connections can be accepted.
 
     Args:
-        most: How many may be open.
-        connections: Returns those that are.
+        max_connections: How many caller connections may be open.
+        connections: Returns the open caller connections.
         clock: Monotonic seconds.
     """
 
     def __init__(
         self,
-        most: int,
+        max_connections: int,
         connections: Callable[[], Collection[CallerConnection]],
         clock: Callable[[], float],
     ) -> None:
-        self._most = most
+        self._max_connections = max_connections
         self._connections = connections
         self._clock = clock
         self._exhausted_until = float("-inf")
 
     def is_full(self) -> bool:
-        """Return whether connections should end after their answer."""
-        return len(self._connections()) > self._most
+        """Return whether connections should be closed after their answer."""
+        return len(self._connections()) > self._max_connections
 
     def can_accept(self) -> bool:
-        """Return whether further connections can be taken, closing resting ones beyond the most."""
+        """Return whether connections can be accepted; close idle ones if too many are open."""
         if self.is_full():
-            self._end_resting(len(self._connections()) - int(self._most * LOW_SHARE))
+            self._close_idle(
+                len(self._connections()) - int(self._max_connections * LOW_WATER_SHARE)
+            )
         return not self.is_full() and self._clock() >= self._exhausted_until
 
     def note_exhausted(self) -> None:
-        """Note that a connection could not be taken for want of descriptors, and make room."""
+        """Record that no descriptor was left to accept a connection, and close idle connections."""
         now = self._clock()
         if now < self._exhausted_until:
             return
         self._exhausted_until = now + EXHAUSTED_SECONDS
-        ended = self._end_resting(len(self._connections()))
+        ended = self._close_idle(len(self._connections()))
         fields = {"connections": len(self._connections()), "ended": ended}
         logger.warning("callers can't be taken: no descriptors are left", extra=fields)
 
-    def _end_resting(self, count: int) -> int:
-        """Close up to so many connections that have had their answer; return how many."""
-        resting = [each for each in self._connections() if is_resting(each)]
-        for connection in resting[:count]:
+    def _close_idle(self, count: int) -> int:
+        """Close up to ``count`` idle connections; return how many were closed."""
+        idle = [each for each in self._connections() if is_idle(each)]
+        for connection in idle[:count]:
             connection.shutdown()
-        return len(resting[:count])
+        return len(idle[:count])
 
 
-def is_resting(connection: CallerConnection) -> bool:
-    """Return whether a connection has had its answer and no further request."""
+def is_idle(connection: CallerConnection) -> bool:
+    """Return whether a connection's last request is answered and no other has begun."""
     cycle = getattr(connection, "cycle", None)
     return cycle is not None and bool(cycle.response_complete)
 
 
-def end_idle_connections(connections: Collection[CallerConnection], *, also_unused: bool) -> None:
-    """Close connections that have had their answer; callers then reach another node.
+def close_idle_connections(connections: Collection[CallerConnection], *, also_unused: bool) -> None:
+    """Close idle connections, so that their callers connect to another node.
 
     Args:
-        connections: The connections; those with a request end after its answer.
-        also_unused: Whether connections without any request yet are closed too.
+        connections: The connections; a connection with a request in progress closes after its
+            answer.
+        also_unused: Whether connections that have had no request yet are closed too.
     """
     for connection in list(connections):
         if getattr(connection, "cycle", None) is not None or also_unused:
--- a/src/hillstack/daemon/claim_coordinator.py
+++ b/src/hillstack/daemon/claim_coordinator.py
@@ -1,4 +1,4 @@
-"""Carries out claim rounds over the network."""
+"""Claims idempotency keys at a majority of zones, over the network."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     """The result of a claim round.
 
     Attributes:
-        answer: The answer of the earlier execution, when it is known.
-        replicas: The replicas asked, for release and completion.
+        answer: The stored answer of an earlier execution, if a replica had it.
+        replicas: The replicas that were asked; they get the later release or completion.
     """
 
     verdict: ClaimVerdict
@@ -41,11 +41,11 @@
 
 
 class ClaimCoordinator:
-    """Claims keys at the replicas of all zones.
+    """Claims keys at one replica in each zone.
 
     Args:
-        control: Members, and the claims kept on this node.
-        client: Requests to other nodes.
+        control: The member list, and the claims stored on this node.
+        client: Sends requests to other nodes.
         wall_clock: Seconds since the epoch.
     """
 
@@ -62,7 +62,7 @@
         self._background: set[asyncio.Task[Any]] = set()
 
     async def claim(self, request: ClaimRequest, zones: tuple[str, ...]) -> ClaimResult:
-        """Ask a replica in each zone and return as soon as the result is certain."""
+        """Ask a replica in each zone, and return once further replies cannot change the result."""
         replicas = replicas_of(request.key, zones, self._membership.by_zone())
         claim_round = ClaimRound(replicas)
         asked = {zone: node_id for zone, node_id in replicas.items() if node_id is not None}
@@ -77,29 +77,31 @@
             for zone, reply in sorted((task.result() for task in done), key=lambda pair: pair[0]):
                 claim_round.on_reply(zone, reply)
         verdict = claim_round.verdict()
-        self._keep(pending)
+        self._run_in_background(pending)
         return ClaimResult(
             verdict or ClaimVerdict.NO_MAJORITY, claim_round.answer(), tuple(asked.values())
         )
 
     def release(self, request: ClaimRequest, result: ClaimResult) -> None:
-        """Give a claim back at all replicas, in the background."""
+        """Release a claim at all replicas, in the background."""
         message = ClaimRelease(request.key, request.attempt_id)
         for node_id in result.replicas:
-            self._keep({asyncio.create_task(self._tell(node_id, message))})
+            self._run_in_background({asyncio.create_task(self._notify(node_id, message))})
 
     async def complete(
         self, request: ClaimRequest, result: ClaimResult, answer: StoredAnswer
     ) -> None:
-        """Hand the answer to all replicas and wait until a majority has it, or a short time."""
+        """Send the answer to all replicas and wait until the calls to a majority have ended."""
         message = ClaimComplete(request.key, request.attempt_id, answer)
-        pending = {asyncio.create_task(self._tell(node_id, message)) for node_id in result.replicas}
+        pending = {
+            asyncio.create_task(self._notify(node_id, message)) for node_id in result.replicas
+        }
         needed = len(result.replicas) // 2 + 1
         finished = 0
         while pending and finished < needed:
             done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
             finished += len(done)
-        self._keep(pending)
+        self._run_in_background(pending)
 
     async def _ask(
         self, zone: str, node_id: str, request: ClaimRequest
@@ -112,11 +114,11 @@
         try:
             reply = await self._client.call(address, request, CLAIM_TIMEOUT_SECONDS)
         except PeerError as error:
-            logger.info("claim not answered", extra={"peer": error.peer, "step": error.step})
+            logger.info("claim request failed", extra={"peer": error.peer, "step": error.step})
             return zone, None
         return zone, reply if isinstance(reply, ClaimReply) else None
 
-    async def _tell(self, node_id: str, message: ClaimRelease | ClaimComplete) -> None:
+    async def _notify(self, node_id: str, message: ClaimRelease | ClaimComplete) -> None:
         if node_id == self._membership.own.node_id:
             self._control.claims.apply(message)
             return
@@ -126,9 +128,9 @@
         try:
             await self._client.call(address, message, COMPLETE_TIMEOUT_SECONDS)
         except PeerError as error:
-            logger.info("claim not updated", extra={"peer": error.peer, "step": error.step})
+            logger.info("claim update failed", extra={"peer": error.peer, "step": error.step})
 
-    def _keep(self, tasks: Iterable[asyncio.Task[Any]]) -> None:
+    def _run_in_background(self, tasks: Iterable[asyncio.Task[Any]]) -> None:
         for task in tasks:
             self._background.add(task)
             task.add_done_callback(self._background.discard)
--- a/src/hillstack/daemon/duty_keeper.py
+++ b/src/hillstack/daemon/duty_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the lease on a duty: renews it, or gets it when it is free and this node's turn comes."""
+"""Renews the lease on a duty, or acquires it in this node's time slot while nobody holds it."""
 
 from __future__ import annotations
 
@@ -14,28 +14,29 @@
 
 logger = logging.getLogger(__name__)
 
-# Pause between renewals: a lease of 2 s survives three that fail.
+# Pause between renewals: a lease of 2 s survives three failed renewals.
 RENEW_SECONDS = 0.4
-# The same after a lost answer, which has cost 0.5 s of the lease.
+# Pause after a renewal whose answer was lost, which has already used 0.5 s of the lease.
 RENEW_RETRY_SECONDS = 0.1
-# The same after a refusal, which will mostly be repeated.
+# Pause after a renewal that the store refused, since the next one will usually be refused too.
 RENEW_REFUSED_SECONDS = 0.3
-# Spreads the tries of nodes whose turn it is at once.
+# Random delay that spreads the attempts of nodes with the same time slot.
 ACQUIRE_JITTER_SECONDS = 0.25
-# A free duty is taken by the nodes in turn, so that hundreds do not ask the store for it at once;
-# the holder's name reaches the others within two looks (1 s each in the largest deployment).
-ACQUIRE_TURN_SECONDS = 0.5
-# Time for giving a lease up: two calls of an ordinary store. A planned stop has 0.7 s before the
-# process is killed, and a lease that was not given up lapses within 2 s.
-HAND_OVER_SECONDS = 0.3
+# Time slot in which one node may try to acquire a free duty, so that not hundreds of nodes call the
+# store at once. The name of the new holder reaches the other nodes within two polls of the store
+# (1 s each in the largest deployment).
+ACQUIRE_SLOT_SECONDS = 0.5
+# Timeout for releasing a lease: two calls of a store at its usual speed. A planned stop has 0.7 s
+# before the process is killed, and a lease that was not released expires within 2 s.
+RELEASE_TIMEOUT_SECONDS = 0.3
 
 
-class AcquireTurn:
-    """Tells when this node may try to get a free duty.
+class AcquireSlot:
+    """The time slot, after a duty became free, in which this node may try to acquire it.
 
     Args:
-        state: What the node knows.
-        is_free: Whether the duty is wanted and, as far as this node knows, nobody holds it.
+        state: The node's view of the fleet.
+        is_free: Whether the duty is needed and, as far as this node knows, nobody holds it.
         clock: Monotonic seconds.
         rng: Source of randomness.
     """
@@ -53,8 +54,8 @@
         self._rng = rng
         self._free_since: float | None = None
 
-    async def has_come(self) -> bool:
-        """Return whether this node may try now."""
+    async def has_begun(self) -> bool:
+        """Return whether this node may try to acquire the duty now."""
         if not self._is_free():
             self._free_since = None
             return False
@@ -66,37 +67,37 @@
         return self._is_free()
 
     def _wait(self) -> float:
-        """Return how long the duty must be free before this node tries to get it."""
+        """Return how long the duty must be free before this node tries to acquire it."""
         order = self._state.nodes.relay_order(None)
         known = self._state.node_id in order
-        return ACQUIRE_TURN_SECONDS * (order.index(self._state.node_id) if known else len(order))
+        return ACQUIRE_SLOT_SECONDS * (order.index(self._state.node_id) if known else len(order))
 
 
-class DutyKeeper:
-    """The loop that keeps a lease.
+class LeaseKeeper:
+    """The loop that acquires and renews the lease on a duty.
 
     Args:
         lease: The lease on the duty.
-        turn: Tells when it may be got.
-        note_held: Called with whether it is held, at each look.
+        slot: When this node may try to acquire the lease.
+        note_held: Called in each iteration with whether the lease is held.
     """
 
     def __init__(
-        self, lease: DutyLease, turn: AcquireTurn, note_held: Callable[[bool], None]
+        self, lease: DutyLease, slot: AcquireSlot, note_held: Callable[[bool], None]
     ) -> None:
         self._lease = lease
-        self._turn = turn
+        self._slot = slot
         self._note_held = note_held
         self._stopping = False
 
     async def run(self) -> None:
-        """Renew the lease, or try to get it while nobody holds it, until cancelled."""
+        """Renew the lease, or try to acquire it while nobody holds it, until cancelled."""
         pause = RENEW_SECONDS
         while True:
             await asyncio.sleep(pause)
             pause = RENEW_SECONDS
             held = self._lease.fence() is not None
-            if not held and (self._stopping or not await self._turn.has_come()):
+            if not held and (self._stopping or not await self._slot.has_begun()):
                 self._note_held(False)
                 continue
             try:
@@ -108,27 +109,28 @@
             self._note_held(self._lease.fence() is not None)
 
     def stop_acquiring(self) -> None:
-        """Leave the duty to others from now on, unless it is held already."""
+        """Stop trying to acquire the duty; a lease that is already held is still renewed."""
         self._stopping = True
 
     async def hand_over(self) -> None:
-        """Give the duty up before a planned stop."""
+        """Release the lease before a planned stop, so that another node can acquire it."""
         self._stopping = True
         try:
-            async with asyncio.timeout(HAND_OVER_SECONDS):
+            async with asyncio.timeout(RELEASE_TIMEOUT_SECONDS):
                 await self._lease.give_up()
         except PlatformError as error:
-            logger.info("duty lease left to lapse", extra=error_fields(error))
+            logger.info("duty lease not released, left to expire", extra=error_fields(error))
         except TimeoutError:
-            fields = {"step": "hand over", "waited_seconds": HAND_OVER_SECONDS}
-            logger.info("duty lease left to lapse", extra=fields)
+            fields = {"step": "hand over", "waited_seconds": RELEASE_TIMEOUT_SECONDS}
+            logger.info("duty lease not released, left to expire", extra=fields)
 
 
 def renewal_pause(error: PlatformError) -> float:
-    """Return the pause before a lease is renewed again.
+    """Return the pause before the next renewal after a failed one.
 
-    A lost answer may have been one of its kind, and the lease runs: ask again at once. A store that
-    refuses will refuse again, and each call costs.
+    After a lost answer the pause is short, since the lease is running out and the loss may be an
+    isolated one. After a refusal the pause is longer, since the store will probably refuse the next
+    call as well and each call has a cost.
     """
     if isinstance(error, PlatformUnavailableError):
         return RENEW_REFUSED_SECONDS
--- a/src/hillstack/daemon/duty_lease.py
+++ b/src/hillstack/daemon/duty_lease.py
@@ -1,13 +1,14 @@
-"""A lease on a duty, and the fence that its orders carry.
+"""A lease on a duty, and the fencing token (fence) that its orders carry.
 
-The holder of a duty is the node whose key exists in the key-value service, bound to a lease. The
-revision of that key is the fence: a later holder has a higher one, so back ends can refuse the
-orders of a holder that was paused and does not know that its lease has lapsed.
+The holder of a duty is the node that wrote the duty's key in the key-value service, bound to a
+lease. The revision of the key is the fence. Each later holder has a higher fence, so back ends can
+refuse the orders of a holder that was paused and does not know that its lease has expired.
 
-A service that came back with an older state has lost leases or gives their numbers out again, so
-none is renewed or ended beyond that. A holder that has not heard of it goes by its own clock, so
-the duty is taken no sooner than its lease would have ended. Revisions fall: a new holder writes its
-key again until that has a higher revision than all fences before.
+A key-value service that was restored from an older state (a new era) has lost leases, or assigns
+their numbers to new leases. A lease is therefore never renewed or revoked in a later era than its
+own. The former holder may not have noticed the restore and goes by its own clock, so other nodes
+acquire the duty only after the former lease would have expired. Revisions are lower after a
+restore, so a new holder rewrites its key until the revision is above all earlier fences.
 """
 
 from __future__ import annotations
@@ -17,22 +18,25 @@
 from hillstack.core.store_revision import NO_REVISION, StoreRevision
 from hillstack.daemon.key_value import LeaseStore, Put, RevisionIs, ValueIs
 
-# Part of the lease that is not used: clocks run at other rates, and a renewal travels.
+# Share of the lease time that the holder does not use: clocks run at different rates, and a renewal
+# takes time on the network.
 SAFETY_SHARE = 0.25
-# Writes of a key to raise its fence, one after the other: a fifth of the lease at 4 ms each. Beyond
-# that the duty is tried for again later, when others have written too.
+# How often a key is rewritten in sequence to raise its fence: a fifth of the lease at 4 ms each.
+# After that the node tries again later, when writes of other nodes have raised the revision as
+# well.
 MAX_FENCE_WRITES = 100
 
 
 class DutyLease:
-    """Tries to hold one duty.
+    """Acquires, renews and releases the lease on one duty.
 
     Args:
+        key_value: The key-value service.
         key: Key of the duty.
-        node_id: Name of this node, the key's value.
-        ttl: Seconds that the lease lasts without renewal.
+        node_id: Identifier of this node, written as the value of the key.
+        ttl: Seconds until a lease without renewal expires.
         clock: Monotonic seconds.
-        highest_fence: Returns the highest fence that any holder is known to have had.
+        highest_fence: Returns the highest known fence of any holder.
     """
 
     def __init__(
@@ -57,25 +61,26 @@
         self._lease_id = 0
         self._key_revision = NO_REVISION
         self._valid_until = float("-inf")
-        # How often it was given up or lost: a call that was under way then changes nothing more.
+        # How often the lease was released or lost. A call that was in progress at that time
+        # compares the counter and then leaves the lease unchanged.
         self._ended = 0
 
     def fence(self) -> int | None:
-        """Return the fence while the lease is surely held, by this node's clock; else None."""
+        """Return the fence while the lease is held by this node's clock; else None."""
         held = self.key_revision()
         return held.number if held is not None else None
 
     def key_revision(self) -> StoreRevision | None:
-        """Return the revision of the duty's key while the lease is surely held; else None."""
+        """Return the revision of the duty's key while the lease is held; else None."""
         if self._lease_era != self._key_value.era:
             return None
         return self._key_revision if self._clock() < self._valid_until else None
 
     async def renew_or_acquire(self) -> None:
-        """Renew the lease, or try to get it when it is not held.
+        """Renew the lease, or try to acquire it if it is not held.
 
         Raises:
-            PlatformError: The key-value service failed; the lease then lapses by itself.
+            PlatformError: The key-value service failed; a held lease then expires by itself.
         """
         ended = self._ended
         if self.fence() is not None and await self._renew(ended):
@@ -84,14 +89,14 @@
             await self._acquire(ended)
 
     def lose(self) -> None:
-        """Note that another holder with a higher fence was seen: this fence is used no more.
+        """Stop using this fence, because another holder with a higher fence was observed.
 
-        The key is left to lapse; a node that takes the duty over then gets a new fence.
+        The key is left to expire; the next holder of the duty then gets a new fence.
         """
         self._end()
 
     async def give_up(self) -> None:
-        """End the lease, so that another node can take over at once.
+        """Revoke the lease, so that another node can acquire the duty at once.
 
         Raises:
             PlatformError: The key-value service failed.
@@ -133,14 +138,14 @@
             await self._revoke()
             return
         if revision.era != self._lease_era:
-            # The lease was lost with the state that it was granted in.
+            # The service was restored after the grant, which lost the lease.
             return
         self._key_revision = revision
         self._note_fence(revision)
         self._extend(asked_at)
 
     def _may_acquire(self) -> bool:
-        """Return whether a holder that lost its lease in a restore has stopped by now."""
+        """Return whether a holder that lost its lease in a restore has stopped using it by now."""
         now, era = self._clock(), self._key_value.era
         if era != self._known_era:
             self._known_era = era
@@ -148,7 +153,7 @@
         return now >= self._free_from
 
     async def _raise_fence(self, put: Put, revision: StoreRevision) -> StoreRevision | None:
-        """Write the key again until its revision is above all fences; None if that failed."""
+        """Rewrite the key until its revision is above all known fences; None if that failed."""
         highest = max(self._known_fence(), self._highest_seen)
         raised: StoreRevision | None = revision
         for _ in range(MAX_FENCE_WRITES):
@@ -161,10 +166,11 @@
         self._highest_seen = max(self._highest_seen, revision.number)
 
     async def _revoke(self) -> None:
-        """End the lease, unless its number may be that of another one by now."""
+        """Revoke the lease, unless a restored service may have assigned its number again."""
         if self._lease_era == self._key_value.era:
             await self._key_value.revoke_lease(self._lease_id)
 
     def _extend(self, asked_at: float) -> None:
-        # Counted from before the request left, and cut short, since clocks run at other rates.
+        # Counted from before the request was sent and shortened, since clocks run at different
+        # rates.
         self._valid_until = asked_at + self._ttl * (1 - SAFETY_SHARE)
--- a/src/hillstack/daemon/early_listeners.py
+++ b/src/hillstack/daemon/early_listeners.py
@@ -1,7 +1,8 @@
-"""Sockets that listen before the libraries of a node are loaded.
+"""Listening sockets that a node opens before it loads its libraries.
 
-Loading them takes most of a node's start. Callers who connect meanwhile wait in the backlog instead
-of being refused. Only the standard library's light modules are imported here.
+Loading the libraries takes most of the startup time. Callers who connect during this time wait in
+the backlog instead of being refused. This module therefore imports only light modules of the
+standard library.
 """
 
 from __future__ import annotations
@@ -17,24 +18,28 @@
 from hillstack.addresses import LISTEN_BACKLOG, split_address
 from hillstack.errors import SettingsError
 
-# How long an address may still be taken by the process before: more than its grace of 8 s.
+# How long to wait for an address that the previous process still uses: longer than its grace period
+# of 8 s.
 ADDRESS_WAIT_SECONDS = 10.0
-# A caller that acknowledges nothing for that long, or no probe, is gone: its connection, and a run
-# for it, end. Callers leave a stream after gaps of 3 to 4 s themselves, so none that waits is lost.
+# A caller that acknowledges no data or keep-alive probe for this long is taken as disconnected: its
+# connection and its request end. Callers abandon a stream after a gap of 3 to 4 s, so no waiting
+# caller is cut off.
 CALLER_SILENCE_MS = 10_000
 CALLER_PROBE_IDLE_SECONDS = 10
 CALLER_PROBE_INTERVAL_SECONDS = 5
 CALLER_PROBE_COUNT = 2
-# Between two tries to listen: a fiftieth of a second of refused callers at most.
+# Pause between attempts to listen: callers are refused for at most a fiftieth of a second longer.
 ADDRESS_RETRY_SECONDS = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class EarlyListeners:
-    """Listening sockets of a node, which its servers take over.
+    """Listening sockets of a node, which its servers use later.
 
     Attributes:
-        listening_at: When both listened, on the monotonic clock.
+        callers: Socket for requests of callers.
+        readiness: Socket for readiness checks.
+        listening_at: When both sockets were listening, in seconds of the node's clock.
     """
 
     callers: socket.socket
@@ -43,10 +48,10 @@
 
 
 def open_early_listeners(settings_path: Path) -> EarlyListeners:
-    """Listen where a settings file says, before it is checked as a whole.
+    """Listen on the addresses of a settings file, before the whole file is validated.
 
     Raises:
-        SettingsError: The file can't be read, or an address can't be listened on.
+        SettingsError: The file can't be read, or listening on an address failed.
     """
     addresses = _listen_addresses(settings_path)
     opened = [_listen(address) for address in addresses]
@@ -69,7 +74,7 @@
 
 
 def _listen(address: str) -> socket.socket:
-    """Listen, waiting for a process that still holds the address, as an old one that is ending."""
+    """Listen on an address; wait while another process, such as a stopping one, still uses it."""
     family = socket.AF_INET6 if address.startswith("[") else socket.AF_INET
     opened = socket.socket(family, socket.SOCK_STREAM)
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -91,7 +96,7 @@
 
 
 def _watch_callers(listener: socket.socket) -> None:
-    """Let the system end connections that have gone silent; those taken inherit the options."""
+    """Let the kernel close connections of silent callers; accepted sockets inherit the options."""
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     options = (
         (socket.TCP_USER_TIMEOUT, CALLER_SILENCE_MS),
--- a/src/hillstack/daemon/fleet_main.py
+++ b/src/hillstack/daemon/fleet_main.py
@@ -1,7 +1,7 @@
-"""Entry of a node of the fleet, without the command line's libraries.
+"""Entry point of a fleet node, without the libraries of the command line.
 
-The settings file is the first argument, or named by the variable ``HILLSTACK_CONFIG``. The node
-listens before it loads its libraries, so only light modules are imported up here.
+The settings file is the first argument or the environment variable ``HILLSTACK_CONFIG``. The node
+listens before it loads its libraries, so this module imports only light modules at its top.
 """
 
 from __future__ import annotations
@@ -34,13 +34,14 @@
     """Run a node with a settings file.
 
     Raises:
-        SettingsError: The settings are invalid, or an address can't be listened on.
+        SettingsError: The settings are invalid, or listening on an address failed.
     """
     entered_at = clock.seconds()
-    # A reload that is asked for before the node handles signals would end the process. It waits
-    # until the node lets it through.
+    # SIGHUP requests a reload, but would end the process before the node has installed its signal
+    # handlers. It stays blocked until then.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    # What is loaded now stays: looking through it for garbage again and again costs a tenth of it.
+    # The loaded modules are never freed; scanning them for garbage repeatedly takes a tenth of the
+    # loading time.
     gc.disable()
     listeners = open_early_listeners(path)
     from hillstack.daemon.plain_http import load_http_client, load_http_server
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -1,4 +1,4 @@
-"""One node of the fleet: wiring, start, serve, planned stop."""
+"""One node of the fleet: its parts, startup, serving and planned stop."""
 
 from __future__ import annotations
 
@@ -27,7 +27,11 @@
 from hillstack.core.version_exposure import VersionExposure
 from hillstack.core.weights_versions import WeightsVersions
 from hillstack.daemon.cache_follower import CacheFollower
-from hillstack.daemon.caller_room import CallerRoom, end_idle_connections, most_callers
+from hillstack.daemon.caller_room import (
+    ConnectionLimiter,
+    close_idle_connections,
+    max_caller_connections,
+)
 from hillstack.daemon.change_log import ChangeLog
 from hillstack.daemon.duty_lease import DutyLease
 from hillstack.daemon.early_listeners import EarlyListeners
@@ -74,29 +78,30 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a dead holder keeps the duty: a quarter of the shortest time for new weights (8 s).
+# How long a failed holder blocks the duty: a quarter of the shortest time allowed for new weights
+# (8 s).
 LEASE_TTL_SECONDS = 2.0
-# Requests are taken to begin up to that much later than they are sent.
+# Assumed maximum time between sending a request to a runner and its start there.
 VERSION_MARGIN_SECONDS = 0.4
-# Longer than callers reuse a resting connection by the operator's limits.
+# Longer than the operator's limits allow callers to reuse an idle connection.
 KEEP_ALIVE_SECONDS = 120
-# What the event loop says when no descriptor is left for a connection. It says so for each place in
-# the backlog, and tries again after a second.
+# Message of the event loop when no descriptor is left to accept a connection. The loop reports it
+# once for each connection in the backlog, and tries again after a second.
 ACCEPT_FAILED = "socket.accept() out of system resource"
-# Where the system sets no limit: the least that it usually sets.
+# Descriptor limit assumed if the system sets none: the lowest usual default.
 DEFAULT_DESCRIPTORS = 1_024
-# How late a stop notices that the last request is answered.
+# Interval of the check whether the last request is answered during a planned stop.
 STOP_CHECK_SECONDS = 0.05
 
 
 class FleetNode:
-    """A node; must be made inside a running event loop.
+    """A node of the fleet; must be created inside a running event loop.
 
     Args:
-        settings: Its settings.
-        listeners: Sockets that listen already; closed at the end.
-        times: When the phases of the start so far ended.
-        settings_path: File that SIGHUP reads again.
+        settings: Settings of the node.
+        listeners: Sockets that are already listening; closed when the node stops.
+        times: When the startup phases so far ended.
+        settings_path: Settings file that SIGHUP reloads.
     """
 
     def __init__(
@@ -126,8 +131,9 @@
             settings.topology(),
         )
         contact = bounds.contact_ms / 1000 - VERSION_MARGIN_SECONDS
-        # From the start of the process: loading its libraries takes up to a second of a busy
-        # machine, and counted from after that older weights were used for as much longer.
+        # Counted from the start of the process, not from the end of loading its libraries: loading
+        # takes up to a second on a busy machine, and older weights would stay in use that much
+        # longer.
         self._state.unjudged_until = times.entered_at + contact
         self._store_session = make_store_session()
         self._runner_session = make_runner_session()
@@ -208,7 +214,8 @@
         )
         self._pipeline.runner_ends.handle_lag(self._lag.on_time_since)
         self._peers.handle_runner_ends(self._pipeline.runner_ends.observe)
-        # In this order: what is cached lets requests pass (``StartGate``).
+        # The order matters: the cache contents open the start gate of the new peer (``StartGate``),
+        # so the reports of runner crashes have to arrive before them.
         self._peers.handle_new_peers(self._pipeline.runner_ends.welcome)
         self._peers.handle_new_peers(self._follower.welcome)
         self._peers.handle_new_peers(self._peers.welcome)
@@ -268,9 +275,10 @@
         )
 
     def _share_runner_limits(self, choice: RelayChoice, rng: Random) -> LimitClient:
-        """Return this node's part in the limits that runners name for all nodes together."""
+        """Return the client for the request limits that runners set for all nodes together."""
         node = self._settings.node
-        # Of its own: a holder of an earlier build answers for tenants, and not for runners.
+        # Not shared with the tenants' limits: a holder of an earlier build answers for tenants but
+        # not for runners, and would be marked as silent for both.
         holders = BucketHolders(node.id, self._state.nodes, choice, node.zone)
         scope = runner_scope(self._state.pool, self._clock)
         buckets = TokenBuckets(
@@ -299,8 +307,8 @@
             keep_alive_seconds=KEEP_ALIVE_SECONDS,
             date_header=False,
         )
-        self._room = CallerRoom(
-            most_callers(self._descriptors()),
+        self._connection_limiter = ConnectionLimiter(
+            max_caller_connections(self._descriptors()),
             lambda: callers.server_state.connections,
             self._clock,
         )
@@ -316,7 +324,7 @@
             address = f"{settings.node.address}:{settings.listen.metrics_port}"
             self._start(serve_metrics(MetricsPage(self._metrics), address))
         asyncio.get_running_loop().set_exception_handler(self._handle_loop_error)
-        # Unlike ``serve``, ``_serve`` leaves signals alone: the node decides when it ends.
+        # Unlike ``serve``, ``_serve`` installs no signal handlers: the node decides when to stop.
         serving = [asyncio.create_task(server._serve(sockets)) for server, sockets in listening]
         for work in (
             self._sync.run(),
@@ -403,11 +411,11 @@
         metrics.gauge("log_lines_dropped", "Log lines over the rate.", dropped_lines)
 
     def _is_ready(self) -> bool:
-        return self._room.can_accept() and not self._should_leave()
+        return self._connection_limiter.can_accept() and not self._should_leave()
 
     def _should_close(self) -> bool:
         """Return whether a caller's connection should end after its answer."""
-        return self._room.is_full() or self._should_leave()
+        return self._connection_limiter.is_full() or self._should_leave()
 
     def _should_leave(self) -> bool:
         """Return whether callers should go to another node."""
@@ -418,17 +426,17 @@
         return table.limits.max_body_bytes if table is not None else 4_194_304
 
     def _descriptors(self) -> int:
-        """Return how many descriptors this process may have open."""
+        """Return how many file descriptors this process may have open."""
         limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        told = self._settings.node.descriptors
+        configured = self._settings.node.descriptors
         if limit == resource.RLIM_INFINITY:
             limit = DEFAULT_DESCRIPTORS
-        return limit if told is None else min(limit, told)
+        return limit if configured is None else min(limit, configured)
 
     def _handle_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Note that no connection could be taken; whatever else goes wrong is logged as usual."""
+        """Handle failed accepts of connections; log all other errors as usual."""
         if context.get("message") == ACCEPT_FAILED:
-            self._room.note_exhausted()
+            self._connection_limiter.note_exhausted()
             return
         loop.default_exception_handler(context)
 
@@ -437,7 +445,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        # Held back since the process began.
+        # Blocked since the start of the process (``run_node``).
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     def _reload(self) -> None:
@@ -456,7 +464,7 @@
         self._tasks.append(task)
 
     async def _drain(self, callers: uvicorn.Server) -> None:
-        """Serve on until no new connections come and all requests are answered."""
+        """Continue to serve until no new connections arrive and all requests are answered."""
         self._stopping = True
         started_at = self._clock()
         logger.info("stopping", extra={"active": self._pipeline.active})
@@ -467,7 +475,7 @@
         while not stop.is_over(elapsed, self._pipeline.active):
             if not stop.accepts(elapsed):
                 self._pipeline.stop_accepting()
-            end_idle_connections(
+            close_idle_connections(
                 callers.server_state.connections, also_unused=stop.closes_unused(elapsed)
             )
             await asyncio.sleep(STOP_CHECK_SECONDS)
--- a/src/hillstack/daemon/fleet_process.py
+++ b/src/hillstack/daemon/fleet_process.py
@@ -1,4 +1,4 @@
-"""Runs a node in this process, once its libraries are loaded."""
+"""Runs a node in this process, after its libraries are loaded."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
     Args:
         path: Settings file.
-        listeners: Sockets that listen already.
-        times: When the phases of the start so far ended.
+        listeners: Sockets that are already listening.
+        times: When the startup phases so far ended.
 
     Raises:
         SettingsError: The settings are invalid.
--- a/src/hillstack/daemon/software_rollout_duty.py
+++ b/src/hillstack/daemon/software_rollout_duty.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Protocol
 
-from hillstack.daemon.duty_keeper import AcquireTurn, DutyKeeper
+from hillstack.daemon.duty_keeper import AcquireSlot, LeaseKeeper
 from hillstack.daemon.duty_lease import DutyLease
 from hillstack.daemon.key_value import LeaseStore
 from hillstack.daemon.rollout_decider import Observations, RolloutDecider, RolloutStore
@@ -138,8 +138,8 @@
         self._lease = lease
         self._decider = decider
         self._was_held = False
-        turn = AcquireTurn(state, self._is_free, clock, rng)
-        self.keeper = DutyKeeper(lease, turn, self._note_held)
+        slot = AcquireSlot(state, self._is_free, clock, rng)
+        self.keeper = LeaseKeeper(lease, slot, self._note_held)
         self._task: asyncio.Task[None] | None = None
 
     def fence(self) -> int | None:
--- a/src/hillstack/daemon/weights_rollout_duty.py
+++ b/src/hillstack/daemon/weights_rollout_duty.py
@@ -9,7 +9,7 @@
 
 from hillstack.core.runner_pool import Runner
 from hillstack.core.weights_rollout import RolloutPlan, RolloutView
-from hillstack.daemon.duty_keeper import AcquireTurn, DutyKeeper
+from hillstack.daemon.duty_keeper import AcquireSlot, LeaseKeeper
 from hillstack.daemon.duty_lease import DutyLease
 from hillstack.daemon.peer_exchange import PeerExchange
 from hillstack.daemon.weights_orders import OrderOutcome, OrderSender, WeightsOrder
@@ -81,8 +81,8 @@
         self._resting_until: dict[str, float] = {}
         self._load_seconds = INITIAL_LOAD_SECONDS
         self._plans: dict[str, RolloutPlan] = {}
-        turn = AcquireTurn(state, self._is_free, clock, rng)
-        self._keeper = DutyKeeper(lease, turn, self._note_held)
+        slot = AcquireSlot(state, self._is_free, clock, rng)
+        self._keeper = LeaseKeeper(lease, slot, self._note_held)
 
     async def keep_lease(self) -> None:
         """Renew the lease, or try to get it while nobody holds it, until cancelled."""
--- a/tests/fleet/test_caller_room.py
+++ b/tests/fleet/test_caller_room.py
@@ -12,11 +12,11 @@
 
 from hillstack.daemon.caller_room import (
     EXHAUSTED_SECONDS,
-    LOW_SHARE,
+    LOW_WATER_SHARE,
     RESERVED_DESCRIPTORS,
     CallerConnection,
-    CallerRoom,
-    most_callers,
+    ConnectionLimiter,
+    max_caller_connections,
 )
 from hillstack.platform import names
 from tests.fleet.builders import APPLICATION, HOST, KEY
@@ -39,8 +39,8 @@
         for _ in range(count):
             self.open.append(FakeConnection(self, Cycle(resting)))
 
-    def room(self, most: int) -> CallerRoom:
-        return CallerRoom(most, lambda: self.open, lambda: self.now)
+    def room(self, most: int) -> ConnectionLimiter:
+        return ConnectionLimiter(most, lambda: self.open, lambda: self.now)
 
 
 class FakeConnection:
@@ -54,8 +54,8 @@
 
 
 def test_descriptors_are_shared_by_callers_and_their_requests() -> None:
-    assert most_callers(4_100) == (4_100 - RESERVED_DESCRIPTORS) / 2
-    assert most_callers(10) == 1
+    assert max_caller_connections(4_100) == (4_100 - RESERVED_DESCRIPTORS) / 2
+    assert max_caller_connections(10) == 1
 
 
 def test_connections_that_rest_make_room() -> None:
@@ -67,7 +67,7 @@
     connections.add(1, resting=True)
     assert room.is_full()
     assert room.can_accept()
-    assert len(connections.open) == 100 * LOW_SHARE
+    assert len(connections.open) == 100 * LOW_WATER_SHARE
 
 
 def test_readiness_is_taken_back_where_nothing_rests() -> None:
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -223,7 +223,7 @@
     Mutation(
         "saves that never came are believed",
         "daemon/cache_follower.py",
-        "self._drop_unseen(holder)",
+        "self._drop_unconfirmed(holder)",
         "pass",
     ),
     Mutation(
@@ -608,7 +608,7 @@
     Mutation(
         "resting connections are kept where no room is left",
         "daemon/caller_room.py",
-        "        for connection in resting[:count]:\n            connection.shutdown()\n",
+        "        for connection in idle[:count]:\n            connection.shutdown()\n",
         "",
     ),
     Mutation(
