--- a/src/hillstack/daemon/limit_holder.py
+++ b/src/hillstack/daemon/limit_holder.py
@@ -1,4 +1,4 @@
-"""Holds token buckets of limits for the nodes that hand their time to this one."""
+"""Holds token buckets for the nodes that transfer their refill time to this node."""
 
 from __future__ import annotations
 
@@ -28,36 +28,37 @@
 from hillstack.messages.peer_notices import PROTOCOL_VERSION
 from hillstack.serving.fleet_state import FleetState
 
-# How long another holder's tokens are waited for: ten times the way there and back between zones.
-# What comes later is taken all the same, for the next requests.
+# How long to wait for tokens of another holder: ten round trips between zones. Tokens that arrive
+# later are still added to the bucket, for the next requests.
 TRANSFER_SECONDS = 0.02
-# Other holders that are asked at once: all where there are few zones, some drawn ones where there
-# are many, so that the cost of a request over the limit does not grow with the zones.
-MOST_ASKED = 4
-# Transfers that are waited for without an end: as many as can be under way in a second.
-MOST_OPEN_TRANSFERS = 512
-# A tenant of whom the other holders had too little is not asked for again that soon.
-DRY_SECONDS = 0.05
-# A holder that does not know of a tenant's limit hears of the configuration soon.
+# Other holders that are asked at once: all of them if there are few zones, a random sample if there
+# are many, so that the cost of a request over the limit does not grow with the number of zones.
+MAX_HOLDERS_ASKED = 4
+# Transfers whose late answers are still accepted: as many as can be in progress in a second.
+MAX_OPEN_TRANSFERS = 512
+# Pause before the other holders are asked again for tokens of a tenant of which they had too few.
+SHORTAGE_PAUSE_SECONDS = 0.05
+# Retry delay while this node does not know a tenant's limit; the configuration arrives soon.
 UNKNOWN_WAIT_SECONDS = 0.2
-# How often what is idle is forgotten.
+# How often idle buckets and expired shortage pauses are removed.
 EXPIRE_SECONDS = 2.0
 MILLISECONDS = 1_000.0
-# Numbers of two processes of a machine must not meet: a late answer would bring tokens twice.
+# Transfer numbers start at random, so that the numbers of two successive processes do not collide:
+# a late answer to the earlier process would add its tokens twice.
 NUMBER_BITS = 32
 
 
 class LimitHolder:
-    """Answers questions for tokens.
+    """Answers requests for tokens.
 
     Args:
-        state: What the node knows.
-        buckets: The buckets that are held here.
-        holders: Who else holds buckets.
-        link: Where datagrams are sent and come from.
+        state: The node's view of the fleet.
+        buckets: The buckets of this node.
+        holders: The other holders of buckets.
+        link: Sends and receives datagrams.
         clock: Monotonic seconds.
         rng: Source of randomness.
-        scope: Whose limits they are; those of tenants by default.
+        scope: The group of limits; the tenants' limits by default.
     """
 
     def __init__(
@@ -81,30 +82,30 @@
         self._transfers: PendingAnswers[TransferAnswer] = PendingAnswers(
             TRANSFER_SECONDS, first_number
         )
-        # In the order in which they were asked.
+        # In the order in which the transfers were requested.
         self._open_transfers: dict[int, None] = {}
-        self._dry_until: dict[str, float] = {}
+        self._shortage_until: dict[str, float] = {}
         self._expire_at = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
-        link.handle(self._scope.question, self._take_question)
-        link.handle(self._scope.transfer_question, self._take_transfer_question)
-        link.handle(self._scope.transfer_answer, self._take_transfer_answer)
+        link.handle(self._scope.question, self._on_question)
+        link.handle(self._scope.transfer_question, self._on_transfer_question)
+        link.handle(self._scope.transfer_answer, self._on_transfer_answer)
 
     async def answer(self, question: TokenQuestion) -> TokenAnswer:
-        """Answer a question, with tokens of other holders where those here are too few."""
-        return await self._complete(question, self._take_over(question))
+        """Answer a question; request tokens from other holders if the local ones do not suffice."""
+        return await self._complete(question, self._apply(question))
 
     async def _complete(self, question: TokenQuestion, missing: dict[str, float]) -> TokenAnswer:
         if missing:
             await self._gather(missing)
         return self._decide(question)
 
-    def _take_question(self, payload: bytes, peer: str) -> None:
+    def _on_question(self, payload: bytes, peer: str) -> None:
         question = unpack(payload, TokenQuestion, peer)
         node = self._state.nodes.get(question.node_id)
         if node is None or not self._state.peers_known or self._is_repeated(question):
             return
-        missing = self._take_over(question)
+        missing = self._apply(question)
         if not missing:
             self._send_answer(self._decide(question), node)
             return
@@ -123,11 +124,11 @@
     def _is_repeated(self, question: TokenQuestion) -> bool:
         return self._buckets.is_repeated(question.node_id, question.incarnation, question.number)
 
-    def _limit(self, tenant: str, told_rate: float = 0.0) -> TenantLimit | None:
-        return self._scope.source.limit_of(tenant, told_rate)
+    def _limit(self, tenant: str, reported_rate: float = 0.0) -> TenantLimit | None:
+        return self._scope.source.limit_of(tenant, reported_rate)
 
-    def _take_over(self, question: TokenQuestion) -> dict[str, float]:
-        """Take over what a question brings; return the tokens that are missing, by tenant."""
+    def _apply(self, question: TokenQuestion) -> dict[str, float]:
+        """Apply the refill time and returned tokens; return the missing tokens by tenant."""
         now = self._clock()
         self._expire(now)
         self._buckets.contribute(
@@ -140,35 +141,35 @@
             is_first=question.is_first,
         )
         missing: dict[str, float] = {}
-        for told in question.tenants:
-            limit = self._limit(told.tenant, told.rate)
+        for entry in question.tenants:
+            limit = self._limit(entry.tenant, entry.rate)
             if limit is None:
                 continue
-            self._buckets.put_back(told.tenant, limit, question.node_id, told.returned, now)
-            if not told.needs:
+            self._buckets.put_back(entry.tenant, limit, question.node_id, entry.returned, now)
+            if not entry.needs:
                 continue
-            cost = sum(need.cost for need in told.needs)
-            rank = max(need.rank for need in told.needs)
-            lacking = self._buckets.missing(told.tenant, limit, cost, rank, now)
-            if lacking > 0 and now >= self._dry_until.get(told.tenant, now):
-                missing[told.tenant] = lacking
+            cost = sum(need.cost for need in entry.needs)
+            rank = max(need.rank for need in entry.needs)
+            shortfall = self._buckets.missing(entry.tenant, limit, cost, rank, now)
+            if shortfall > 0 and now >= self._shortage_until.get(entry.tenant, now):
+                missing[entry.tenant] = shortfall
         return missing
 
     def _decide(self, question: TokenQuestion) -> TokenAnswer:
-        grants = [self._grant(question.node_id, told) for told in question.tenants]
+        grants = [self._grant(question.node_id, entry) for entry in question.tenants]
         return TokenAnswer(PROTOCOL_VERSION, question.number, grants)
 
-    def _grant(self, node_id: str, told: TenantTokens) -> TenantGrant:
-        limit = self._limit(told.tenant, told.rate)
+    def _grant(self, node_id: str, entry: TenantTokens) -> TenantGrant:
+        limit = self._limit(entry.tenant, entry.rate)
         if limit is None:
-            waits = [round(UNKNOWN_WAIT_SECONDS * MILLISECONDS)] * len(told.needs)
-            return TenantGrant(told.tenant, waits)
+            waits = [round(UNKNOWN_WAIT_SECONDS * MILLISECONDS)] * len(entry.needs)
+            return TenantGrant(entry.tenant, waits)
         now = self._clock()
-        waits = [0] * len(told.needs)
-        for place in sorted(range(len(waits)), key=lambda place: told.needs[place].rank):
-            waits[place] = self._wait_ms(told.tenant, limit, told.needs[place], now)
-        leased = self._buckets.lease(told.tenant, limit, node_id, told.ahead, now)
-        return TenantGrant(told.tenant, waits, leased)
+        waits = [0] * len(entry.needs)
+        for place in sorted(range(len(waits)), key=lambda place: entry.needs[place].rank):
+            waits[place] = self._wait_ms(entry.tenant, limit, entry.needs[place], now)
+        leased = self._buckets.lease(entry.tenant, limit, node_id, entry.ahead, now)
+        return TenantGrant(entry.tenant, waits, leased)
 
     def _wait_ms(self, tenant: str, limit: TenantLimit, need: TokenNeed, now: float) -> int:
         if self._buckets.take(tenant, limit, need.cost, need.rank, now):
@@ -177,10 +178,10 @@
         return round(wait * MILLISECONDS)
 
     async def _gather(self, missing: dict[str, float]) -> None:
-        """Ask the other holders for what is missing, and wait for it for a short time."""
+        """Request missing tokens from the other holders, and wait for them for a short time."""
         others = self._holders.others(self._clock())
-        if len(others) > MOST_ASKED:
-            others = self._rng.sample(others, MOST_ASKED)
+        if len(others) > MAX_HOLDERS_ASKED:
+            others = self._rng.sample(others, MAX_HOLDERS_ASKED)
         asked = [self._ask(node, missing) for node in others]
         given: defaultdict[str, float] = defaultdict(float)
         for answer in await asyncio.gather(*asked):
@@ -189,19 +190,19 @@
         now = self._clock()
         for tenant, tokens in missing.items():
             if given[tenant] < tokens:
-                self._dry_until[tenant] = now + DRY_SECONDS
+                self._shortage_until[tenant] = now + SHORTAGE_PAUSE_SECONDS
 
     async def _ask(self, node: NodeEntry, wanted: dict[str, float]) -> TransferAnswer | None:
         def send(number: int) -> None:
             self._open_transfers[number] = None
-            if len(self._open_transfers) > MOST_OPEN_TRANSFERS:
+            if len(self._open_transfers) > MAX_OPEN_TRANSFERS:
                 del self._open_transfers[next(iter(self._open_transfers))]
             question = TransferQuestion(PROTOCOL_VERSION, number, self._state.node_id, wanted)
             self._link.send(self._scope.transfer_question, pack(question), node.address)
 
         return await self._transfers.ask(send)
 
-    def _take_transfer_question(self, payload: bytes, peer: str) -> None:
+    def _on_transfer_question(self, payload: bytes, peer: str) -> None:
         question = unpack(payload, TransferQuestion, peer)
         node = self._state.nodes.get(question.node_id)
         if node is None:
@@ -215,7 +216,7 @@
         answer = TransferAnswer(PROTOCOL_VERSION, question.number, given)
         self._link.send(self._scope.transfer_answer, pack(answer), node.address)
 
-    def _take_transfer_answer(self, payload: bytes, peer: str) -> None:
+    def _on_transfer_answer(self, payload: bytes, peer: str) -> None:
         answer = unpack(payload, TransferAnswer, peer)
         if answer.number not in self._open_transfers:
             return
@@ -232,4 +233,6 @@
             return
         self._expire_at = now + EXPIRE_SECONDS
         self._buckets.expire(self._limit, now)
-        self._dry_until = {t: until for t, until in self._dry_until.items() if until > now}
+        self._shortage_until = {
+            t: until for t, until in self._shortage_until.items() if until > now
+        }
--- a/src/hillstack/daemon/limit_scopes.py
+++ b/src/hillstack/daemon/limit_scopes.py
@@ -1,4 +1,4 @@
-"""What is limited over all nodes together: tenants by configuration, runners by their own word."""
+"""The groups of limits that all nodes share: tenants by configuration, runners by announcement."""
 
 from __future__ import annotations
 
@@ -11,59 +11,60 @@
 from hillstack.messages.datagrams import DatagramKind
 from hillstack.serving.fleet_state import FleetState
 
-# In 4 s a runner may get half as much again as its limit allows, and five requests more.
+# In 4 s a runner may get 1.5 times the requests that its limit allows, and five more.
 RUNNER_TOLERANCE = LimitTolerance(window_seconds=4.0, overshoot=0.5, slack=5.0)
-# Less than at a tenant's limit: what fills a bucket, what nodes bring with their start and what
-# they have not handed over yet must fit that margin together at each rate.
+# Smaller than for tenants: at every rate, the fill of a bucket, the tokens that nodes bring at
+# startup and the refill time that they have not transferred yet must fit into this tolerance
+# together.
 RUNNER_START_SHARE = 0.3
 
 
 class LimitSource(Protocol):
-    """Knows the limits."""
+    """Source of the limits of a group."""
 
     def has_limits(self) -> bool:
-        """Return whether there are any."""
+        """Return whether any limit is in effect."""
         ...
 
-    def limit_of(self, name: str, told_rate: float) -> TenantLimit | None:
+    def limit_of(self, name: str, reported_rate: float) -> TenantLimit | None:
         """Return a limit; None if it is not known.
 
         Args:
-            name: Whose it is.
-            told_rate: The rate that a peer tells with it; 0 if it tells none.
+            name: Name of the tenant or runner.
+            reported_rate: The rate that a peer sent with its question; 0 if it sent none.
         """
         ...
 
-    def told_rate(self, name: str) -> float:
-        """Return the rate that peers are told with questions; 0 if they know it."""
+    def reported_rate(self, name: str) -> float:
+        """Return the rate to send to peers with questions; 0 if the peers know it."""
         ...
 
 
 class TenantLimitSource:
-    """The limits of tenants: all nodes know them from the configuration.
+    """The limits of tenants, which all nodes know from the configuration.
 
     Args:
-        state: What the node knows.
+        state: The node's view of the fleet.
     """
 
     def __init__(self, state: FleetState) -> None:
         self._state = state
 
     def has_limits(self) -> bool:
-        """Return whether some tenant has one."""
+        """Return whether any tenant has a limit."""
         return self._state.table is not None and self._state.table.has_limits()
 
-    def limit_of(self, name: str, told_rate: float) -> TenantLimit | None:
+    def limit_of(self, name: str, reported_rate: float) -> TenantLimit | None:
         """Return a tenant's limit; None if it has none."""
         return self._state.table.limit_of(name) if self._state.table is not None else None
 
-    def told_rate(self, name: str) -> float:
-        """Return 0: peers know it."""
+    def reported_rate(self, name: str) -> float:
+        """Return 0, since the peers know the rate."""
         return 0.0
 
 
 class RunnerLimitSource:
-    """The limits that runners name: nodes hear of them at different times.
+    """The limits that runners announce, which nodes learn at different times.
 
     Args:
         pool: All runners.
@@ -75,26 +76,26 @@
         self._clock = clock
 
     def has_limits(self) -> bool:
-        """Return whether some runner names one."""
+        """Return whether any runner has announced a limit."""
         return bool(self._pool.limited(self._clock()))
 
-    def limit_of(self, name: str, told_rate: float) -> TenantLimit | None:
-        """Return a runner's limit: the lower one where a peer knows another one."""
+    def limit_of(self, name: str, reported_rate: float) -> TenantLimit | None:
+        """Return a runner's limit: the lower of the locally known and the reported rate."""
         known = self._pool.limit_of(name, self._clock())
-        rates = [rate for rate in (known, told_rate) if rate]
+        rates = [rate for rate in (known, reported_rate) if rate]
         return TenantLimit(min(rates), burst=0.0) if rates else None
 
-    def told_rate(self, name: str) -> float:
-        """Return the rate that this node knows; 0 if it knows none."""
+    def reported_rate(self, name: str) -> float:
+        """Return the rate that this node knows for the runner; 0 if it knows none."""
         return self._pool.limit_of(name, self._clock()) or 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class LimitScope:
-    """A group of limits, and the datagrams that speak of them.
+    """A group of limits, and the kinds of datagrams used for it.
 
     Attributes:
-        source: Knows the limits.
+        source: Source of the limits.
     """
 
     source: LimitSource
@@ -105,12 +106,12 @@
 
 
 def tenant_scope(state: FleetState) -> LimitScope:
-    """Return the limits of tenants."""
+    """Return the scope of the tenants' limits."""
     return LimitScope(TenantLimitSource(state))
 
 
 def runner_scope(pool: RunnerPool, clock: Callable[[], float]) -> LimitScope:
-    """Return the limits of runners."""
+    """Return the scope of the runners' limits."""
     return LimitScope(
         RunnerLimitSource(pool, clock),
         DatagramKind.RUNNER_TOKEN_QUESTION,
--- a/src/hillstack/daemon/limited_calls.py
+++ b/src/hillstack/daemon/limited_calls.py
@@ -1,7 +1,8 @@
-"""Calls to runners that are no requests, kept within the limits that runners name.
+"""Keeps control calls to runners within the request limits that the runners announce.
 
-A runner counts all that reaches it. Questions on cached parts, which may come late, get a small
-part of a limit; orders for weights, which may not, come before requests.
+A runner counts every call against its limit, not only completion requests. Polls of cache contents
+may be delayed and get a small share of the limit. Weights orders must not be delayed and take
+precedence over requests.
 """
 
 from __future__ import annotations
@@ -15,23 +16,23 @@
 from hillstack.daemon.weights_orders import OrderOutcome, OrderSender, RunnerReport, WeightsOrder
 from hillstack.serving.runner_limits import RunnerLimits
 
-# Part of a limit that questions on cached parts may use, and the longest time between two of them.
+# Share of a limit that polls of cache contents may use, and the maximum time between two polls.
 FEED_SHARE = 0.1
 LONGEST_FEED_PAUSE_SECONDS = 10.0
-# How soon it is noticed that a limit has ended.
-LOOK_SECONDS = 0.25
-# How long an order or a report waits for room. A runner that gets neither keeps its old weights, of
-# which the time is bounded too: so they are sent after that.
+# Interval of the check whether a limit has ended.
+LIMIT_CHECK_SECONDS = 0.25
+# How long an order or a report call waits for the limit before it is sent regardless. A runner
+# without orders keeps its old weights, whose time in use is bounded as well.
 ORDER_PATIENCE_SECONDS = 0.5
 
 
 class LimitedFeed:
-    """Asks holders what they keep, and runners that name a limit seldom.
+    """Reads the contents of cache holders, less often from runners with a limit.
 
     Args:
-        feed: Asks.
-        limits: Takes calls out of limits.
-        pool: Knows the limits.
+        feed: Reads the contents of holders.
+        limits: Counts calls against the limits.
+        pool: All runners and their limits.
         clock: Monotonic seconds.
     """
 
@@ -48,37 +49,37 @@
         self._clock = clock
 
     async def listing(self, holder: CacheHolder) -> CacheListing:
-        """Return all that a holder keeps; raises ``BackendError``."""
-        await self._room(holder)
+        """Return the complete contents of a holder; raises ``BackendError``."""
+        await self._wait_for_limit(holder)
         return await self._feed.listing(holder)
 
     async def changes(self, holder: CacheHolder, since: int, wait_seconds: float) -> CacheChanges:
         """Return the changes since a cursor; raises ``BackendError``."""
         await self._pause(holder)
-        await self._room(holder)
+        await self._wait_for_limit(holder)
         return await self._feed.changes(holder, since, wait_seconds)
 
     async def _pause(self, holder: CacheHolder) -> None:
-        """Wait while the runner's limit has no part left for the next question."""
+        """Wait until the polls' share of the runner's limit allows the next poll."""
         asked_at = self._clock()
         while (rate := self._pool.limit_of(holder.holder_id, self._clock())) is not None:
             pause = min(LONGEST_FEED_PAUSE_SECONDS, 1.0 / (FEED_SHARE * rate))
             left = asked_at + pause - self._clock()
             if left <= 0:
                 return
-            await asyncio.sleep(min(left, LOOK_SECONDS))
+            await asyncio.sleep(min(left, LIMIT_CHECK_SECONDS))
 
-    async def _room(self, holder: CacheHolder) -> None:
+    async def _wait_for_limit(self, holder: CacheHolder) -> None:
         while not await self._limits.room_for_call(holder.holder_id, LONGEST_FEED_PAUSE_SECONDS):
             continue
 
 
 class LimitedOrders:
-    """Orders weights and asks for reports, with room of the runner's limit if there is some soon.
+    """Sends weights orders and report calls, and waits for the runner's limit for a bounded time.
 
     Args:
-        sender: Sends them.
-        limits: Takes calls out of limits.
+        sender: Sends the calls.
+        limits: Counts calls against the limits.
     """
 
     def __init__(self, sender: OrderSender, limits: RunnerLimits) -> None:
@@ -86,7 +87,7 @@
         self._limits = limits
 
     async def report(self, runner_id: str, address: str) -> RunnerReport:
-        """Return what a runner says of itself; raises ``BackendError``."""
+        """Return a runner's report on its weights; raises ``BackendError``."""
         await self._limits.room_for_call(runner_id, ORDER_PATIENCE_SECONDS)
         return await self._sender.report(runner_id, address)
 
--- a/src/hillstack/daemon/loop_lag.py
+++ b/src/hillstack/daemon/loop_lag.py
@@ -1,24 +1,26 @@
-"""Whether the event loop is behind with its reading.
+"""Detects that the event loop lags, so that it reads from its sockets late.
 
-A request that is read late may have lost its caller meanwhile: both the request and the close wait
-in the socket. Only then is it worth to look for the close before the request is sent anywhere.
+The caller of a request that is read late may have disconnected: both the request and the close of
+the connection then wait in the socket. Only in this case is it worth checking for the close before
+the request is sent to a runner.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# Between two ticks, which another loop of the node gives (``runner_monitor``).
+# Interval of the ticks, which ``runner_monitor`` generates.
 TICK_SECONDS = 0.1
-# Reading that is later counts as behind: a fifth of the half second in which a close must have its
-# effect.
-LATE_SECONDS = 0.1
-# What waited meanwhile is read by then; where it takes longer, ticks come late again.
+# A tick with a larger delay counts as lag: a fifth of the half second within which the close of a
+# connection must take effect.
+LAG_THRESHOLD_SECONDS = 0.1
+# Time to read the data that queued up during a lag. If it takes longer, the next ticks are late
+# too.
 BEHIND_SECONDS = 1.0
 
 
 class LoopLag:
-    """Measures how late a regular tick comes.
+    """Measures the delay of a regular tick.
 
     Args:
         clock: Monotonic seconds.
@@ -27,25 +29,25 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._ticked_at = clock()
-        # A start holds all reading up.
+        # The startup delays all reads.
         self._behind_until = self._ticked_at + BEHIND_SECONDS
 
     def ticked(self) -> None:
-        """Note a tick."""
+        """Record a tick."""
         now = self._clock()
         if self._is_late(now):
             self._behind_until = now + BEHIND_SECONDS
         self._ticked_at = now
 
     def is_behind(self) -> bool:
-        """Return whether what is read now may have waited for long."""
+        """Return whether data that is read now may have waited in its socket for long."""
         now = self._clock()
         return now < self._behind_until or self._is_late(now)
 
     def on_time_since(self) -> float:
-        """Return since when reading is not behind; now, if it is."""
+        """Return the time since which the loop has not lagged; now if it lags."""
         now = self._clock()
         return now if self._is_late(now) else min(now, self._behind_until)
 
     def _is_late(self, now: float) -> bool:
-        return now - self._ticked_at > TICK_SECONDS + LATE_SECONDS
+        return now - self._ticked_at > TICK_SECONDS + LAG_THRESHOLD_SECONDS
--- a/src/hillstack/daemon/metrics.py
+++ b/src/hillstack/daemon/metrics.py
@@ -8,7 +8,7 @@
 
 
 class RouterMetrics:
-    """All metrics of one router, in a registry of their own."""
+    """All metrics of one router, in a separate registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
--- a/src/hillstack/daemon/metrics_page.py
+++ b/src/hillstack/daemon/metrics_page.py
@@ -1,4 +1,4 @@
-"""The application that tells a node's metrics as text."""
+"""ASGI application that serves a node's metrics in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class MetricsPage:
-    """The application that tells the metrics."""
+    """ASGI application that serves the metrics."""
 
     def __init__(self, metrics: FleetMetrics) -> None:
         self._metrics = metrics
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one question."""
+        """Answer one HTTP request."""
         if scope["type"] != "http":
             return
         found = scope["path"] == METRICS_PATH
--- a/src/hillstack/daemon/metrics_server.py
+++ b/src/hillstack/daemon/metrics_server.py
@@ -1,4 +1,4 @@
-"""Serves the metrics, as soon as their address is free: a node does its work without them."""
+"""Serves the metrics as soon as their address is free; the node runs without them until then."""
 
 from __future__ import annotations
 
@@ -12,36 +12,38 @@
 
 logger = logging.getLogger(__name__)
 
-# The process before may hold the address until its grace of 8 s ends; scrapes come each 10 to 15 s.
+# The previous process may use the address until its grace period of 8 s ends. Scrapes arrive every
+# 10 to 15 s.
 RETRY_SECONDS = 0.5
 
 
 async def serve_metrics(page: MetricsPage, address: str) -> None:
     """Serve the metrics until cancelled.
 
-    The server ends the whole process if it can't listen, so it is given a socket that does.
+    The server ends the whole process if it fails to listen, so it gets a socket that is already
+    listening.
 
     Args:
         page: The application.
-        address: ``IP:PORT`` on which it listens.
+        address: ``IP:PORT`` to listen on.
     """
     listener = await _listen_when_free(address)
     await make_server(page, address, date_header=False)._serve([listener])
 
 
 async def _listen_when_free(address: str) -> socket.socket:
-    is_told = False
+    is_reported = False
     while True:
         try:
             listener = _listen(address)
         except OSError as error:
-            if not is_told:
+            if not is_reported:
                 fields = {"address": address, "error": str(error)}
                 logger.warning("metrics not told", extra=fields)
-            is_told = True
+            is_reported = True
             await asyncio.sleep(RETRY_SECONDS)
             continue
-        if is_told:
+        if is_reported:
             logger.info("metrics told", extra={"address": address})
         return listener
 
--- a/src/hillstack/daemon/network_surroundings.py
+++ b/src/hillstack/daemon/network_surroundings.py
@@ -1,4 +1,4 @@
-"""A node's surroundings over sockets and the system's clocks."""
+"""The external interfaces of a router node, over sockets and the system's clocks."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
     @property
     def gossip_bytes_sent(self) -> int:
-        """Bytes of datagrams sent so far."""
+        """Bytes of gossip datagrams sent so far."""
         return self.protocol.bytes_sent if self.protocol else 0
 
     def gossip(self, address: str, message: Message) -> None:
-        """Send a datagram; it may be lost."""
+        """Send a datagram, which may be lost."""
         if self.protocol is not None:
             self.protocol.send(address, message)
 
@@ -42,7 +42,7 @@
         """Send a request and return its answer.
 
         Raises:
-            PeerError: No answer in time, or the peer failed.
+            PeerError: The peer failed or did not answer in time.
         """
         return await self.client.call(address, message, timeout)
 
@@ -50,11 +50,11 @@
 class NetworkSurroundings:
     """Sockets, clocks and randomness of a router process.
 
-    Must be made inside a running event loop.
+    Must be created inside a running event loop.
 
     Args:
-        settings: Checked settings.
-        index: Where cache events go.
+        settings: Validated settings.
+        index: Cache index that receives the cache events.
     """
 
     def __init__(self, settings: RouterSettings, index: CacheIndex) -> None:
@@ -70,7 +70,7 @@
         self._server: PeerServer | None = None
 
     def clock(self) -> float:
-        """Return seconds on the clock of nodes (``hillstack.clock``)."""
+        """Return seconds of the node's clock (``hillstack.clock``)."""
         return clock.seconds()
 
     def wall_clock(self) -> float:
@@ -81,13 +81,13 @@
         """Return the machine list.
 
         Raises:
-            PlatformError: It could not be read.
+            PlatformError: The list could not be read.
         """
         address = self._settings.platform.machine_list
         return await fetch_machines(self.backends.session, address)
 
     async def listen(self, on_request: RequestHandler, on_gossip: GossipHandler) -> None:
-        """Open the peer sockets."""
+        """Open the sockets for messages from other nodes."""
         address = self._settings.listen.peers
         self._server = PeerServer(self._codec, on_request)
         await self._server.start(address)
