--- a/src/hillstack/addresses.py
+++ b/src/hillstack/addresses.py
@@ -1,10 +1,11 @@
-"""Addresses of the form ``IP:PORT``, and how many callers may wait at one."""
+"""Addresses of the form ``IP:PORT``, and the backlog of listening sockets."""
 
-# Connections that wait while the program loads: a second of several times the busiest node seen.
+# Connections that may wait while the program loads: those of one second at several times the load
+# of the busiest observed node.
 LISTEN_BACKLOG = 2_048
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of ``IP:PORT``; brackets around an IPv6 number are dropped."""
+    """Return host and port of ``IP:PORT``; brackets around an IPv6 address are removed."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/src/hillstack/clock.py
+++ b/src/hillstack/clock.py
@@ -1,25 +1,25 @@
-"""The clock that nodes measure time with.
+"""The clock of the nodes, which counts the time during which the machine is suspended.
 
-It counts the time for which a machine is suspended, as those do with whom a node has to agree: the
-store that lets a lease lapse, peers, callers, runners. The monotonic clock stands still meanwhile,
-and a node that goes by it wakes with beliefs that are older than it thinks.
+The other parties count this time as well: the store, which expires leases, and the peers, callers
+and runners. The monotonic clock stops during a suspension, so a node that used it would
+underestimate the age of its leases and estimates after the machine is resumed.
 """
 
 from __future__ import annotations
 
 import time
 
-# Missing on systems other than Linux, where the monotonic clock has to do.
+# Only Linux has this clock; on other systems the monotonic clock is used instead.
 BOOT_CLOCK: int | None = getattr(time, "CLOCK_BOOTTIME", None)
 
 
 def seconds() -> float:
-    """Return seconds since some moment that does not change while the machine runs."""
+    """Return seconds since a fixed but arbitrary moment, including suspended time."""
     if BOOT_CLOCK is None:
         return time.monotonic()
     return time.clock_gettime(BOOT_CLOCK)
 
 
 def suspended_seconds() -> float:
-    """Return for how long the machine was suspended, counted from some moment."""
+    """Return seconds of suspension since a fixed but arbitrary moment."""
     return seconds() - time.monotonic()
--- a/src/hillstack/daemon/fleet_process.py
+++ b/src/hillstack/daemon/fleet_process.py
@@ -9,7 +9,7 @@
 from hillstack.daemon.early_listeners import EarlyListeners
 from hillstack.daemon.fleet_node import FleetNode
 from hillstack.daemon.start_times import StartTimes
-from hillstack.daemon.suspensions import ClockedEventLoop
+from hillstack.daemon.suspensions import SuspendAwareEventLoop
 from hillstack.logs import configure_bounded_logging
 
 
@@ -30,5 +30,5 @@
     async def run() -> None:
         await FleetNode(settings, listeners, times, path).run()
 
-    with asyncio.Runner(loop_factory=ClockedEventLoop) as runner:
+    with asyncio.Runner(loop_factory=SuspendAwareEventLoop) as runner:
         runner.run(run())
--- a/src/hillstack/daemon/node.py
+++ b/src/hillstack/daemon/node.py
@@ -1,4 +1,4 @@
-"""One router node: its state and the tasks that keep it up to date."""
+"""One router node: its state and the background tasks that update it."""
 
 from __future__ import annotations
 
@@ -55,10 +55,10 @@
     """The state of one router, and its background tasks.
 
     Args:
-        settings: Checked settings.
+        settings: Validated settings.
         surroundings: Clocks, randomness and transports.
         fleet: Back ends and their load.
-        index: Cache beliefs.
+        index: Estimated contents of the engines' caches.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
 
     @property
     def backends(self) -> Backends:
-        """Requests to back ends."""
+        """Client for requests to back ends."""
         return self._surroundings.backends
 
     @property
@@ -124,7 +124,7 @@
         return self.control.bundle
 
     def announce_fill(self, request: CompletionRequest, placement: Placement) -> None:
-        """Tell some other nodes of a prefill just sent, those of the own zone first."""
+        """Announce a prefill that was just sent to some other nodes, preferring the local zone."""
         notice = self.router.fill_of(request, placement) if self.router else None
         if notice is None:
             return
@@ -151,13 +151,13 @@
         self._spawn(self._run_sync())
 
     async def leave(self) -> None:
-        """Hand duties over and tell the others that this node leaves; it keeps serving."""
+        """Release duties and announce that this node leaves; it still serves requests."""
         self.stopping = True
         await self._weights.hand_over()
         self._send(self.membership.leave())
 
     async def stop(self) -> None:
-        """End all tasks and close all sockets."""
+        """Cancel all tasks and close all sockets."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -204,7 +204,7 @@
             await asyncio.sleep(interval)
 
     async def _refresh_after_pause(self) -> None:
-        """Bring the view of back ends up to date, within a bounded time."""
+        """Refresh the machine list and the members after a pause, with a timeout."""
         targets = [self._sync_with(address) for address in self._sync_targets()]
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(REFRESH_TIMEOUT_SECONDS):
@@ -212,7 +212,7 @@
         self.fleet.refreshed()
 
     async def _run_sync(self) -> None:
-        """Exchange whole member lists: with the seeds at the start, then where they differ."""
+        """Exchange complete member lists at startup, later only with peers whose digest differs."""
         sync = self._sync_with
         while True:
             reached = [await sync(address) for address in self._sync_targets()]
@@ -234,12 +234,12 @@
         return self.rng.sample(candidates, min(SYNC_FAN_OUT, len(candidates)))
 
     async def _compare_with(self, address: str) -> bool:
-        """Exchange lists with a node if their digests differ; a digest is a fraction of a list."""
+        """Exchange member lists with a node if the digests differ; a digest is much smaller."""
         try:
             digest = self.membership.digest()
             reply = await self._call(address, SyncDigest(digest))
         except PeerError as error:
-            logger.debug("no digest", extra=error_fields(error))
+            logger.debug("could not compare member lists", extra=error_fields(error))
             return False
         if isinstance(reply, SyncDigest) and reply.digest == digest:
             return True
@@ -252,7 +252,7 @@
         try:
             reply = await self._call(address, SyncRequest(self.membership.snapshot()))
         except PeerError as error:
-            logger.debug("no member list", extra=error_fields(error))
+            logger.debug("could not exchange member lists", extra=error_fields(error))
             return False
         if not isinstance(reply, SyncReply):
             return False
--- a/src/hillstack/daemon/plain_http.py
+++ b/src/hillstack/daemon/plain_http.py
@@ -1,16 +1,18 @@
 """Loads the HTTP client without TLS, and the HTTP server without its command line.
 
-A node's calls go to numeric addresses in plain HTTP. The client library makes two TLS contexts when
-it is imported, with all certificates of the system, which is a third of a node's start. It does
-without where Python has no TLS, so it is imported as if there were none.
+A node calls numeric addresses over plain HTTP. On import, the client library creates two TLS
+contexts with all certificates of the system, which takes a third of a node's startup time. The
+library also works in a Python without TLS, so it is imported as if there were no ``ssl`` module.
 
-The server's package imports its command line, a library for that, and its supervisors of processes:
-27 modules and a twentieth of a node's start. A node uses two modules of it.
+The server package imports its command line, a command-line library and its process supervisors: 27
+modules, which take a twentieth of a node's startup time. A node uses only two modules of the
+package.
 """
 
 from __future__ import annotations
 
-# These use TLS when they can, and are shared with the rest of the process: loaded as they are.
+# These modules use TLS if available and are shared with the rest of the process, so they are
+# imported first, while TLS is visible.
 import asyncio  # noqa: F401
 import importlib.util
 import ssl
@@ -23,7 +25,7 @@
 
 
 def load_http_client() -> None:
-    """Import the client library; without effect where it is loaded already."""
+    """Import the client library without TLS; does nothing if it is already loaded."""
     if CLIENT_MODULE in sys.modules:
         return
     sys.modules[TLS_MODULE] = None  # type: ignore[assignment]
@@ -34,11 +36,11 @@
 
 
 def load_http_server() -> None:
-    """Import the server library; without effect where it is loaded already."""
+    """Import the needed part of the server library; does nothing if it is already loaded."""
     spec = importlib.util.find_spec(SERVER_MODULE)
     if SERVER_MODULE in sys.modules or spec is None:
         return
-    # The package itself is not run: only these two of its names are used.
+    # The code of the package itself is not run; it gets only the two names that a node uses.
     package = sys.modules[SERVER_MODULE] = importlib.util.module_from_spec(spec)
     from uvicorn.config import Config
     from uvicorn.server import Server
--- a/src/hillstack/daemon/ports.py
+++ b/src/hillstack/daemon/ports.py
@@ -1,6 +1,6 @@
-"""What a node needs from its surroundings.
+"""Interfaces between a router node and the outside: clocks, randomness, network and services.
 
-The daemon implements these over sockets and the system's clocks, the simulation over virtual time
+The daemon implements them over sockets and the system's clocks, the simulation over virtual time
 and a simulated network. The node's code is the same in both.
 """
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendStatus:
-    """What a back end says of itself."""
+    """The status that a back end reports."""
 
     incarnation: str
     weights_version: int
@@ -35,16 +35,16 @@
     """The body of an answer."""
 
     def iter_any(self) -> AsyncIterator[bytes]:
-        """Yield pieces as they arrive."""
+        """Yield pieces of the body as they arrive."""
         ...
 
     async def read(self, n: int = -1) -> bytes:
-        """Return up to ``n`` bytes, or all."""
+        """Return up to ``n`` bytes, or all bytes if ``n`` is negative."""
         ...
 
 
 class Answer(Protocol):
-    """An answer of a back end, headers in, body to come."""
+    """An answer of a back end whose headers have arrived and whose body is still to be read."""
 
     @property
     def status(self) -> int:
@@ -53,7 +53,7 @@
 
     @property
     def headers(self) -> Mapping[str, str]:
-        """Headers, by lower-case or any-case name."""
+        """Headers by name."""
         ...
 
     @property
@@ -63,7 +63,7 @@
 
 
 class Backends(Protocol):
-    """Requests to back ends."""
+    """Client for requests to back ends."""
 
     def send(
         self,
@@ -88,7 +88,7 @@
         ...
 
     async def order_load(self, address: str, fence: int, weights_version: int) -> bool:
-        """Order an engine to load weights; return False when its fence refused the order."""
+        """Order an engine to load weights; return False if it refused the fence."""
         ...
 
 
@@ -97,7 +97,7 @@
 
     @property
     def era(self) -> int:
-        """Rises when the service has come back with an older state."""
+        """Number that increases whenever the service was restored from an older state."""
         ...
 
     async def get(self, key: str) -> Entry | None:
@@ -111,19 +111,19 @@
     async def transact(
         self, conditions: Sequence[Condition], puts: Sequence[Put]
     ) -> StoreRevision | None:
-        """Write all keys if all conditions hold; return the revision or None."""
+        """Write all keys if all conditions hold; return the revision, or None if one failed."""
         ...
 
     async def grant_lease(self, ttl_seconds: float) -> int:
-        """Make a lease and return its identifier."""
+        """Create a lease and return its identifier."""
         ...
 
     async def keep_alive(self, lease_id: int) -> bool:
-        """Renew a lease and return whether it still existed."""
+        """Renew a lease; return whether it still existed."""
         ...
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease; its keys are deleted."""
+        """Revoke a lease and delete its keys."""
         ...
 
     def watch(self, key: str) -> AsyncIterator[bytes]:
@@ -136,11 +136,11 @@
 
     @property
     def gossip_bytes_sent(self) -> int:
-        """Bytes of datagrams sent so far."""
+        """Bytes of gossip datagrams sent so far."""
         ...
 
     def gossip(self, address: str, message: Message) -> None:
-        """Send a datagram; it may be lost."""
+        """Send a datagram, which may be lost."""
         ...
 
     async def call(self, address: str, message: Message, timeout: float) -> Message:
@@ -157,7 +157,7 @@
 
 
 class Surroundings(Protocol):
-    """All of it."""
+    """All external interfaces of a router node."""
 
     @property
     def rng(self) -> Random:
@@ -166,7 +166,7 @@
 
     @property
     def backends(self) -> Backends:
-        """Requests to back ends."""
+        """Client for requests to back ends."""
         ...
 
     @property
@@ -185,7 +185,7 @@
         ...
 
     def clock(self) -> float:
-        """Return seconds on the clock of nodes (``hillstack.clock``)."""
+        """Return seconds of the node's clock (``hillstack.clock``)."""
         ...
 
     def wall_clock(self) -> float:
@@ -197,7 +197,7 @@
         ...
 
     async def listen(self, on_request: RequestHandler, on_gossip: GossipHandler) -> None:
-        """Begin to receive messages of other nodes."""
+        """Start to receive messages from other nodes."""
         ...
 
     async def close(self) -> None:
--- a/src/hillstack/daemon/rollout_decider.py
+++ b/src/hillstack/daemon/rollout_decider.py
@@ -1,8 +1,9 @@
-"""Decides the rollout of one service while this node holds the duty of it.
+"""Decides the rollout of one service while this node holds the service's rollout duty.
 
-All nodes watch and judge, so that the next holder knows as much as the one before; only the holder
-writes. What it writes holds only if order, record and duty are still those that it decided on, so
-a holder that was paused, or whose write comes late, changes nothing.
+All nodes observe and judge the rollout, so that the next holder of the duty knows as much as the
+previous one, but only the holder writes. A write takes effect only if the order, the record and the
+duty still have the revisions that the decision was based on. A holder that was paused, or whose
+write arrives late, therefore changes nothing.
 """
 
 from __future__ import annotations
@@ -39,28 +40,28 @@
 
 logger = logging.getLogger(__name__)
 
-# A node that has said nothing for longer counts as silent: more than three of the longest pauses
+# A node whose last report is older counts as silent: more than three of the longest intervals
 # between reports (0.8 s).
 REPORT_FRESH_SECONDS = 3.0
-# Nodes that one line of the log names.
-MOST_LOGGED_NODES = 10
+# Maximum number of nodes listed in one log line.
+MAX_LOGGED_NODES = 10
 
 
 class RolloutStore(Protocol):
-    """The calls that a decision needs; each raises ``PlatformError`` when it fails."""
+    """The store calls that a decision needs; each raises ``PlatformError`` if it fails."""
 
     async def write_rollout(
         self, record: RolloutRecord, fence: StoreRevision, tell_operator: bool
     ) -> StoreRevision | None:
-        """Replace a record if order, record and duty still have the revisions that it names.
+        """Replace a record if the order, the record and the duty have the given revisions.
 
         Args:
-            record: The record, with the revision of the one that it replaces.
-            fence: Revision of the duty's key.
-            tell_operator: Whether the operator's status is written with it.
+            record: The new record; its revision is that of the record to replace.
+            fence: Expected revision of the duty's key.
+            tell_operator: Whether the operator's status is written in the same transaction.
 
         Returns:
-            The revision of the new record, or None if a condition does not hold.
+            The revision of the new record, or None if a condition failed.
         """
         ...
 
@@ -70,25 +71,28 @@
 
 
 class Observations(Protocol):
-    """What all nodes saw of the rollouts that stand."""
+    """The observations of all nodes on the current rollouts."""
 
     def evidence(self, service: str) -> RolloutEvidence | None:
-        """Return what was seen of the order that stands; None if nothing is known yet."""
+        """Return the evidence on the current order; None if there is none yet."""
         ...
 
     def opinion(self, service: str) -> RolloutOpinion:
-        """Return what this node holds of the target of the order that stands."""
+        """Return this node's opinion of the current order's target version."""
         ...
 
 
 @dataclass(slots=True)
 class _Watch:
-    """What this node noted of one order, on its own clock.
+    """State of one order as observed by this node, in times of the node's clock.
 
     Attributes:
-        stage: Stage of the order's latest record; None without one.
-        stage_seen_at: When that stage was first seen.
-        usable_at: When a runner of the target last accepted work, or the order was seen.
+        order: The order.
+        age: Age of the order.
+        stage: Stage of the order's latest record; None without a record.
+        stage_seen_at: When the stage was first seen.
+        usable_at: When a runner of the target version last accepted work, or, if none has, when
+            the order was first seen.
     """
 
     order: RolloutOrder
@@ -99,15 +103,15 @@
 
 
 class RolloutDecider:
-    """Watches the rollout of one service, and decides it while the duty is held.
+    """Observes the rollout of one service, and decides it while the duty is held.
 
     Args:
         service: The service.
-        state: What the node knows.
-        store: Where record and status are written.
-        observations: What all nodes saw.
-        live_nodes: Returns the nodes that are alive.
-        apply_seconds: Time after which a change is in force on nodes that say nothing.
+        state: The node's view of the fleet.
+        store: Where records and statuses are written.
+        observations: The observations of all nodes.
+        live_nodes: Returns the live nodes.
+        apply_seconds: Time after which a change is assumed to be in force on silent nodes.
         clock: Monotonic seconds.
     """
 
@@ -131,32 +135,32 @@
         self._watch: _Watch | None = None
 
     def is_wanted(self) -> bool:
-        """Return whether an order stands that is not decided yet."""
+        """Return whether there is a current order that is not decided yet."""
         order = self._state.rollouts.order(self._service)
         return order is not None and not self._is_settled(order)
 
     def _is_settled(self, order: RolloutOrder) -> bool:
-        """Return whether an order is decided, and the store says so."""
+        """Return whether an order is decided and the store has the record of it."""
         has_lost_record = self._state.rollouts.has_lost_record(self._service)
         return is_decided(order, self._record()) and not has_lost_record
 
-    def look(self) -> RolloutView | None:
-        """Watch and judge; return what is known, or None without an order to decide."""
+    def observe(self) -> RolloutView | None:
+        """Update the observed state; return the view, or None without an order to decide."""
         order = self._state.rollouts.order(self._service)
         if order is None:
             self._watch = None
             return None
         watch = self._watch
         if watch is None or watch.order.identity != order.identity:
-            watch = self._watch = self._begin(order)
+            watch = self._watch = self._start_watch(order)
         watch.order = order
-        self._note_record(watch)
+        self._observe_record(watch)
         if self._is_settled(order):
             return None
         return self._view(watch)
 
     async def advance(self, view: RolloutView, fence: StoreRevision) -> None:
-        """Write the next step if there is one."""
+        """Write the next step of the rollout, if there is one."""
         step = next_step(view)
         if step is None:
             return
@@ -164,41 +168,41 @@
         try:
             revision = await self._store.write_rollout(step.record, fence, step.news)
         except PlatformOutcomeUnknownError as error:
-            logger.warning("rollout step without an answer", extra=self._fields(error))
-            await self._settle()
+            logger.warning("rollout step without an answer", extra=self._log_fields(error))
+            await self._reload_record()
             return
         except PlatformError as error:
-            logger.warning("rollout step not written", extra=self._fields(error))
+            logger.warning("rollout step not written", extra=self._log_fields(error))
             return
         if revision is None:
-            logger.info("rollout step refused", extra=self._fields())
-            await self._settle()
+            logger.info("rollout step refused", extra=self._log_fields())
+            await self._reload_record()
             return
-        self._take(step.record, revision)
+        self._apply_record(step.record, revision)
 
-    async def _settle(self) -> None:
-        """Take over the record as it stands: the last write may or may not have taken effect."""
+    async def _reload_record(self) -> None:
+        """Read the record again, since it is unknown whether the last write took effect."""
         try:
             record = await self._store.read_rollout(self._service)
         except PlatformError as error:
-            # The next step is written under the same conditions, so it can't come on top.
-            logger.warning("rollout record not read", extra=self._fields(error))
+            # The next step has the same conditions, so it fails if this write took effect.
+            logger.warning("could not read the rollout record", extra=self._log_fields(error))
             return
         if record is not None:
-            self._take(record, record.revision)
+            self._apply_record(record, record.revision)
 
-    def _take(self, record: RolloutRecord, revision: StoreRevision) -> None:
+    def _apply_record(self, record: RolloutRecord, revision: StoreRevision) -> None:
         written = replace(record, revision=revision)
         self._state.apply(RolloutRecorded(written), self._clock())
 
     def _record(self) -> RolloutRecord | None:
         return self._state.rollouts.record(self._service)
 
-    def _begin(self, order: RolloutOrder) -> _Watch:
+    def _start_watch(self, order: RolloutOrder) -> _Watch:
         now = self._clock()
         return _Watch(order, OrderAge(now), usable_at=now)
 
-    def _note_record(self, watch: _Watch) -> None:
+    def _observe_record(self, watch: _Watch) -> None:
         record = self._record()
         if record is None or not is_of_order(record, watch.order):
             return
@@ -248,14 +252,14 @@
         if target:
             watch.usable_at = now
         return Places(
-            _slots(target),
-            _slots(others),
+            _total_slots(target),
+            _total_slots(others),
             now - watch.usable_at,
-            any(self._is_alternative(runner, watch.order, now) for runner in runners),
+            any(self._is_usable_alternative(runner, watch.order, now) for runner in runners),
         )
 
-    def _is_alternative(self, runner: Runner, order: RolloutOrder, now: float) -> bool:
-        """Return whether a runner of another version is listed and may be used."""
+    def _is_usable_alternative(self, runner: Runner, order: RolloutOrder, now: float) -> bool:
+        """Return whether a runner has another version that may be used, and stays in service."""
         version = runner.entry.software
         if version == order.target or not runner.stays(now):
             return False
@@ -273,16 +277,16 @@
             "finding": view.finding,
             "target_places": view.places.target,
             "other_places": view.places.others,
-            "waited_for": waited_for(view)[:MOST_LOGGED_NODES],
+            "waited_for": waited_for(view)[:MAX_LOGGED_NODES],
             "rejected": list(step.record.rejected),
         }
         changed = view.record is None or view.record.stage is not step.record.stage
         logger.info("rollout step" if changed else "rollout goes on", extra=fields)
 
-    def _fields(self, error: PlatformError | None = None) -> dict[str, object]:
+    def _log_fields(self, error: PlatformError | None = None) -> dict[str, object]:
         fields: dict[str, object] = {"service": self._service}
         return fields | error_fields(error) if error is not None else fields
 
 
-def _slots(runners: list[Runner]) -> int:
+def _total_slots(runners: list[Runner]) -> int:
     return sum(runner.entry.slots for runner in runners)
--- a/src/hillstack/daemon/runner_monitor.py
+++ b/src/hillstack/daemon/runner_monitor.py
@@ -1,4 +1,4 @@
-"""Finds runners that owe this node an answer and are silent, and tells the peers."""
+"""Detects runners that are silent while this node waits for their answers; reports suspects."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 logger = logging.getLogger(__name__)
 
-# How late silence is noticed: a quarter of what counts as silence.
+# Interval of the check: a quarter of the time that counts as silence.
 CHECK_SECONDS = TICK_SECONDS
 
 
 class RunnerMonitor:
-    """Looks at all runners that have requests of this node.
+    """Checks all runners that have requests of this node for silence.
 
     Args:
-        state: What the node knows.
-        peers: Where peers are told.
+        state: The node's view of the fleet.
+        peers: Sends suspicions to the peers.
         clock: Seconds of the node's clock.
-        lag: Is told of each look, which is as regular as the loop allows.
-        on_suspended: Called with the length of each sleep of the machine, in seconds.
+        lag: Gets a tick from each check, which is as regular as the event loop allows.
+        on_suspended: Called with the length of each suspension of the machine, in seconds.
     """
 
     def __init__(
@@ -45,16 +45,17 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Look now and then until cancelled."""
+        """Check at a regular interval until cancelled."""
         while True:
             await asyncio.sleep(CHECK_SECONDS)
             self._lag.ticked()
-            suspended = self._suspensions.look()
+            suspended = self._suspensions.check()
             if suspended:
                 self._on_suspended(suspended)
             now = self._clock()
             for runner in self._state.pool.all():
-                # Most runners have none: ten looks a second at each.
+                # The cheapest test comes first: most runners have no attempts, and each is checked
+                # ten times a second.
                 if len(runner.attempts) and runner.is_silent(now) and now >= runner.suspected_until:
                     self._suspect(runner, now)
 
--- a/src/hillstack/daemon/server.py
+++ b/src/hillstack/daemon/server.py
@@ -1,4 +1,4 @@
-"""The life of a router process: start, serve, planned stop."""
+"""Lifecycle of a router process: startup, serving, planned stop."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from hillstack.core.fleet import Fleet
 from hillstack.daemon.network_surroundings import NetworkSurroundings
 from hillstack.daemon.node import Node
-from hillstack.daemon.suspensions import ClockedEventLoop
+from hillstack.daemon.suspensions import SuspendAwareEventLoop
 from hillstack.gateway.app import make_app
 from hillstack.http_server import make_server
 
@@ -24,12 +24,12 @@
 
 
 class RouterProcess:
-    """Runs one router until SIGTERM or SIGINT; must be made inside a running event loop.
+    """Runs one router until SIGTERM or SIGINT; must be created inside a running event loop.
 
-    A planned stop goes: not ready and out of the membership; new connections are still taken for
-    a while, since callers learn of the stop with a delay, and every answer asks to close its
-    connection; then the listener closes, idle connections run into the keep-alive limit, and the
-    process ends after the last open request. There is no cut-off.
+    Steps of a planned stop: the node reports that it is not ready and leaves the membership. It
+    still accepts connections for a while, since callers learn of the stop with a delay, and every
+    answer asks the caller to close the connection. Then the listener closes, idle connections reach
+    the keep-alive limit, and the process ends after the last open request, however long it takes.
     """
 
     def __init__(self, settings: RouterSettings) -> None:
@@ -46,7 +46,7 @@
         node = self._node
         await node.start()
         server = self._make_server()
-        # Unlike ``serve``, ``_serve`` leaves signals alone: the router decides when it ends.
+        # Unlike ``serve``, ``_serve`` installs no signal handlers: the router decides when to stop.
         serving = asyncio.create_task(server._serve())
         logger.info("listening", extra={"callers": self._settings.listen.callers})
         stopping = asyncio.create_task(self._stop.wait())
@@ -73,7 +73,7 @@
         await asyncio.sleep(self._settings.stop.linger_seconds)
         for listener in server.servers:
             listener.close()
-        # Each connection ends by itself: after its next answer, or when idle for too long.
+        # Each connection closes by itself, after its next answer or after the keep-alive limit.
         while server.server_state.connections:  # noqa: ASYNC110 (uvicorn offers no event)
             await asyncio.sleep(DRAIN_CHECK_SECONDS)
 
@@ -84,5 +84,5 @@
     async def main() -> None:
         await RouterProcess(settings).run()
 
-    with asyncio.Runner(loop_factory=ClockedEventLoop) as runner:
+    with asyncio.Runner(loop_factory=SuspendAwareEventLoop) as runner:
         runner.run(main())
--- a/src/hillstack/daemon/software_rollout_duty.py
+++ b/src/hillstack/daemon/software_rollout_duty.py
@@ -1,4 +1,4 @@
-"""The duties of deciding rollouts of software: one a service, each held by one node at a time."""
+"""The duties of deciding software rollouts: one per service, each held by one node at a time."""
 
 from __future__ import annotations
 
@@ -20,26 +20,27 @@
 
 # A twentieth of the time in which a bad version must be closed.
 TICK_SECONDS = 0.25
-# Pause between looks for new orders: how late one is noticed, on top of the looks at the store.
+# Interval of the check for new orders; adds to the delay of polling the store.
 IDLE_SECONDS = 0.5
-# How long a dead holder keeps a duty: a rollout of 12 s goes on after a fifth of its time.
+# How long a failed holder blocks a duty: a rollout of 12 s continues after about a fifth of its
+# time.
 LEASE_TTL_SECONDS = 2.0
 
 
 class RolloutDutyStore(LeaseStore, RolloutStore, Protocol):
-    """The calls that the duties need."""
+    """The store calls that the duties need."""
 
 
 class SoftwareRolloutDuty:
-    """Takes part in deciding all rollouts that stand.
+    """Takes part in deciding all current rollouts.
 
     Args:
-        state: What the node knows.
-        store: Where leases, records and statuses are kept.
+        state: The node's view of the fleet.
+        store: Stores leases, records and statuses.
         duty_key: Returns the key of a service's duty.
-        observations: What all nodes saw.
-        live_nodes: Returns the nodes that are alive.
-        apply_seconds: Time after which a change is in force on nodes that say nothing.
+        observations: The observations of all nodes.
+        live_nodes: Returns the live nodes.
+        apply_seconds: Time after which a change is assumed to be in force on silent nodes.
         clock: Monotonic seconds.
         rng: Source of randomness.
     """
@@ -67,7 +68,7 @@
         self._stopping = False
 
     async def run(self) -> None:
-        """Watch for orders, and take part in deciding each, until cancelled."""
+        """Check for orders and take part in deciding each of them, until cancelled."""
         try:
             while True:
                 await asyncio.sleep(IDLE_SECONDS)
@@ -78,16 +79,16 @@
                 rollout.cancel()
 
     def stop_acquiring(self) -> None:
-        """Leave the duties to others from now on, unless they are held already."""
+        """Stop trying to acquire duties; leases that are already held are still renewed."""
         self._stopping = True
         for rollout in self._rollouts.values():
-            rollout.keeper.stop_acquiring()
+            rollout.lease_keeper.stop_acquiring()
 
     async def hand_over(self) -> None:
-        """Give the duties up before a planned stop."""
+        """Release all duties before a planned stop."""
         self.stop_acquiring()
         held = [rollout for rollout in self._rollouts.values() if rollout.fence() is not None]
-        await asyncio.gather(*(rollout.keeper.hand_over() for rollout in held))
+        await asyncio.gather(*(rollout.lease_keeper.hand_over() for rollout in held))
 
     def holds(self, service: str) -> bool:
         """Return whether this node decides the rollout of a service."""
@@ -116,13 +117,13 @@
         )
         made = _ServiceRollout(service, self._state, lease, decider, self._clock, self._rng)
         if self._stopping:
-            made.keeper.stop_acquiring()
+            made.lease_keeper.stop_acquiring()
         self._rollouts[service] = made
         return made
 
 
 class _ServiceRollout:
-    """The duty of one service on this node: its lease, and its decisions while that is held."""
+    """The rollout duty of one service: its lease, and its decisions while the lease is held."""
 
     def __init__(
         self,
@@ -139,7 +140,7 @@
         self._decider = decider
         self._was_held = False
         slot = AcquireSlot(state, self._is_free, clock, rng)
-        self.keeper = LeaseKeeper(lease, slot, self._note_held)
+        self.lease_keeper = LeaseKeeper(lease, slot, self._note_held)
         self._task: asyncio.Task[None] | None = None
 
     def fence(self) -> int | None:
@@ -147,12 +148,12 @@
         return self._lease.fence()
 
     def begin(self) -> None:
-        """Take part from now on, unless this node does already or nothing is left to decide."""
+        """Start to take part, unless already started or nothing is left to decide."""
         if self._task is None or self._task.done():
             if not self._decider.is_wanted():
                 return
             self._task = asyncio.create_task(self._take_part())
-            self._task.add_done_callback(self._note_end)
+            self._task.add_done_callback(self._log_failure)
 
     def cancel(self) -> None:
         """Stop taking part."""
@@ -160,28 +161,28 @@
             self._task.cancel()
 
     async def _take_part(self) -> None:
-        """Watch, and decide while the duty is held, until the rollout is decided or withdrawn."""
-        keeping = asyncio.create_task(self.keeper.run())
-        keeping.add_done_callback(self._note_end)
+        """Observe the rollout, and decide while the duty is held, until decided or withdrawn."""
+        renewal = asyncio.create_task(self.lease_keeper.run())
+        renewal.add_done_callback(self._log_failure)
         try:
             while self._decider.is_wanted():
-                view = self._decider.look()
+                view = self._decider.observe()
                 key_revision = self._lease.key_revision()
                 if view is not None and key_revision is not None:
                     await self._decider.advance(view, key_revision)
                 await asyncio.sleep(TICK_SECONDS)
-            self._decider.look()
+            self._decider.observe()
         finally:
-            keeping.cancel()
+            renewal.cancel()
         await self._give_up()
 
     async def _give_up(self) -> None:
-        """End the lease: nobody needs to wait for it when the next order comes."""
+        """Release the lease, so that no node has to wait for it when the next order arrives."""
         try:
             await self._lease.give_up()
         except PlatformError as error:
             fields = error_fields(error) | {"service": self._service}
-            logger.info("rollout duty left to lapse", extra=fields)
+            logger.info("rollout duty not released, left to expire", extra=fields)
         self._note_held(False)
 
     def _is_free(self) -> bool:
@@ -196,12 +197,12 @@
         if held:
             self._state.rollout_deciders[self._service] = self._state.node_id
         elif self._state.rollout_deciders.get(self._service) == self._state.node_id:
-            # Who comes next is heard from the store.
+            # The store reports the next holder.
             self._state.rollout_deciders[self._service] = None
         fields = {"service": self._service, "fence": self._lease.fence()}
         logger.info("rollout duty held" if held else "rollout duty lost", extra=fields)
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
+    def _log_failure(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
             fields = {"service": self._service}
             logger.error("rollout task failed", exc_info=task.exception(), extra=fields)
--- a/src/hillstack/daemon/start_times.py
+++ b/src/hillstack/daemon/start_times.py
@@ -1,4 +1,4 @@
-"""When the phases of a node's start ended."""
+"""Times at which the phases of a node's startup ended."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimes:
-    """Times on the monotonic clock.
+    """Startup times in seconds of the node's clock.
 
     Attributes:
-        entered_at: The program began.
-        listening_at: Callers could connect; they wait from there on.
+        entered_at: The program started.
+        listening_at: The listening sockets were open; callers can connect and wait in the backlog.
         loaded_at: The libraries were loaded.
     """
 
@@ -20,6 +20,6 @@
     loaded_at: float
 
     def phases(self, started_at: float) -> dict[str, float]:
-        """Return the seconds from the program's beginning to the end of each phase."""
+        """Return the seconds from the start of the program to the end of each phase."""
         ends = {"listening": self.listening_at, "loaded": self.loaded_at, "started": started_at}
         return {phase: round(at - self.entered_at, 4) for phase, at in ends.items()}
--- a/src/hillstack/daemon/suspensions.py
+++ b/src/hillstack/daemon/suspensions.py
@@ -1,4 +1,4 @@
-"""A machine that is suspended: the timers of a node count the sleep, and its log tells of it."""
+"""Handles suspensions of the machine: timers count the suspended time, and it is logged."""
 
 from __future__ import annotations
 
@@ -9,35 +9,36 @@
 
 logger = logging.getLogger(__name__)
 
-# The two clocks are read one after the other, with a turn of another process between them now and
-# then. A sleep of that length is as short as a pause that a busy machine makes.
-LEAST_SECONDS = 0.2
+# Shorter suspensions are ignored. The two clocks are read one after the other, and another process
+# may run in between; on a busy machine such a pause looks like a suspension of this length.
+MIN_SUSPENSION_SECONDS = 0.2
 
 
-class ClockedEventLoop(asyncio.SelectorEventLoop):
-    """The standard event loop on the node's clock: what was due in a sleep is due after it.
+class SuspendAwareEventLoop(asyncio.SelectorEventLoop):
+    """The standard event loop on the node's clock, which counts suspended time.
 
-    A wait for sockets that was under way goes on for the rest of its time, so the loop needs a
-    timer of some short period (``RunnerMonitor``) to look at the others soon.
+    Timers that expire during a suspension are due right after it. A wait for sockets that was in
+    progress continues for the rest of its timeout, so the loop needs a short periodic timer
+    (``RunnerMonitor``) to reach the other timers soon.
     """
 
     def time(self) -> float:
-        """Return the time that timers are set by."""
+        """Return the current time of the loop, in seconds of the node's clock."""
         return clock.seconds()
 
 
 class SuspensionWatch:
-    """Notices that the machine was suspended."""
+    """Detects suspensions of the machine."""
 
     def __init__(self) -> None:
         self._suspended = clock.suspended_seconds()
 
-    def look(self) -> float:
-        """Return for how many seconds it was suspended since the last look; log them."""
+    def check(self) -> float:
+        """Return the seconds of suspension since the last check, and log them."""
         suspended = clock.suspended_seconds()
         passed = suspended - self._suspended
         self._suspended = suspended
-        if passed < LEAST_SECONDS:
+        if passed < MIN_SUSPENSION_SECONDS:
             return 0.0
         logger.warning("machine was suspended", extra={"seconds": round(passed, 3)})
         return passed
--- a/src/hillstack/daemon/weights_duty.py
+++ b/src/hillstack/daemon/weights_duty.py
@@ -1,4 +1,4 @@
-"""The duty of ordering weights: carried by the one node that holds its lease."""
+"""The duty of ordering engines to load weights, performed by the node that holds its lease."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         self._in_progress: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Carry the duty until cancelled."""
+        """Try to hold the lease, and give orders while it is held, until cancelled."""
         while True:
             pause = INTERVAL_SECONDS * (0.75 + 0.5 * self._surroundings.rng.random())
             await asyncio.sleep(pause)
@@ -49,14 +49,14 @@
             self._give_orders()
 
     async def hand_over(self) -> None:
-        """Give the duty up before a planned stop."""
+        """Release the duty before a planned stop."""
         try:
             await self._lease.give_up()
         except PlatformError as error:
-            logger.info("duty lease left to lapse", extra=error_fields(error))
+            logger.info("duty lease not released, left to expire", extra=error_fields(error))
 
     def _is_candidate(self) -> bool:
-        """Return whether this node is one of the few that try for the duty."""
+        """Return whether this node is one of the few that try to acquire the duty."""
         membership = self._control.membership
         nodes = [member.node_id for member in membership.serving()]
         return membership.own.node_id in ranked(DUTY_KEY, nodes)[:CANDIDATES]
@@ -76,8 +76,10 @@
                 order.address, fence, order.weights_version
             )
             fields = {"peer": order.engine_id, "fence": fence, "version": order.weights_version}
-            logger.info("weights loaded" if taken else "order refused by fence", extra=fields)
+            logger.info(
+                "weights loaded" if taken else "weights order refused by fence", extra=fields
+            )
         except BackendError as error:
-            logger.warning("order failed", extra=error_fields(error))
+            logger.warning("weights order failed", extra=error_fields(error))
         finally:
             self._in_progress.pop(order.engine_id, None)
--- a/src/hillstack/daemon/weights_orders.py
+++ b/src/hillstack/daemon/weights_orders.py
@@ -1,4 +1,4 @@
-"""Orders to load weights, and what a node needs to give them."""
+"""Orders to load weights, and the interface for sending them to runners."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class OrderOutcome(enum.StrEnum):
-    """What a runner answered to an order."""
+    """Outcome of an order, from the runner's answer."""
 
     DONE = "done"
     TAKEN = "taken"
@@ -19,12 +19,12 @@
 
 
 class RunningRequests(enum.Enum):
-    """What becomes of the requests that run at a runner when it loads weights.
+    """How a runner treats its running requests when it loads weights.
 
     Attributes:
-        FINISH: They end first; the runner takes no others meanwhile.
-        RESET: They are broken off.
-        CONTINUE: They pause for the load and go on under the new weights.
+        FINISH: The requests finish first; the runner accepts no others until then.
+        RESET: The requests are aborted.
+        CONTINUE: The requests pause during the load and continue with the new weights.
     """
 
     FINISH = enum.auto()
@@ -37,9 +37,10 @@
     """An order to load a version of a model's weights.
 
     Attributes:
-        fence: Rises from holder to holder of the duty; a runner refuses a lower one.
-        expected_orders: Orders that the runner has taken before this one. An order that is
-            carried out late finds another number and is refused.
+        fence: Fence of the duty's holder, which increases with each holder; a runner refuses an
+            order with a lower fence than it has seen.
+        expected_orders: Number of orders that the runner has accepted before this one. An order
+            that arrives late finds another number and is refused.
     """
 
     runner_id: str
@@ -54,11 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerReport:
-    """What a runner says of itself, as of some hundred milliseconds ago.
+    """A runner's report on its weights, some hundred milliseconds old.
 
     Attributes:
-        busy: Whether it is carrying out an order.
-        orders_taken: Orders taken since its start.
+        weights: Version of the weights by model.
+        busy: Whether the runner is executing an order.
+        orders_taken: Number of orders accepted since the runner's start.
     """
 
     weights: dict[str, int]
@@ -67,12 +69,12 @@
 
 
 class OrderSender(Protocol):
-    """Talks to runners about their weights."""
+    """Sends orders and report calls to runners."""
 
     async def report(self, runner_id: str, address: str) -> RunnerReport:
-        """Return what a runner says of itself; raises ``BackendError``."""
+        """Return a runner's report on its weights; raises ``BackendError``."""
         ...
 
     async def order_weights(self, order: WeightsOrder) -> OrderOutcome:
-        """Give an order; raises ``BackendError`` when no answer came."""
+        """Send an order; raises ``BackendError`` if there is no answer."""
         ...
--- a/src/hillstack/daemon/weights_rollout_duty.py
+++ b/src/hillstack/daemon/weights_rollout_duty.py
@@ -1,4 +1,4 @@
-"""The duty of bringing new weights to the runners: carried by the node that holds its lease."""
+"""The duty of rolling out new weights to the runners, performed by the node with its lease."""
 
 from __future__ import annotations
 
@@ -20,39 +20,41 @@
 
 logger = logging.getLogger(__name__)
 
-# How late a load begins that could begin: a tenth of a load.
+# Interval of the check for loads to begin: a tenth of the duration of a load.
 TICK_SECONDS = 0.05
-# A datagram's way to all peers and the sends under way: until then requests still arrive.
+# Time for a datagram to reach all peers and for sends in progress; until then requests still
+# arrive.
 ANNOUNCE_SECONDS = 0.03
-# Less than half of what a runner counts as loading after one word.
+# Less than half of the time for which peers treat a runner as loading after one notice.
 REANNOUNCE_SECONDS = 0.3
-# The longest prefills seen ahead of a load took 1.2 s (docs/DECISIONS.md).
+# The longest prefills observed before a load took 1.2 s (docs/DECISIONS.md).
 PREFILL_WAIT_SECONDS = 1.2
-# Two loads: a runner whose weights are due sooner is not waited for.
+# The duration of two loads. If a runner's weights are due sooner, its prefills are not waited for.
 DUE_MARGIN_SECONDS = 2.0
-# Between two reports, which are 0.1 to 0.3 s old themselves.
+# Interval between two report calls; the reports are 0.1 to 0.3 s old.
 POLL_SECONDS = 0.12
-# Several loads' time: a runner that takes longer is left for a later try.
+# The duration of several loads. A runner that takes longer is tried again later.
 LOAD_LIMIT_SECONDS = 6.0
-# A report tells of an order only that much later, by the platform's word.
+# By the platform's specification, a report shows an order only after this delay.
 REPORT_LAG_SECONDS = 0.3
-# A runner that was not reached is tried again after that.
-REST_SECONDS = 0.5
-# Until loads were seen: a wait, a load and a report, chosen on the slow side.
+# Pause before an unreachable runner is tried again.
+UNREACHABLE_PAUSE_SECONDS = 0.5
+# Estimated duration until the first load was observed: a wait, a load and a report, rather too
+# long.
 INITIAL_LOAD_SECONDS = 1.3
-# Weight of the latest load: the last five count most.
+# Weight of the latest load in the moving average of durations: the last five loads dominate.
 LOAD_SMOOTHING = 0.2
 
 
 class WeightsRolloutDuty:
-    """Gives orders for weights while the lease is held.
+    """Orders runners to load new weights while the lease is held.
 
     Args:
-        state: What the node knows.
+        state: The node's view of the fleet.
         lease: The lease on the duty.
-        sender: Talks to runners.
-        peers: Where peers are told.
-        turn_seconds: Time that must lie between the orders of two holders.
+        sender: Sends orders and report calls to runners.
+        peers: Sends notices to the peers.
+        holder_gap_seconds: Minimum time between orders of two different holders.
         clock: Monotonic seconds.
         rng: Source of randomness.
     """
@@ -63,7 +65,7 @@
         lease: DutyLease,
         sender: OrderSender,
         peers: PeerExchange,
-        turn_seconds: float,
+        holder_gap_seconds: float,
         clock: Callable[[], float],
         rng: Random,
     ) -> None:
@@ -71,43 +73,47 @@
         self._lease = lease
         self._sender = sender
         self._peers = peers
-        self._turn = turn_seconds
+        self._holder_gap = holder_gap_seconds
         self._clock = clock
         self._rng = rng
         self._started_at = clock()
         self._held = asyncio.Event()
         self._orders_taken: dict[str, int] = {}
         self._loading: dict[str, asyncio.Task[None]] = {}
-        self._resting_until: dict[str, float] = {}
+        self._paused_until: dict[str, float] = {}
         self._load_seconds = INITIAL_LOAD_SECONDS
         self._plans: dict[str, RolloutPlan] = {}
         slot = AcquireSlot(state, self._is_free, clock, rng)
-        self._keeper = LeaseKeeper(lease, slot, self._note_held)
+        self._lease_keeper = LeaseKeeper(lease, slot, self._note_held)
 
     async def keep_lease(self) -> None:
-        """Renew the lease, or try to get it while nobody holds it, until cancelled."""
-        await self._keeper.run()
+        """Renew the lease, or try to acquire it while nobody holds it, until cancelled."""
+        await self._lease_keeper.run()
 
     async def run(self) -> None:
         """Give orders while the lease is held, until cancelled."""
         while True:
-            # All nodes but one wait here: a look each tick was 20 of 75 timers a second.
+            # All nodes but the holder wait here. Checking in each tick instead took 20 of a node's
+            # 75 timers a second.
             await self._held.wait()
             await asyncio.sleep(TICK_SECONDS)
-            # A node that has just started does not know whom others have ordered lately.
-            if self._lease.fence() is not None and self._clock() >= self._started_at + self._turn:
-                self._begin_loads()
+            # A node that has just started does not know the latest orders of other holders.
+            if (
+                self._lease.fence() is not None
+                and self._clock() >= self._started_at + self._holder_gap
+            ):
+                self._start_loads()
 
     def stop_acquiring(self) -> None:
-        """Leave the duty to others from now on, unless it is held already."""
-        self._keeper.stop_acquiring()
+        """Stop trying to acquire the duty; a lease that is already held is still renewed."""
+        self._lease_keeper.stop_acquiring()
 
     async def hand_over(self) -> None:
-        """Give the duty up before a planned stop."""
-        self._keeper.stop_acquiring()
+        """Cancel the loads in progress and release the duty before a planned stop."""
+        self._lease_keeper.stop_acquiring()
         for task in list(self._loading.values()):
             task.cancel()
-        await self._keeper.hand_over()
+        await self._lease_keeper.hand_over()
 
     def _is_free(self) -> bool:
         return self._state.duty_known and self._state.duty_holder is None
@@ -123,13 +129,13 @@
         fields = {"fence": self._lease.fence()}
         logger.info("duty lease held" if held else "duty lease lost", extra=fields)
 
-    def _begin_loads(self) -> None:
+    def _start_loads(self) -> None:
         now = self._clock()
-        resting = {runner for runner, until in self._resting_until.items() if now < until}
-        resting.update(
+        paused = {runner for runner, until in self._paused_until.items() if now < until}
+        paused.update(
             runner.runner_id
             for runner in self._state.pool.all()
-            if now < runner.peer_ordered_at + self._turn
+            if now < runner.peer_ordered_at + self._holder_gap
         )
         for model in self._state.versions.models():
             runners = [
@@ -137,18 +143,18 @@
                 for service in self._state.engine_services(model)
                 for runner in self._state.pool.of_service(service)
             ]
-            view = RolloutView(runners, self._loading, resting, self._load_seconds, now)
+            view = RolloutView(runners, self._loading, paused, self._load_seconds, now)
             plan = self._plans.setdefault(model, RolloutPlan(model, self._state.versions))
             for runner in plan.next_loads(view):
-                self._begin(runner, model)
+                self._start_load(runner, model)
 
-    def _begin(self, runner: Runner, model: str) -> None:
+    def _start_load(self, runner: Runner, model: str) -> None:
         task = asyncio.create_task(self._load(runner, model))
         self._loading[runner.runner_id] = task
         task.add_done_callback(lambda _: self._loading.pop(runner.runner_id, None))
 
     async def _load(self, runner: Runner, model: str) -> None:
-        """Bring one runner to the newest version, or leave it for a later try."""
+        """Order one runner to load the newest version, until it serves it or the attempt fails."""
         began_at = self._clock()
         limit = began_at + LOAD_LIMIT_SECONDS
         fields: dict[str, object] = {
@@ -159,9 +165,9 @@
             "loading": len(self._loading),
         }
         logger.info("runner taken out to load weights", extra=fields)
-        await self._let_prefills_end(runner, model)
+        await self._wait_for_prefills(runner, model)
         try:
-            while self._may_go_on(runner, limit):
+            while self._may_continue(runner, limit):
                 version = self._state.versions.newest(model)
                 if await self._advance(runner, model, version):
                     self._announce(runner, model, version, WeightsPhase.SERVED)
@@ -174,16 +180,17 @@
             self._peers.restarted(runner.runner_id)
         except BackendError as error:
             logger.warning(
-                "runner not reached", extra=error_fields(error) | {"runner": runner.runner_id}
+                "could not load weights: runner not reachable",
+                extra=error_fields(error) | {"runner": runner.runner_id},
             )
             self._state.pool.failed(runner, self._clock())
-            self._resting_until[runner.runner_id] = self._clock() + REST_SECONDS
+            self._paused_until[runner.runner_id] = self._clock() + UNREACHABLE_PAUSE_SECONDS
 
-    async def _let_prefills_end(self, runner: Runner, model: str) -> None:
-        """Keep new requests away from a runner until those that it has have begun.
+    async def _wait_for_prefills(self, runner: Runner, model: str) -> None:
+        """Keep new requests away from a runner until its current prefills are done.
 
-        A load takes out the requests that have not begun, and what was read of them is read again
-        elsewhere. The wait is bounded, and shorter when newer weights are due soon.
+        A load evicts the requests that are still in their prefill, and another runner has to repeat
+        the prefill. The wait is bounded, and shorter if newer weights are due soon.
         """
         versions = self._state.versions
         due = versions.deadline(model, runner.weights_version(model)) - DUE_MARGIN_SECONDS
@@ -195,13 +202,13 @@
             now = self._clock()
             wait = min(runner.prefill_wait(now), gives_up_at - now)
 
-    def _may_go_on(self, runner: Runner, limit: float) -> bool:
+    def _may_continue(self, runner: Runner, limit: float) -> bool:
         if runner.leaves or self._lease.fence() is None:
             return False
         return self._clock() < limit
 
     async def _advance(self, runner: Runner, model: str, version: int) -> bool:
-        """Look at a runner and order it if it is idle; return whether it serves the version."""
+        """Poll a runner and send an order if it is idle; return whether it serves the version."""
         if runner.weights_version(model) >= version:
             return True
         report = await self._sender.report(runner.runner_id, runner.address)
@@ -229,16 +236,17 @@
         try:
             outcome = await self._sender.order_weights(order)
         except BackendError as error:
-            # It may have been taken, or may be carried out later: the next report tells, and the
-            # expected number of orders lets at most one of both take effect.
+            # The runner may have accepted the order, or may execute it later. The next report shows
+            # which; the expected number of orders lets at most one of this order and the next take
+            # effect.
             fields = error_fields(error) | {"runner": runner.runner_id, "version": version}
-            logger.warning("order without an answer", extra=fields)
+            logger.warning("weights order without an answer", extra=fields)
             return
-        self._take_outcome(runner, order, outcome)
-        # The report tells of the order only after its lag.
+        self._apply_outcome(runner, order, outcome)
+        # The report shows the order only after this delay.
         await asyncio.sleep(REPORT_LAG_SECONDS)
 
-    def _take_outcome(self, runner: Runner, order: WeightsOrder, outcome: OrderOutcome) -> None:
+    def _apply_outcome(self, runner: Runner, order: WeightsOrder, outcome: OrderOutcome) -> None:
         fields = {
             "runner": runner.runner_id,
             "version": order.version,
--- a/src/hillstack/errors.py
+++ b/src/hillstack/errors.py
@@ -1,6 +1,6 @@
-"""The exception tree.
+"""The exception hierarchy.
 
-Every error names the step at which it arose and, where one is involved, the peer.
+Every error contains the step at which it occurred and the peer, if one is involved.
 """
 
 
@@ -8,9 +8,9 @@
     """Base of all errors raised by hillstack.
 
     Args:
-        message: What went wrong, for a person.
-        step: The step of the work at which it arose, for example ``"connect"``.
-        peer: The other party, an address or an identifier; empty when none is involved.
+        message: Human-readable description of the failure.
+        step: The operation in which the error occurred, for example ``"connect"``.
+        peer: Address or identifier of the other party; empty if none is involved.
     """
 
     def __init__(self, message: str, *, step: str, peer: str = "") -> None:
@@ -57,7 +57,7 @@
 
 
 class PlatformThrottledError(PlatformUnavailableError):
-    """The platform is there, and refused the operation since too many were asked for."""
+    """The platform was reached and refused the operation because of too many requests."""
 
 
 class PlatformOutcomeUnknownError(PlatformError):
@@ -65,9 +65,9 @@
 
 
 class OutdatedAnswerError(PlatformOutcomeUnknownError):
-    """The answer is of a state that the key-value service has lost: it came back with an older one.
+    """The answer comes from a state that the key-value service lost in a restore from an older one.
 
-    What a write did is lost with it, or was done after all in the state that stands.
+    The effect of a write is lost with that state, or the write took effect in the restored state.
     """
 
 
@@ -80,11 +80,11 @@
 
 
 class RunnerRestartedError(BackendError):
-    """Another process of the same name answered: the one that was asked has ended."""
+    """Another process with the same name answered, so the process that was addressed has ended."""
 
 
 class BackendRefusedError(BackendError):
-    """The back end did not take the request; no byte of it was processed."""
+    """The back end refused the request; no byte of it was processed."""
 
 
 class BackendBrokenError(BackendError):
@@ -94,8 +94,8 @@
 class ConnectionLostError(BackendBrokenError):
     """The back end closed or reset the connection before its answer was complete.
 
-    Its process may have ended. A connection that went silent, or bytes that make no answer, are
-    other errors.
+    The process of the back end may have crashed. A connection that became silent, or an answer that
+    can't be parsed, raises another error.
     """
 
 
--- a/src/hillstack/http_server.py
+++ b/src/hillstack/http_server.py
@@ -1,4 +1,4 @@
-"""One way to make a uvicorn server: stock event loop, logs through ``logging``."""
+"""Creates uvicorn servers with the standard event loop and logs through ``logging``."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 KEEP_ALIVE_SECONDS = 5
 
 
-class WaitingServer(uvicorn.Server):
-    """A server that sleeps until it is told to end.
+class TicklessServer(uvicorn.Server):
+    """A server without a periodic timer; it waits for an event until it should exit.
 
-    The library's own wakes up ten times a second to renew the ``Date`` header and to look whether
-    it should end. Three servers that do not were 30 of 75 timers a second of a node without
-    traffic.
+    The library's server runs a timer ten times a second to update the ``Date`` header and to check
+    whether it should exit. For the three servers of a node without traffic, this was 30 of 75
+    timers a second.
     """
 
     def __init__(self, config: uvicorn.Config) -> None:
-        self._told_to_end = asyncio.Event()
+        self._exit_requested = asyncio.Event()
         super().__init__(config)
 
     @property
     def should_exit(self) -> bool:
-        """Whether the server has been told to end."""
-        return self._told_to_end.is_set()
+        """Whether the server should exit."""
+        return self._exit_requested.is_set()
 
     @should_exit.setter
     def should_exit(self, ending: bool) -> None:
         if ending:
-            self._told_to_end.set()
+            self._exit_requested.set()
         else:
-            self._told_to_end.clear()
+            self._exit_requested.clear()
 
     async def main_loop(self) -> None:
-        """Set the headers of all answers, and wait for the end."""
+        """Set the default headers once, and wait until the server should exit."""
         await self.on_tick(0)
-        await self._told_to_end.wait()
+        await self._exit_requested.wait()
 
 
 def make_server(
@@ -56,12 +56,12 @@
 
     Args:
         app: The application.
-        address: ``IP:PORT`` on which it listens.
-        lifespan: Whether the application is told of start and stop.
-        keep_alive_seconds: How long a connection may rest between requests.
-        backlog: Connections that wait to be taken.
-        shutdown_seconds: Longest wait for open requests at a stop; None for no limit.
-        date_header: Whether answers carry a ``Date``, which a timer renews.
+        address: ``IP:PORT`` to listen on.
+        lifespan: Whether the application gets startup and shutdown events.
+        keep_alive_seconds: How long a connection may be idle between requests.
+        backlog: Maximum number of connections that wait to be accepted.
+        shutdown_seconds: Maximum wait for open requests when stopping; None for no limit.
+        date_header: Whether answers have a ``Date`` header, which a timer updates.
     """
     host, port = split_address(address)
     config = uvicorn.Config(
@@ -75,11 +75,11 @@
         log_config=None,
         access_log=False,
         server_header=False,
-        # Nothing here believes an address that a caller writes into a header.
+        # Addresses in headers are set by the caller and not trusted.
         proxy_headers=False,
         date_header=date_header,
         backlog=backlog,
         timeout_keep_alive=keep_alive_seconds,
         timeout_graceful_shutdown=shutdown_seconds,
     )
-    return uvicorn.Server(config) if date_header else WaitingServer(config)
+    return uvicorn.Server(config) if date_header else TicklessServer(config)
--- a/src/hillstack/logs.py
+++ b/src/hillstack/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line on standard error."""
+"""Structured logs: one JSON object per line, on standard error or standard output."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 from hillstack import clock
 from hillstack.errors import HillstackError
 
-# What the library of logs keeps of each record: a line's other fields are the caller's.
+# Attributes that ``logging`` sets on every record; all other attributes come from the caller's
+# ``extra``.
 RECORD_FIELDS = frozenset(logging.makeLogRecord({}).__dict__) | {"message", "asctime"}
 
 
-class JsonLines(logging.Formatter):
-    """One JSON object a line: time, level, logger, message and node, then the caller's fields.
+class JsonLineFormatter(logging.Formatter):
+    """Formats a record as a JSON object: time, level, logger, message, node, caller's fields.
 
     Args:
-        node: Identifier of the process, on every line.
+        node: Identifier of the process, included in every line.
     """
 
     def __init__(self, node: str) -> None:
         super().__init__()
         self._node = node
-        # What is no plain value is written as its text: a line is never lost for a field.
+        # Values of other types are written with ``str``, so that no field prevents its line.
         self._encoder = msgspec.json.Encoder(enc_hook=str)
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line of a record."""
+        """Return a record as one line of JSON."""
         line: dict[str, object] = {
             "time": self.formatTime(record),
             "level": record.levelname,
@@ -51,8 +52,8 @@
     """Send all logs to standard error as JSON lines.
 
     Args:
-        level: Least severe level that is logged.
-        node: Identifier of the process, on every line.
+        level: Lowest severity that is logged.
+        node: Identifier of the process, included in every line.
     """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(make_json_formatter(node))
@@ -68,19 +69,19 @@
 
 
 def make_json_formatter(node: str) -> logging.Formatter:
-    """Return a formatter of JSON lines that name the node."""
-    return JsonLines(node)
+    """Return a formatter of JSON lines that include the node's identifier."""
+    return JsonLineFormatter(node)
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a file descriptor, at most so many a second, and never waits for it.
+    """Writes lines to a file descriptor at a limited rate and without blocking.
 
-    Lines over the rate, and lines for which the reader is too slow, are dropped and counted; the
-    count stands on the next line that is written.
+    Lines above the rate, and lines for which the reader is too slow, are dropped and counted. The
+    next line that is written includes the count.
 
     Args:
-        descriptor: Where to write; set to non-blocking.
-        lines_per_second: Most lines in a second, on average over a second.
+        descriptor: File descriptor to write to; it is set to non-blocking.
+        lines_per_second: Maximum rate, averaged over a second.
         clock: Monotonic seconds.
     """
 
@@ -99,13 +100,13 @@
         self._refilled_at = clock()
         self._unsent = b""
         self.dropped = 0
-        self.dropped_in_all = 0
+        self.total_dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write a record, or drop it."""
         if not self._take_token() or not self._write_unsent():
             self.dropped += 1
-            self.dropped_in_all += 1
+            self.total_dropped += 1
             return
         if self.dropped:
             record.dropped = self.dropped
@@ -129,7 +130,7 @@
         return True
 
     def _write_unsent(self) -> bool:
-        """Write what is left of the last line; return whether nothing is left."""
+        """Write the rest of the last line; return whether it is written completely."""
         if not self._unsent:
             return True
         try:
@@ -141,7 +142,7 @@
 
 
 def configure_bounded_logging(level: str, node: str, lines_per_second: int) -> BoundedHandler:
-    """Send all logs to standard output as JSON lines, bounded and without waiting."""
+    """Send all logs to standard output as JSON lines, with a rate limit and without blocking."""
     handler = BoundedHandler(sys.stdout.fileno(), lines_per_second)
     handler.setFormatter(make_json_formatter(node))
     root = logging.getLogger()
@@ -153,16 +154,16 @@
 
 
 def dropped_lines() -> int:
-    """Return how many lines the bounded handler has dropped since the start."""
+    """Return how many lines the bounded handler has dropped since the start of the process."""
     handlers = logging.getLogger().handlers
-    return sum(h.dropped_in_all for h in handlers if isinstance(h, BoundedHandler))
+    return sum(h.total_dropped for h in handlers if isinstance(h, BoundedHandler))
 
 
 def rounded_seconds(seconds: float) -> float | None:
-    """Return seconds for the log; None where nothing is known yet."""
+    """Return seconds rounded for the log; None for an infinite or undefined value."""
     return round(seconds, 3) if math.isfinite(seconds) else None
 
 
 def error_fields(error: HillstackError) -> dict[str, str]:
-    """Return the log fields of an error: the step and the peer."""
+    """Return the log fields of an error: step, peer and message."""
     return {"step": error.step, "peer": error.peer, "error": error.message}
--- a/tests/fleet/test_suspended_machine.py
+++ b/tests/fleet/test_suspended_machine.py
@@ -18,7 +18,7 @@
 import pytest
 
 from hillstack import clock
-from hillstack.daemon.suspensions import ClockedEventLoop, SuspensionWatch
+from hillstack.daemon.suspensions import SuspendAwareEventLoop, SuspensionWatch
 from tests.fleet.deployment import Deployment, deployment, until
 
 SOURCES = Path(__file__).parents[2] / "src" / "hillstack"
@@ -68,7 +68,7 @@
         await asyncio.sleep(0)
         assert due.done()
 
-    with asyncio.Runner(loop_factory=ClockedEventLoop) as runner:
+    with asyncio.Runner(loop_factory=SuspendAwareEventLoop) as runner:
         runner.run(check())
 
 
@@ -80,8 +80,8 @@
     monkeypatch.setattr(clock, "suspended_seconds", lambda: suspended[0])
     watch = SuspensionWatch()
     suspended[0] += sleep
-    assert watch.look() == pytest.approx(told)
-    assert watch.look() == 0.0
+    assert watch.check() == pytest.approx(told)
+    assert watch.check() == 0.0
 
 
 def test_without_a_clock_of_the_time_since_boot_the_monotonic_one_is_read(
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -123,7 +123,7 @@
     Mutation(
         "a holder does not wait for runners ordered lately",
         "daemon/weights_rollout_duty.py",
-        "if now < runner.peer_ordered_at + self._turn",
+        "if now < runner.peer_ordered_at + self._holder_gap",
         "if False",
     ),
     Mutation(
