--- a/tests/fleet/limit_traffic.py
+++ b/tests/fleet/limit_traffic.py
@@ -1,4 +1,4 @@
-"""Callers of tenants with limits before a network of nodes, and a checker of what may run."""
+"""Traffic of tenants with limits to a network of nodes, and a checker of the admitted requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def limited_table(*limits: TenantLimit, version: int = 1) -> RoutingTable:
-    """Return a configuration whose tenants have these limits."""
+    """Return a configuration with one tenant per limit."""
     keys = {
         f"key-{number}": TenantEntry(f"tenant-{number}", limit=limit)
         for number, limit in enumerate(limits)
@@ -33,7 +33,7 @@
 
 @dataclass
 class NominalBucket:
-    """What a tenant is entitled to: one bucket that sees all of its requests."""
+    """Reference for the entitlement of a tenant: a single bucket that sees all of its requests."""
 
     limit: TenantLimit
     level: float = 0.0
@@ -50,7 +50,7 @@
 
 @dataclass
 class TenantRecord:
-    """What a tenant asked for, what ran, and what was refused although it was entitled to it."""
+    """Requests of a tenant: sent, admitted, and refused although the tenant was entitled."""
 
     limit: TenantLimit
     nominal: NominalBucket
@@ -62,7 +62,7 @@
     delays: list[float] = field(default_factory=list)
 
     def worst_window(self) -> float:
-        """Return the most that ran in any window."""
+        """Return the highest total cost admitted in any window."""
         inside: deque[tuple[float, float]] = deque()
         total = worst = 0.0
         for at, cost in sorted(self.ran):
@@ -75,14 +75,14 @@
 
 
 class LimitTraffic:
-    """Sends requests of one tenant at nodes of a network.
+    """Sends requests of one tenant to nodes of a network.
 
     Args:
         network: The nodes.
         number: The tenant's number in the configuration.
-        limit: Its limit.
-        seed: Decides when requests come, which ones, and where.
-        homes: How many nodes its callers use.
+        limit: The tenant's limit.
+        seed: Determines times, costs and target nodes of the requests.
+        homes: How many nodes the tenant's callers use.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         self._homes = self._rng.sample(sorted(network.nodes), min(homes, len(network.nodes)))
 
     def send(self, seconds: float, times_rate: float) -> None:
-        """Let requests come at random over the next seconds, at some times the limit's rate."""
+        """Send requests at random times in the next seconds, at a multiple of the limit's rate."""
         scheduler = self._network.scheduler
         at, end = scheduler.now, scheduler.now + seconds
         while True:
--- a/tests/fleet/test_bounded_logs.py
+++ b/tests/fleet/test_bounded_logs.py
@@ -1,4 +1,4 @@
-"""The log of a fleet's node: bounded, and never waiting for its reader."""
+"""The log of a fleet node: limited in rate, and never blocked by its reader."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     assert (line["message"], line["request"], line["node"]) == ("attempt", "r-1", "node-1")
 
 
-def test_a_line_is_not_lost_for_a_field_that_is_no_plain_value(pipe: tuple[int, int]) -> None:
+def test_fields_of_other_types_are_written_as_text(pipe: tuple[int, int]) -> None:
     logger, _ = make_logger(pipe[1], 10, Clock())
     fields = {
         "age_seconds": float("inf"),
@@ -66,7 +66,7 @@
     assert line["age_seconds"] is None
 
 
-def test_an_exception_is_one_line_with_its_trace(pipe: tuple[int, int]) -> None:
+def test_an_exception_is_one_line_with_its_traceback(pipe: tuple[int, int]) -> None:
     logger, _ = make_logger(pipe[1], 10, Clock())
     try:
         raise ValueError("odd")
@@ -93,7 +93,7 @@
     assert handler.dropped == 0
 
 
-def test_a_reader_that_does_not_read_holds_nobody_up(pipe: tuple[int, int]) -> None:
+def test_a_stalled_reader_does_not_block_the_logger(pipe: tuple[int, int]) -> None:
     logger, handler = make_logger(pipe[1], 1_000_000, Clock())
     for _ in range(3_000):
         logger.info("x" * 200)
--- a/tests/fleet/test_cache_follower.py
+++ b/tests/fleet/test_cache_follower.py
@@ -1,4 +1,4 @@
-"""Following what runners and stores of kept cache keep, in virtual time."""
+"""Reading the cache contents of runners and cache stores, in virtual time."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass
 class FakeHolder:
-    """A holder whose list and changes the test scripts."""
+    """A holder whose contents and changes are set by the test."""
 
     epoch: int = 1
     cursor: int = 0
@@ -43,7 +43,7 @@
     lists: int = 0
     calls: int = 0
 
-    def keep(self, part_id: str, tokens: int) -> None:
+    def put(self, part_id: str, tokens: int) -> None:
         self.held[part_id] = tokens
         self.pending.append(CacheEntry(SALT, PromptPart(part_id, tokens)))
 
@@ -81,7 +81,7 @@
 @dataclass
 class FakePeers:
     zones: dict[str, str] = field(default_factory=lambda: {"node-1": "zone-a"})
-    told: list[tuple[str, str, int]] = field(default_factory=list)
+    reported: list[tuple[str, str, int]] = field(default_factory=list)
     lost: list[str] = field(default_factory=list)
     unavailable: list[str] = field(default_factory=list)
     sent: list[tuple[str, str, int]] = field(default_factory=list)
@@ -91,7 +91,7 @@
         return self.zones
 
     def cached(self, holder_id: str, entry: CacheEntry) -> None:
-        self.told.append((holder_id, entry.part.part_id, entry.part.tokens))
+        self.reported.append((holder_id, entry.part.part_id, entry.part.tokens))
 
     def send_cache(self, node_id: str, holder_id: str, entries: Sequence[CacheEntry]) -> None:
         self.sent.append((node_id, holder_id, len(entries)))
@@ -117,7 +117,7 @@
     def run(self, seconds: float) -> None:
         self.scheduler.run_until(self.scheduler.now + seconds)
 
-    def believed(self, holder_id: str, part_id: str) -> int:
+    def estimated(self, holder_id: str, part_id: str) -> int:
         part = PromptPart(part_id, 1_000_000)
         return self.state.index.matched_tokens(holder_id, SALT, [part])
 
@@ -136,74 +136,75 @@
 
 
 def test_a_node_that_starts_learns_what_is_kept_already(bench: Bench) -> None:
-    # Tampere trouble-1: of 237,000 tokens read again 186,000 were read after the final fault, when
-    # all nodes had started again and believed nothing.
+    # Guards against a restart of all nodes that loses the cache estimates (seen in Tampere
+    # trouble-1: of 237,000 tokens whose prefill was repeated, 186,000 were prefilled after such a
+    # restart).
     bench.feed.holders["i-1"].held = {"a": 4_000, "small": 50}
     bench.feed.holders[STORE.address].held = {"b": 2_000}
     bench.run(1.0)
-    assert bench.believed("i-1", "a") == 4_000
-    assert bench.believed("i-1", "small") == 50
-    assert bench.believed(STORE.address, "b") == 2_000
-    assert set(bench.peers.told) == {("i-1", "a", 4_000), (STORE.address, "b", 2_000)}
+    assert bench.estimated("i-1", "a") == 4_000
+    assert bench.estimated("i-1", "small") == 50
+    assert bench.estimated(STORE.address, "b") == 2_000
+    assert set(bench.peers.reported) == {("i-1", "a", 4_000), (STORE.address, "b", 2_000)}
 
 
-def test_what_a_holder_evicts_is_no_longer_believed_and_told(bench: Bench) -> None:
+def test_an_eviction_corrects_the_estimate_and_is_reported(bench: Bench) -> None:
     bench.feed.holders["i-1"].held = {"a": 4_000}
     bench.run(1.0)
-    bench.peers.told.clear()
-    bench.feed.holders["i-1"].keep("a", 0)
+    bench.peers.reported.clear()
+    bench.feed.holders["i-1"].put("a", 0)
     bench.run(1.0)
-    assert bench.believed("i-1", "a") == 0
-    assert bench.peers.told == [("i-1", "a", 0)]
+    assert bench.estimated("i-1", "a") == 0
+    assert bench.peers.reported == [("i-1", "a", 0)]
 
 
-def test_what_all_believe_already_is_not_told(bench: Bench) -> None:
+def test_a_part_that_matches_the_estimate_is_not_reported(bench: Bench) -> None:
     bench.run(1.0)
     bench.state.index.note("i-1", SALT, [PromptPart("a", 4_000)])
-    bench.feed.holders["i-1"].keep("a", 4_000)
+    bench.feed.holders["i-1"].put("a", 4_000)
     bench.run(1.0)
-    assert bench.peers.told == []
+    assert bench.peers.reported == []
 
 
-def test_a_part_that_was_being_read_is_a_source_once_it_is_seen(bench: Bench) -> None:
+def test_a_part_in_prefill_counts_as_cached_after_its_confirmation(bench: Bench) -> None:
     bench.run(1.0)
     part = PromptPart("a", 4_000)
     bench.state.index.note("i-1", SALT, [part], ready_at=100.0)
     assert bench.state.index.matched_tokens("i-1", SALT, [part], 2.0) == 0
-    bench.feed.holders["i-1"].keep("a", 4_000)
+    bench.feed.holders["i-1"].put("a", 4_000)
     bench.run(1.0)
     assert bench.state.index.matched_tokens("i-1", SALT, [part], 2.0) == 4_000
 
 
-def test_a_holder_that_restarted_has_lost_everything(bench: Bench) -> None:
+def test_a_restarted_holder_has_lost_its_contents(bench: Bench) -> None:
     bench.feed.holders["i-1"].held = {"a": 4_000}
     bench.run(1.0)
     bench.feed.holders["i-1"].restart()
     bench.feed.holders["i-1"].held = {"c": 700}
     bench.run(1.0)
-    assert (bench.believed("i-1", "a"), bench.believed("i-1", "c")) == (0, 700)
+    assert (bench.estimated("i-1", "a"), bench.estimated("i-1", "c")) == (0, 700)
     assert bench.peers.lost == ["i-1"]
 
 
-def test_a_gap_is_closed_by_the_list_but_not_again_and_again(bench: Bench) -> None:
+def test_a_gap_is_closed_by_a_list_at_a_bounded_rate(bench: Bench) -> None:
     holder = bench.feed.holders["i-1"]
     bench.run(1.0)
     bench.state.index.note("i-1", SALT, [PromptPart("evicted", 900)])
     holder.gap = True
     bench.run(20.0)
-    assert bench.believed("i-1", "evicted") == 0
+    assert bench.estimated("i-1", "evicted") == 0
     assert 2 <= holder.lists <= 5
 
 
-def test_a_list_does_not_drop_what_was_sent_a_moment_ago(bench: Bench) -> None:
+def test_a_list_does_not_remove_a_part_that_was_just_sent(bench: Bench) -> None:
     bench.state.index.note("i-1", SALT, [PromptPart("sent", 900)], ready_at=0.4)
     bench.run(0.3)
     assert bench.feed.holders["i-1"].lists == 1
-    assert bench.believed("i-1", "sent") == 900
+    assert bench.estimated("i-1", "sent") == 900
 
 
 def test_a_store_without_an_answer_is_not_used_until_it_answers(bench: Bench) -> None:
-    # Tampere: while the store of kept cache is down, each fetch from it costs a tenth of a second.
+    # While a cache store is down, each fetch from it takes a tenth of a second (seen in Tampere).
     bench.run(1.0)
     bench.feed.holders[STORE.address].failure = BackendError("reset", step="ask", peer="store")
     bench.run(1.0)
@@ -214,14 +215,14 @@
     assert bench.state.kept_cache_store("zone-b", bench.scheduler.now) == STORE
 
 
-def test_a_store_that_refuses_the_question_is_used_on(bench: Bench) -> None:
+def test_a_store_that_refuses_the_list_call_is_still_used(bench: Bench) -> None:
     error = BackendRefusedError("status 429", step="ask", peer="store")
     bench.feed.holders[STORE.address].failure = error
     bench.run(2.0)
     assert bench.state.kept_cache_store("zone-b", bench.scheduler.now) == STORE
 
 
-def test_a_holder_that_fails_is_asked_at_a_bounded_rate(bench: Bench) -> None:
+def test_a_failed_holder_is_polled_at_a_bounded_rate(bench: Bench) -> None:
     holder = bench.feed.holders["i-1"]
     holder.failure = BackendError("reset", step="ask", peer="i-1")
     bench.run(30.0)
@@ -229,13 +230,14 @@
     holder.failure = None
     holder.held = {"a": 500}
     bench.run(1.0)
-    assert bench.believed("i-1", "a") == 500
+    assert bench.estimated("i-1", "a") == 500
 
 
-def test_only_the_holders_of_this_node_are_followed(bench: Bench) -> None:
+def test_a_node_polls_only_the_holders_that_it_watches(bench: Bench) -> None:
     bench.run(1.0)
     assert set(bench.follower.watched()) == {"i-1", STORE.address}
-    # Its zone has another node, and this one has moved: all holders are the other one's.
+    # node-1 is in another zone now, and node-2 in the zone of the holders, so node-2 watches them
+    # all.
     bench.peers.zones = {"node-1": "zone-b", "node-2": "zone-a"}
     bench.run(1.0)
     assert bench.follower.watched() == []
@@ -247,14 +249,14 @@
     assert set(bench.follower.watched()) == {"i-1", STORE.address}
 
 
-def test_a_new_peer_is_told_all_that_is_large(bench: Bench) -> None:
+def test_a_new_peer_gets_all_large_parts(bench: Bench) -> None:
     bench.feed.holders["i-1"].held = {"a": 4_000, "b": 3_000, "small": 50}
     bench.run(1.0)
     bench.follower.welcome("node-2")
     assert ("node-2", "i-1", 2) in bench.peers.sent
 
 
-def test_registered_nodes_count_as_alive_only_at_first_unless_heard() -> None:
+def test_a_registered_node_without_heartbeats_counts_as_alive_only_at_first() -> None:
     directory = NodeDirectory()
     directory.list_node(NodeEntry("node-2", "10.0.0.2:1", "zone-a"))
     liveness = NodeLiveness("node-1", directory, "zone-a", 10.0)
@@ -299,7 +301,7 @@
     ),
     counts=st.lists(st.integers(0, 6), min_size=6, max_size=6),
 )
-def test_who_watches_does_not_depend_on_what_was_before(
+def test_the_assignment_does_not_depend_on_its_history(
     steps: list[dict[str, str]], counts: list[int]
 ) -> None:
     holders = [CacheHolder(f"i-{n}", "10.0.0.1:1", "abcd"[n % 4]) for n in range(6)]
@@ -312,7 +314,7 @@
         assert kept.watcher("i-5") is None or count == 6
 
 
-def test_a_node_that_comes_or_goes_costs_its_own_holders_only() -> None:
+def test_a_joining_or_leaving_node_rescores_only_the_holders_of_its_zone() -> None:
     zones = {f"node-{n}": f"zone-{n % 5}" for n in range(200)}
     holders = [CacheHolder(f"i-{n}", "10.0.0.1:1", f"zone-{n % 5}") for n in range(60)]
     assignment = WatchAssignment()
@@ -321,14 +323,14 @@
     for _ in range(100):
         assignment.update(holders, zones)
     assert assignment.scores_made == before
-    # The twelve holders of its zone are compared with the new node alone.
+    # Only the twelve holders of the new node's zone are scored, and only against the new node.
     assignment.update(holders, zones | {"node-new": "zone-1"})
     assert assignment.scores_made == before + 12
     assignment.update(holders, dict(zones))
     assert assignment.scores_made <= before + 12 + 12 * 40
 
 
-def test_nodes_of_other_zones_are_alive_while_their_relay_is_heard() -> None:
+def test_nodes_of_other_zones_are_alive_while_their_relay_sends() -> None:
     directory = NodeDirectory()
     for name, zone in (("node-1", "a"), ("node-2", "a"), ("node-3", "b")):
         directory.list_node(NodeEntry(name, "10.0.0.1:1", zone))
@@ -344,11 +346,11 @@
     assert liveness.zones(8.6) == {"node-1": "a"}
 
 
-def test_without_nodes_nobody_watches() -> None:
+def test_without_nodes_a_holder_has_no_watcher() -> None:
     assert watcher(CacheHolder("i-1", "10.0.0.1:1", "a"), {}) is None
 
 
-def test_the_index_keeps_to_the_capacity_when_it_is_told_of_more() -> None:
+def test_the_index_stays_within_the_capacity_of_a_holder() -> None:
     index = PartIndex()
     index.set_capacity("i-1", 1_000)
     for number in range(5):
@@ -376,19 +378,20 @@
 
 
 def test_a_save_that_never_came_is_forgotten_by_all(bench: Bench) -> None:
-    # zamudio-reg, scale-1: a save that would wait too long is not made; each fetch of it missed.
+    # A store skips a save that would have to wait for too long. Without the correction each fetch
+    # of the part missed (seen in zamudio-reg scale-1).
     bench.run(1.0)
     index, now = bench.state.index, bench.scheduler.now
     index.note(STORE.address, SALT, [PromptPart("came", 600)], ready_at=now + 0.1)
     index.note(STORE.address, SALT, [PromptPart("lost", 500)], ready_at=now + 0.1)
     bench.feed.holders[STORE.address].pending = [CacheEntry(SALT, PromptPart("came", 600))]
     bench.run(3.0)
-    assert bench.believed(STORE.address, "came") == 600
-    assert bench.believed(STORE.address, "lost") == 0
-    assert bench.peers.told == [(STORE.address, "lost", 0)]
+    assert bench.estimated(STORE.address, "came") == 600
+    assert bench.estimated(STORE.address, "lost") == 0
+    assert bench.peers.reported == [(STORE.address, "lost", 0)]
 
 
-def test_a_holder_whose_process_was_followed_by_another_is_told_to_have_ended(
+def test_a_holder_with_a_new_process_is_reported_as_restarted(
     bench: Bench,
 ) -> None:
     bench.feed.holders["i-1"].held = {"a": 4_000}
@@ -398,7 +401,7 @@
     bench.run(1.0)
     assert bench.peers.ended == ["i-1"]
     assert bench.state.pool.get("i-1") is None
-    assert bench.believed("i-1", "a") == 0
+    assert bench.estimated("i-1", "a") == 0
     calls = bench.feed.holders["i-1"].calls
     bench.run(3.0)
     assert bench.feed.holders["i-1"].calls == calls
--- a/tests/fleet/test_caller_room.py
+++ b/tests/fleet/test_caller_room.py
@@ -1,4 +1,4 @@
-"""A node that says it is ready takes connections, also at the limit of its descriptors."""
+"""A node that reports ready accepts connections, also at the limit of its file descriptors."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 
 @dataclass
 class FakeConnections:
-    """Connections that are gone once they are shut down."""
+    """Open connections; a connection that is shut down is removed."""
 
     open: list[CallerConnection] = field(default_factory=list)
     now: float = 0.0
 
-    def add(self, count: int, *, resting: bool) -> None:
+    def add(self, count: int, *, idle: bool) -> None:
         for _ in range(count):
-            self.open.append(FakeConnection(self, Cycle(resting)))
+            self.open.append(FakeConnection(self, Cycle(idle)))
 
-    def room(self, most: int) -> ConnectionLimiter:
-        return ConnectionLimiter(most, lambda: self.open, lambda: self.now)
+    def limiter(self, max_connections: int) -> ConnectionLimiter:
+        return ConnectionLimiter(max_connections, lambda: self.open, lambda: self.now)
 
 
 class FakeConnection:
@@ -53,44 +53,44 @@
         self._all.open.remove(self)
 
 
-def test_descriptors_are_shared_by_callers_and_their_requests() -> None:
+def test_the_connection_limit_leaves_descriptors_for_requests() -> None:
     assert max_caller_connections(4_100) == (4_100 - RESERVED_DESCRIPTORS) / 2
     assert max_caller_connections(10) == 1
 
 
-def test_connections_that_rest_make_room() -> None:
+def test_idle_connections_are_closed_for_new_ones() -> None:
     connections = FakeConnections()
-    room = connections.room(100)
-    connections.add(50, resting=False)
-    connections.add(50, resting=True)
-    assert room.can_accept() and len(connections.open) == 100
-    connections.add(1, resting=True)
-    assert room.is_full()
-    assert room.can_accept()
+    limiter = connections.limiter(100)
+    connections.add(50, idle=False)
+    connections.add(50, idle=True)
+    assert limiter.can_accept() and len(connections.open) == 100
+    connections.add(1, idle=True)
+    assert limiter.is_full()
+    assert limiter.can_accept()
     assert len(connections.open) == 100 * LOW_WATER_SHARE
 
 
-def test_readiness_is_taken_back_where_nothing_rests() -> None:
+def test_a_node_without_idle_connections_is_not_ready() -> None:
     connections = FakeConnections()
-    room = connections.room(100)
-    connections.add(101, resting=False)
-    assert not room.can_accept()
+    limiter = connections.limiter(100)
+    connections.add(101, idle=False)
+    assert not limiter.can_accept()
     assert len(connections.open) == 101
     del connections.open[10:]
-    assert room.can_accept()
+    assert limiter.can_accept()
 
 
-def test_readiness_is_taken_back_while_no_connection_can_be_taken() -> None:
+def test_a_node_is_not_ready_while_accepts_fail() -> None:
     connections = FakeConnections()
-    room = connections.room(100)
-    connections.add(10, resting=False)
-    connections.add(10, resting=True)
-    room.note_exhausted()
-    room.note_exhausted()
+    limiter = connections.limiter(100)
+    connections.add(10, idle=False)
+    connections.add(10, idle=True)
+    limiter.note_exhausted()
+    limiter.note_exhausted()
     assert len(connections.open) == 10
-    assert not room.can_accept()
+    assert not limiter.can_accept()
     connections.now += EXHAUSTED_SECONDS
-    assert room.can_accept()
+    assert limiter.can_accept()
 
 
 def play(folder: Path, scenario: Callable[[Deployment], Awaitable[None]]) -> None:
@@ -102,7 +102,7 @@
 
 
 async def answered_connection(node: NodeProcess, number: int) -> socket.socket:
-    """Return a connection that rests after one request."""
+    """Return a connection that becomes idle after one request."""
     host, _, port = node.callers.partition(":")
     connection = socket.socket()
     connection.setblocking(False)
@@ -114,14 +114,16 @@
     return connection
 
 
-def test_a_process_closes_resting_connections_for_new_ones(tmp_path: Path) -> None:
+def test_a_process_closes_idle_connections_for_new_ones(tmp_path: Path) -> None:
     async def scenario(running: Deployment) -> None:
         await running.add_runner("i-1", APPLICATION)
-        most = 20
-        node = running.launch("node-1", descriptors=RESERVED_DESCRIPTORS + 2 * most)
+        max_connections = 20
+        node = running.launch("node-1", descriptors=RESERVED_DESCRIPTORS + 2 * max_connections)
         await running.wait_ready(node)
-        held = [await answered_connection(node, number) for number in range(3 * most)]
-        await until(lambda: sum(is_closed(each) for each in held) >= 2 * most, "room is made")
+        held = [await answered_connection(node, number) for number in range(3 * max_connections)]
+        await until(
+            lambda: sum(is_closed(each) for each in held) >= 2 * max_connections, "room is made"
+        )
         await running.wait_ready(node)
         assert (await running.call(node, "/safe/x")).status == 200
         for each in held:
@@ -131,7 +133,7 @@
 
 
 def is_closed(connection: socket.socket) -> bool:
-    """Return whether the other side has closed a connection; answers are read on the way."""
+    """Return whether the other side has closed a connection; reads and discards answers."""
     try:
         while connection.recv(4_096):
             pass
--- a/tests/fleet/test_limit_network.py
+++ b/tests/fleet/test_limit_network.py
@@ -1,7 +1,7 @@
-"""Limits of tenants over many nodes, in virtual time: never above, and hardly ever below.
+"""Limits of tenants over many nodes, in virtual time: never exceeded, and rarely underused.
 
-The checker slides the window over what was let pass, and compares what was refused with one bucket
-that sees all requests.
+The checker slides a window over the admitted requests, and compares the refused requests with a
+single bucket that sees all requests.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 NODES = 30
 ZONES = 3
 LIMITS = (token_limit(200_000), token_limit(60_000), token_limit(29_000))
-# What tenants usually send, in parts of their limit.
-USUAL = 0.55
-HOT = 7.0
+# Usual rate of tenants, as a share of their limit.
+USUAL_SHARE = 0.55
+OVERLOAD = 7.0
 SETTLED_SECONDS = 5.0
 
 
@@ -56,17 +56,17 @@
         assert tenant.record.worst_window() <= TOLERANCE.allowed(tenant.limit), tenant.tenant
 
 
-def test_below_its_limit_a_tenant_is_hardly_ever_refused(network: NodeNetwork) -> None:
+def test_below_its_limit_a_tenant_is_rarely_refused(network: NodeNetwork) -> None:
     traffic = make_traffic(network)
     for tenant in traffic:
-        tenant.send(15.0, USUAL)
+        tenant.send(15.0, USUAL_SHARE)
     network.run(16.0)
     assert_never_above(traffic)
     refused = sum(tenant.record.refused_entitled for tenant in traffic)
     assert refused <= 0.01 * sum(tenant.record.entitled for tenant in traffic)
 
 
-def test_a_busy_tenant_below_its_limit_waits_for_nothing(network: NodeNetwork) -> None:
+def test_a_busy_tenant_below_its_limit_does_not_wait(network: NodeNetwork) -> None:
     tenant = LimitTraffic(network, 0, LIMITS[0], 1, homes=8)
     tenant.send(10.0, 0.3)
     network.run(11.0)
@@ -78,10 +78,10 @@
 def test_a_tenant_that_sends_seven_times_its_limit_gets_its_limit(network: NodeNetwork) -> None:
     traffic = make_traffic(network)
     for tenant in traffic:
-        tenant.send(5.0, USUAL)
+        tenant.send(5.0, USUAL_SHARE)
     network.run(5.0)
     for tenant in traffic:
-        tenant.send(12.0, HOT)
+        tenant.send(12.0, OVERLOAD)
     network.run(13.0)
     assert_never_above(traffic)
     for tenant in traffic:
@@ -90,19 +90,19 @@
         assert record.refused_entitled <= 0.15 * record.entitled
 
 
-def test_a_tenant_whose_callers_come_to_one_node_gets_its_limit(network: NodeNetwork) -> None:
+def test_a_tenant_whose_callers_use_one_node_gets_its_limit(network: NodeNetwork) -> None:
     tenant = LimitTraffic(network, 0, LIMITS[0], 1, homes=1)
-    tenant.send(10.0, HOT)
+    tenant.send(10.0, OVERLOAD)
     network.run(11.0)
     assert_never_above([tenant])
     assert sum(cost for _, cost in tenant.record.ran) >= 0.9 * 10 * tenant.limit.rate
 
 
-def test_few_nodes_that_tell_each_other_directly_keep_limits_too() -> None:
+def test_few_nodes_without_relays_enforce_limits_too() -> None:
     network = make_network(7)
     traffic = make_traffic(network, homes=7)
     for tenant in traffic:
-        tenant.send(12.0, HOT)
+        tenant.send(12.0, OVERLOAD)
     network.run(13.0)
     assert_never_above(traffic)
     for tenant in traffic:
@@ -110,11 +110,11 @@
     network.close()
 
 
-def test_lost_datagrams_only_cost_some_of_the_limit() -> None:
+def test_lost_datagrams_reduce_the_admitted_rate_by_a_bounded_share() -> None:
     network = make_network(loss=0.03)
     traffic = make_traffic(network)
     for tenant in traffic:
-        tenant.send(12.0, HOT)
+        tenant.send(12.0, OVERLOAD)
     network.run(13.0)
     assert_never_above(traffic)
     for tenant in traffic:
@@ -122,11 +122,11 @@
     network.close()
 
 
-def test_a_third_of_the_nodes_cut_off_keep_to_their_own_part(network: NodeNetwork) -> None:
+def test_partitioned_nodes_stay_within_their_share(network: NodeNetwork) -> None:
     traffic = make_traffic(network, homes=NODES)
     cut = sorted(network.nodes)[: NODES // 3]
     for tenant in traffic:
-        tenant.send(20.0, HOT)
+        tenant.send(20.0, OVERLOAD)
     network.run(3.0)
     for node_id in cut:
         network.nodes[node_id].cut = True
@@ -137,10 +137,10 @@
     assert_never_above(traffic)
 
 
-def test_the_death_of_all_holders_costs_a_moment(network: NodeNetwork) -> None:
+def test_a_crash_of_all_holders_refuses_few_entitled_requests(network: NodeNetwork) -> None:
     traffic = make_traffic(network)
     for tenant in traffic:
-        tenant.send(12.0, USUAL)
+        tenant.send(12.0, USUAL_SHARE)
     network.run(4.0)
     order = next(iter(network.nodes.values())).state.nodes.relay_order
     for zone in range(ZONES):
@@ -152,10 +152,10 @@
     assert refused <= 0.1 * entitled
 
 
-def test_a_restart_of_all_nodes_begins_without_a_burst(network: NodeNetwork) -> None:
+def test_a_restart_of_all_nodes_causes_no_burst(network: NodeNetwork) -> None:
     traffic = make_traffic(network)
     for tenant in traffic:
-        tenant.send(14.0, HOT)
+        tenant.send(14.0, OVERLOAD)
     network.run(4.0)
     for _ in range(2):
         zones = {node_id: node.zone for node_id, node in network.nodes.items()}
@@ -173,15 +173,16 @@
         network.add(node_id, zone)
     traffic = make_traffic(network, homes=NODES)
     for tenant in traffic:
-        tenant.send(4.0, HOT)
+        tenant.send(4.0, OVERLOAD)
     network.run(5.0)
     assert not any(tenant.record.ran for tenant in traffic)
 
 
 def test_a_node_that_was_the_first_to_start_counts_those_it_hears_of_in_an_outage() -> None:
-    # Seen in a soak (seed 102): three nodes started together, the store went away at once, and the
-    # first had read a directory with itself alone. It let the whole rate pass, the others a third
-    # each: 126 requests in a window where 119 may.
+    # Guards against a node that counts itself as the only one (seen in a soak, seed 102): three
+    # nodes started together, the store became unavailable at once, and the first node had read a
+    # directory that listed only itself. It admitted the whole rate, the others a third each: 126
+    # requests in a window that allows 119.
     network = NodeNetwork(1, 1, table=limited_table(*LIMITS))
     network.run(1.0)
     network.store.down_for = {"node-0"}
@@ -192,17 +193,17 @@
     assert len(network.nodes["node-0"].state.nodes) == 1
     traffic = make_traffic(network)
     for tenant in traffic:
-        tenant.send(12.0, HOT)
+        tenant.send(12.0, OVERLOAD)
     network.run(13.0)
     assert_never_above(traffic)
     network.close()
 
 
-def test_holders_that_wake_after_a_pause_bring_nothing_old() -> None:
+def test_paused_holders_that_resume_add_no_old_tokens() -> None:
     network = make_network(own_loops=True)
     traffic = make_traffic(network)
     for tenant in traffic:
-        tenant.send(16.0, HOT)
+        tenant.send(16.0, OVERLOAD)
     network.run(3.0)
     order = next(iter(network.nodes.values())).state.nodes.relay_order
     holders = [order(f"zone-{zone}")[0] for zone in range(ZONES)]
@@ -215,9 +216,9 @@
     network.close()
 
 
-def test_a_lowered_limit_binds_and_a_raised_one_is_used(network: NodeNetwork) -> None:
+def test_a_lowered_limit_is_enforced_and_a_raised_limit_is_used(network: NodeNetwork) -> None:
     tenant = LimitTraffic(network, 0, LIMITS[0], 1, homes=8)
-    tenant.send(40.0, HOT)
+    tenant.send(40.0, OVERLOAD)
     network.run(5.0)
     for version, limit in ((2, token_limit(30_000)), (3, token_limit(200_000))):
         for node in network.nodes.values():
@@ -229,7 +230,7 @@
         assert 0.8 * 10 * limit.rate <= sum(late) <= TOLERANCE.allowed(limit) * 10 / 8
 
 
-def test_a_tenant_that_no_longer_has_a_limit_is_not_held_up(network: NodeNetwork) -> None:
+def test_waiting_requests_are_admitted_when_the_limit_is_removed(network: NodeNetwork) -> None:
     node = next(iter(network.nodes.values()))
     waiting = network.scheduler.spawn(node.loop, node.limits.take("tenant-0", LIMITS[0], 1e9, 0))
     node.state.apply(ConfigurationChanged(limited_table(version=2)), network.scheduler.now)
@@ -237,7 +238,7 @@
     assert waiting.done()
 
 
-def test_a_question_that_comes_twice_brings_its_time_once(network: NodeNetwork) -> None:
+def test_a_repeated_question_transfers_its_time_once(network: NodeNetwork) -> None:
     holder = network.nodes["node-0"]
     sender = network.nodes["node-3"]
     question = TokenQuestion(PROTOCOL_VERSION, sender.node_id, 1, 1, 0.5)
@@ -247,7 +248,7 @@
     assert holder.buckets.is_repeated(sender.node_id, 1, 1)
 
 
-def test_tokens_that_were_not_asked_for_are_not_taken(network: NodeNetwork) -> None:
+def test_unrequested_tokens_are_discarded(network: NodeNetwork) -> None:
     holder = network.nodes["node-0"]
     answer = TransferAnswer(PROTOCOL_VERSION, 77, {"tenant-0": 1e9})
     datagram = bytes((DatagramKind.TRANSFER_ANSWER,)) + pack(answer)
@@ -255,7 +256,7 @@
     assert max(holder.buckets.levels().values(), default=0.0) < 1e9
 
 
-def test_nothing_is_sent_about_limits_where_no_tenant_has_one() -> None:
+def test_without_limits_no_limit_datagrams_are_sent() -> None:
     network = NodeNetwork(8, 2, table=limited_table())
     sent: list[bytes] = []
     carry = network.carry
@@ -271,7 +272,7 @@
     assert not sent
 
 
-def test_an_idle_node_sends_little_whatever_the_number_of_nodes_and_tenants() -> None:
+def test_the_traffic_of_an_idle_node_does_not_grow_with_nodes_or_tenants() -> None:
     for count, tenants in ((24, 4), (72, 400)):
         network = NodeNetwork(count, ZONES, table=limited_table(*[LIMITS[2]] * tenants))
         network.run(SETTLED_SECONDS)
@@ -294,12 +295,12 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_no_mix_of_faults_lets_more_pass_than_is_allowed(seed: int) -> None:
-    """Nodes are cut off, paused, killed and healed at random; all are killed at most once."""
+    """Nodes are partitioned, paused, killed and healed at random; all are killed at most once."""
     rng = Random(seed)
     network = make_network(own_loops=True, loss=rng.choice((0.0, 0.02, 0.05)))
     traffic = make_traffic(network, homes=rng.choice((3, 10, NODES)))
     for tenant in traffic:
-        tenant.send(20.0, rng.choice((USUAL, 3.0, HOT)))
+        tenant.send(20.0, rng.choice((USUAL_SHARE, 3.0, OVERLOAD)))
     end = network.scheduler.now + 20.0
     while network.scheduler.now < end:
         network.run(rng.uniform(0.5, 2.5))
@@ -309,7 +310,7 @@
 
 
 def strike(network: NodeNetwork, fault: str, rng: Random) -> None:
-    """Let a fault happen to some nodes."""
+    """Inject a fault into some nodes."""
     names = sorted(network.nodes)
     nodes = network.nodes
     order = nodes[names[0]].state.nodes.relay_order
@@ -334,14 +335,12 @@
 
 
 def test_nodes_that_start_together_right_before_an_outage_share_the_limits() -> None:
-    """All read the store before any of them is listed there, and are refused from then on.
+    """All nodes read the store before any of them is listed there; then the store refuses calls.
 
-    Seen in a soak with the store away from the moment in which three nodes were ready: 140 requests
-    of a tenant ran in 8 s, where its limit allows 119. Each node had the limit for itself.
-
-    Cause: a node read the list, then wrote its own entry, and looked again a second later. In
-    between it took itself for the only one. What proved it: each node counted one of three here,
-    through the whole outage; with a look right after its own entry each counts three.
+    Guards against each node using the whole limit (seen in a soak with an outage of the store from
+    the moment three nodes were ready: 140 requests of a tenant ran in 8 s, its limit allows 119). A
+    node read the list, then wrote its own entry, and read the list again a second later. In between
+    it counted itself as the only node. With a read right after its own entry it counts all three.
     """
     network = NodeNetwork(3, 1, start_spread=0.0, table=limited_table(*LIMITS))
     network.run(0.3)
@@ -358,7 +357,7 @@
 def test_whenever_an_outage_begins_the_parts_of_all_nodes_are_no_more_than_the_whole(
     away_from: float, start_spread: float
 ) -> None:
-    """A node that could not be listed, or not look after that, takes no part until the end."""
+    """A node without an entry in the store, or without a read after it, has no share until then."""
     network = NodeNetwork(5, 2, start_spread=start_spread, table=limited_table(*LIMITS))
     network.run(away_from)
     network.store.down_for = None
@@ -368,7 +367,7 @@
     parts = [1 / state.nodes.sharing_count(now) for state in sharing]
     traffic = make_traffic(network, homes=5)
     for tenant in traffic:
-        tenant.send(4.0, HOT)
+        tenant.send(4.0, OVERLOAD)
     network.run(5.0)
     assert sum(parts) <= 1.0001
     assert_never_above(traffic)
@@ -378,7 +377,7 @@
     network.close()
 
 
-def test_a_node_that_knows_no_others_yet_has_nearly_no_retry_budget_of_its_own() -> None:
+def test_a_node_that_does_not_know_the_others_yet_has_a_minimal_retry_budget() -> None:
     network = NodeNetwork(3, 1, start_spread=0.0, table=limited_table(*LIMITS))
     network.run(0.006)
     network.store.down_for = None
--- a/tests/fleet/test_software_rollout_duty.py
+++ b/tests/fleet/test_software_rollout_duty.py
@@ -1,4 +1,4 @@
-"""The duty of deciding rollouts of software, in virtual time: one failure a test."""
+"""The duty of deciding software rollouts, in virtual time: one failure per test."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     RolloutBench,
 )
 
-# A rollout is decided a little after its time at the latest: the order is heard late.
+# A rollout may be decided this long after its deadline, since nodes receive the order with a delay.
 MARGIN_SECONDS = 1.0
-TOLD_GOOD = ["running", "complete"]
-TOLD_BAD = ["running", "reverted"]
+STATES_GOOD = ["running", "complete"]
+STATES_BAD = ["running", "reverted"]
 
 
 @pytest.fixture
@@ -50,7 +50,7 @@
 
 
 def stages(bench: RolloutBench) -> list[RolloutStage]:
-    """Return the stages that were recorded, each once."""
+    """Return the recorded stages without consecutive duplicates."""
     found: list[RolloutStage] = []
     for _, record in bench.store.records:
         if not found or found[-1] is not record.stage:
@@ -61,15 +61,15 @@
 def test_a_good_version_is_complete_in_time(bench: RolloutBench) -> None:
     bench.order()
     bench.run(OVER_SECONDS)
-    assert bench.states() == TOLD_GOOD
+    assert bench.states() == STATES_GOOD
     assert stages(bench) == [RolloutStage.CANARY, RolloutStage.SHIFTING, RolloutStage.COMPLETE]
 
 
-def test_a_bad_version_is_reverted_soon(bench: RolloutBench) -> None:
+def test_a_bad_version_is_reverted_within_seconds(bench: RolloutBench) -> None:
     bench.failing = 0.5
     bench.order()
     bench.run(5.0)
-    assert bench.states() == TOLD_BAD
+    assert bench.states() == STATES_BAD
     assert bench.store.record is not None
     assert bench.store.record.rejected == (NEW,) and "failed" in bench.store.record.reason
 
@@ -92,7 +92,7 @@
     assert bench.store.holder() is None
 
 
-def test_without_an_order_nobody_holds_the_duty(bench: RolloutBench) -> None:
+def test_without_an_order_no_node_holds_the_duty(bench: RolloutBench) -> None:
     bench.run(5.0)
     assert bench.store.holder() is None and bench.store.records == []
 
@@ -104,7 +104,7 @@
     bench.failing = 0.5
     bench.order(NEWER)
     bench.run(OVER_SECONDS)
-    assert bench.states() == TOLD_GOOD + TOLD_BAD
+    assert bench.states() == STATES_GOOD + STATES_BAD
     assert bench.store.told[-1][2] == NEWER
 
 
@@ -114,10 +114,10 @@
     bench.unlist_runners("old")
     bench.order()
     bench.run(4.0)
-    assert bench.states() == TOLD_GOOD + TOLD_GOOD
+    assert bench.states() == STATES_GOOD + STATES_GOOD
 
 
-def test_a_target_that_was_left_undecided_is_rejected(bench: RolloutBench) -> None:
+def test_an_undecided_target_is_rejected_by_the_next_order(bench: RolloutBench) -> None:
     bench.order()
     bench.run(4.0)
     for n in range(RUNNERS_EACH):
@@ -133,7 +133,9 @@
     ]
 
 
-def test_a_target_that_was_left_before_any_record_is_rejected(bench: RolloutBench) -> None:
+def test_an_undecided_target_without_a_record_is_rejected_by_the_next_order(
+    bench: RolloutBench,
+) -> None:
     bench.store.down = True
     bench.tell_order(bench.order())
     bench.run(2.0)
@@ -168,7 +170,7 @@
     assert bench.store.holder() is None
 
 
-def test_a_withdrawn_order_that_not_all_have_heard_of_is_not_completed(
+def test_a_withdrawn_order_is_not_completed_by_nodes_that_missed_the_withdrawal(
     bench: RolloutBench,
 ) -> None:
     bench.order()
@@ -181,18 +183,18 @@
 
 
 @pytest.mark.parametrize("stage", [RolloutStage.CANARY, RolloutStage.SHIFTING])
-def test_another_node_goes_on_when_the_holder_is_killed(
+def test_another_node_continues_after_the_holder_is_killed(
     bench: RolloutBench, stage: RolloutStage
 ) -> None:
     bench.order()
     run_until_stage(bench, stage)
     bench.kill(held(bench))
     bench.run(OVER_SECONDS)
-    assert bench.states() == TOLD_GOOD
+    assert bench.states() == STATES_GOOD
     assert bench.store.told[-1][0] <= 1.0 + OVER_SECONDS + MARGIN_SECONDS
 
 
-def test_a_paused_holder_that_wakes_changes_nothing(bench: RolloutBench) -> None:
+def test_a_paused_holder_that_resumes_changes_nothing(bench: RolloutBench) -> None:
     bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
     paused = held(bench)
@@ -201,10 +203,10 @@
     assert held(bench) is not paused
     paused.loop.frozen = False
     bench.run(OVER_SECONDS)
-    assert bench.states() == TOLD_GOOD
+    assert bench.states() == STATES_GOOD
 
 
-def test_a_holder_that_hears_nothing_of_the_store_is_refused(bench: RolloutBench) -> None:
+def test_a_holder_without_store_updates_cannot_write(bench: RolloutBench) -> None:
     bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
     held(bench).hears_store = False
@@ -215,15 +217,13 @@
 
 
 @pytest.mark.parametrize("write", range(4))
-def test_a_lost_answer_to_a_write_that_took_effect_repeats_nothing(
-    bench: RolloutBench, write: int
-) -> None:
+def test_a_write_whose_answer_was_lost_is_not_repeated(bench: RolloutBench, write: int) -> None:
     bench.order()
     while len(bench.store.records) < write:
         bench.run(0.5)
     bench.store.lose = 1
     bench.run(OVER_SECONDS)
-    assert bench.states() == TOLD_GOOD
+    assert bench.states() == STATES_GOOD
 
 
 def test_a_late_write_of_an_old_holder_fails(bench: RolloutBench) -> None:
@@ -235,9 +235,9 @@
         bench.run(0.5)
     bench.kill(first)
     bench.run(OVER_SECONDS)
-    assert bench.states() == TOLD_GOOD
+    assert bench.states() == STATES_GOOD
     assert bench.store.take(*bench.store.held[0]) is None
-    assert bench.states() == TOLD_GOOD
+    assert bench.states() == STATES_GOOD
 
 
 def test_a_late_write_of_the_holder_itself_is_not_repeated(bench: RolloutBench) -> None:
@@ -247,11 +247,11 @@
         bench.run(0.5)
     bench.store.take(*bench.store.held[0])
     bench.run(OVER_SECONDS)
-    assert bench.states() == TOLD_GOOD
+    assert bench.states() == STATES_GOOD
 
 
 @pytest.mark.parametrize("stage", [None, RolloutStage.CANARY, RolloutStage.SHIFTING])
-def test_a_rollout_stands_still_while_the_store_is_down(
+def test_a_rollout_pauses_while_the_store_is_down(
     bench: RolloutBench, stage: RolloutStage | None
 ) -> None:
     bench.order()
@@ -263,7 +263,7 @@
     assert bench.stage() is stage
     bench.store.down = False
     bench.run(OVER_SECONDS)
-    assert bench.states() == TOLD_GOOD
+    assert bench.states() == STATES_GOOD
 
 
 def test_a_version_that_turns_bad_while_the_store_is_down_is_reverted_afterwards(
@@ -277,40 +277,40 @@
     assert bench.states() == ["running"]
     bench.store.down = False
     bench.run(4.0)
-    assert bench.states() == TOLD_BAD
+    assert bench.states() == STATES_BAD
 
 
-def test_what_a_node_condemned_is_reverted(bench: RolloutBench) -> None:
+def test_a_target_that_the_holder_condemned_is_reverted(bench: RolloutBench) -> None:
     order = bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
     held(bench).state.rollouts.condemn(APPLICATION, order.revision)
     bench.run(1.5)
-    assert bench.states() == TOLD_BAD
+    assert bench.states() == STATES_BAD
 
 
-def test_what_a_peer_found_bad_is_reverted(bench: RolloutBench) -> None:
+def test_a_target_that_a_peer_reports_as_bad_is_reverted(bench: RolloutBench) -> None:
     bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
     other = next(node for node in bench.nodes if node is not held(bench))
     other.says_bad = True
     bench.run(2.0)
-    assert bench.states() == TOLD_BAD
+    assert bench.states() == STATES_BAD
 
 
-def test_without_runners_of_the_target_nothing_is_trusted(bench: RolloutBench) -> None:
+def test_a_target_without_runners_is_reverted(bench: RolloutBench) -> None:
     bench.order(NEWER)
     bench.run(OVER_SECONDS + MARGIN_SECONDS)
-    assert bench.states() == TOLD_BAD
+    assert bench.states() == STATES_BAD
     assert bench.store.record is not None
     assert "no runner of the target" in bench.store.record.reason
 
 
-def test_too_few_runners_of_the_target_get_no_traffic(bench: RolloutBench) -> None:
+def test_a_target_with_too_few_runners_is_reverted(bench: RolloutBench) -> None:
     bench.unlist_runners("new")
     bench.list_runner("new-9", NEW)
     bench.order()
     bench.run(OVER_SECONDS + MARGIN_SECONDS)
-    assert bench.states() == TOLD_BAD
+    assert bench.states() == STATES_BAD
     assert bench.store.record is not None and "places" in bench.store.record.reason
 
 
@@ -319,7 +319,7 @@
     run_until_stage(bench, RolloutStage.CANARY)
     bench.unlist_runners("new")
     bench.run(OVER_SECONDS)
-    assert bench.states() == TOLD_BAD
+    assert bench.states() == STATES_BAD
 
 
 def test_a_target_whose_runners_crash_while_traffic_shifts_is_reverted_at_once(
@@ -331,10 +331,10 @@
     run_until_stage(bench, RolloutStage.SHIFTING)
     bench.unlist_runners("new")
     bench.run(3.0)
-    assert bench.states() == TOLD_BAD
+    assert bench.states() == STATES_BAD
 
 
-def test_old_runners_are_kept_while_a_node_uses_them(bench: RolloutBench) -> None:
+def test_a_rollout_completes_only_after_no_node_uses_old_runners(bench: RolloutBench) -> None:
     bench.nodes[1].old_running = 2
     bench.order()
     run_until_stage(bench, RolloutStage.SHIFTING)
@@ -342,29 +342,29 @@
     assert bench.stage() is RolloutStage.SHIFTING
     bench.nodes[1].old_running = 0
     bench.run(1.5)
-    assert bench.states() == TOLD_GOOD
+    assert bench.states() == STATES_GOOD
 
 
-def test_a_silent_node_is_given_the_time_for_a_change(bench: RolloutBench) -> None:
+def test_a_silent_node_gets_the_apply_time_of_a_change(bench: RolloutBench) -> None:
     third = bench.add_node("node-c")
     third.loop.frozen = True
     bench.order()
     run_until_stage(bench, RolloutStage.SHIFTING)
     shifted_at = bench.scheduler.now
     bench.run(APPLY_SECONDS + 1.5)
-    assert bench.states() == TOLD_GOOD
+    assert bench.states() == STATES_GOOD
     assert bench.store.told[-1][0] >= shifted_at + APPLY_SECONDS - 0.5
 
 
-def test_without_requests_nothing_is_trusted(bench: RolloutBench) -> None:
+def test_a_target_without_requests_is_reverted(bench: RolloutBench) -> None:
     bench.asked = False
     bench.order()
     bench.run(OVER_SECONDS + MARGIN_SECONDS)
-    assert bench.states() == TOLD_BAD
+    assert bench.states() == STATES_BAD
     assert bench.store.record is not None and "no answers" in bench.store.record.reason
 
 
-def test_a_node_that_knows_only_the_record_keeps_the_deadline(bench: RolloutBench) -> None:
+def test_a_node_that_has_only_the_record_keeps_the_deadline(bench: RolloutBench) -> None:
     bench.asked = False
     bench.order()
     ordered_at = bench.scheduler.now
@@ -373,18 +373,18 @@
         bench.kill(node)
     bench.add_node("node-c")
     bench.run(OVER_SECONDS)
-    assert bench.states() == TOLD_BAD
-    # The age was noted up to three seconds before the holders were gone.
+    assert bench.states() == STATES_BAD
+    # The age in the record was written up to 3 s before the holders were killed.
     assert bench.store.told[-1][0] <= ordered_at + OVER_SECONDS + 3.0 + MARGIN_SECONDS
 
 
 def test_holders_that_are_replaced_again_and_again_keep_the_deadline(bench: RolloutBench) -> None:
-    """A node that saw the order lives on, and only tells its age."""
+    """A node that received the order keeps running, and only reports the age of the order."""
     bench.asked = False
     order = bench.order()
     ordered_at = bench.scheduler.now
     bench.run(1.0)
-    while bench.states() != TOLD_BAD and bench.scheduler.now < ordered_at + 5 * OVER_SECONDS:
+    while bench.states() != STATES_BAD and bench.scheduler.now < ordered_at + 5 * OVER_SECONDS:
         for node in list(bench.nodes):
             if node.alive:
                 bench.kill(node)
@@ -398,22 +398,23 @@
             for node in bench.nodes:
                 if node.alive:
                     node.observed.of(order).take("witness", 1, told, bench.scheduler.now)
-    assert bench.states() == TOLD_BAD
-    # The next holder gets the duty when the lease of the one before has lapsed.
+    assert bench.states() == STATES_BAD
+    # The next holder acquires the duty after the lease of the previous holder has expired.
     assert bench.store.told[-1][0] <= ordered_at + OVER_SECONDS + 2 * TTL + MARGIN_SECONDS
 
 
-def test_a_stopping_holder_hands_the_duty_over_at_once(bench: RolloutBench) -> None:
+def test_a_stopping_holder_releases_the_duty_at_once(bench: RolloutBench) -> None:
     bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
     first = held(bench)
     bench.scheduler.spawn(first.loop, first.duty.hand_over())
-    # Heard, waited for in turn and asked for, before the lease would have lapsed.
+    # The others learn that the duty is free, wait for their time slot and acquire it before the
+    # lease would have expired.
     bench.run(TTL)
     assert held(bench) is not first
 
 
-def test_a_stopping_node_does_not_take_the_duty(bench: RolloutBench) -> None:
+def test_a_stopping_node_does_not_acquire_the_duty(bench: RolloutBench) -> None:
     for node in bench.nodes:
         node.duty.stop_acquiring()
     bench.order()
--- a/tests/fleet/test_start.py
+++ b/tests/fleet/test_start.py
@@ -1,4 +1,4 @@
-"""A node's start: what it loads before it listens, and what becomes of early requests."""
+"""Startup of a node: the modules it loads before it listens, and the handling of early requests."""
 
 from __future__ import annotations
 
@@ -64,8 +64,9 @@
 
 
 def test_a_node_is_held_to_bounds_from_the_start_of_its_process(tmp_path: Path) -> None:
-    # Counted from after its libraries were loaded, weights that were named before the start were
-    # due later by that time: up to a second on a busy machine, of 0.4 s that the bound leaves.
+    # Guards against counting from the end of loading the libraries: weights that were announced
+    # before the start would be due up to a second later on a busy machine, but the bound leaves
+    # only 0.4 s.
     path = tmp_path / "node.toml"
     path.write_text(SETTINGS)
     settings = load_fleet_settings(path)
@@ -84,7 +85,7 @@
 
 
 def modules_after(statement: str) -> set[str]:
-    """Return the modules that a new interpreter has loaded after a statement."""
+    """Return the modules that a new interpreter has loaded after running a statement."""
     program = f"{statement}; import json, sys; print(json.dumps(sorted(sys.modules)))"
     done = subprocess.run([sys.executable, "-c", program], capture_output=True, check=True)
     return set(json.loads(done.stdout))
@@ -98,8 +99,8 @@
 
 def test_only_light_modules_are_loaded_before_a_node_listens() -> None:
     loaded = modules_after("import hillstack.daemon.fleet_main")
-    own = {name for name in loaded if name.partition(".")[0] == "hillstack"}
-    assert own == LOADED_BEFORE_LISTENING
+    local = {name for name in loaded if name.partition(".")[0] == "hillstack"}
+    assert local == LOADED_BEFORE_LISTENING
     assert not NOT_LOADED_BEFORE_LISTENING & (loaded - modules_after("pass"))
 
 
@@ -126,7 +127,7 @@
     assert not loaded & {"click", "uvicorn.main", "uvicorn.supervisors", "multiprocessing"}
 
 
-def test_a_server_library_that_is_loaded_already_stays_whole() -> None:
+def test_a_server_library_that_is_already_loaded_stays_complete() -> None:
     check = (
         "import uvicorn; from hillstack.daemon.plain_http import load_http_server; "
         "load_http_server(); assert uvicorn.main and uvicorn.run"
@@ -152,14 +153,14 @@
     host, _, port = addresses[0].partition(":")
     with socket.create_connection((host, int(port))), listeners.readiness:
         listeners.callers.setblocking(True)
-        taken, _ = listeners.callers.accept()
-        with taken, listeners.callers:
-            assert taken.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
-            limit = taken.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
+        accepted, _ = listeners.callers.accept()
+        with accepted, listeners.callers:
+            assert accepted.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
+            limit = accepted.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
             assert limit == early_listeners.CALLER_SILENCE_MS
 
 
-def test_a_node_waits_for_an_old_process_that_holds_its_address(tmp_path: Path) -> None:
+def test_a_node_waits_for_an_old_process_that_uses_its_address(tmp_path: Path) -> None:
     old = socket.create_server(("127.0.0.1", 0))
     callers = f"127.0.0.1:{old.getsockname()[1]}"
     path = write_settings(tmp_path, callers, f"127.0.0.1:{free_port()}")
@@ -195,7 +196,7 @@
     scheduler.close()
 
 
-def test_the_gate_opens_for_those_that_wait() -> None:
+def test_the_gate_opens_for_waiting_requests() -> None:
     gate = StartGate()
     scheduler = Scheduler()
     waiting = scheduler.spawn(scheduler.new_loop(), gate.passed())
@@ -206,7 +207,8 @@
 
 
 def test_prompts_wait_until_it_is_known_what_all_holders_keep() -> None:
-    # zamudio-reg scale-2 seed 7: 60 prompts were placed blindly right after a start of all nodes.
+    # Guards against placing prompts before the caches are known (seen in zamudio-reg scale-2, seed
+    # 7: 60 prompts right after a start of all nodes).
     gate = StartGate()
     scheduler = Scheduler()
     loop = scheduler.new_loop()
@@ -239,7 +241,7 @@
     scheduler.close()
 
 
-def test_the_phases_of_a_start_are_told() -> None:
+def test_start_times_return_the_phases() -> None:
     times = StartTimes(entered_at=10.0, listening_at=10.05, loaded_at=10.3)
     assert times.phases(10.4) == {"listening": 0.05, "loaded": 0.3, "started": 0.4}
 
--- a/tests/fleet/test_suspended_machine.py
+++ b/tests/fleet/test_suspended_machine.py
@@ -1,11 +1,9 @@
-"""A machine that is suspended: its monotonic clock does not count the time.
-
-Seen: a node whose machine had slept for 14 s without the store served requests with keys for
-another 3.9 s, 17.9 s after it had last heard of revocations; a node that was only stopped refuses
-at once.
-Cause: all ages and bounds were counted by the monotonic clock, and so were the loop's timers.
-Proof: the first test, in which a node's own monotonic clock stands still while it is stopped; the
-same node on a clock that counts the sleep refuses from its first moment.
+"""Suspension of the machine, during which the monotonic clock stops.
+
+Guards against serving revoked keys after a suspension. Ages, bounds and timers of the event loop
+were measured by the monotonic clock, so a node whose machine was suspended for 14 s without the
+store served requests with keys for another 3.9 s, 17.9 s after its last update of revocations.
+The first test simulates this with a monotonic clock that stops while the process is stopped.
 """
 
 from __future__ import annotations
@@ -22,10 +20,10 @@
 from tests.fleet.deployment import Deployment, deployment, until
 
 SOURCES = Path(__file__).parents[2] / "src" / "hillstack"
-SLEEPING_MAIN = "tests.fleet.suspended_main"
-# The node distrusts keys for less than that without the store.
+SUSPENDED_MAIN = "tests.fleet.suspended_main"
+# Without the store, the node stops to accept keys after this time; shorter than the suspension.
 REVOKE_MS = 3_000
-SLEEP_SECONDS = 4.0
+SUSPENSION_SECONDS = 4.0
 
 
 async def _suspend(running: Deployment, seconds: float) -> None:
@@ -36,15 +34,15 @@
         node.process.send_signal(signal.SIGCONT)
 
 
-def test_a_node_that_slept_without_the_store_serves_no_keys_when_it_wakes(tmp_path: Path) -> None:
+def test_a_node_without_the_store_refuses_keys_after_a_suspension(tmp_path: Path) -> None:
     async def check() -> None:
         async with deployment(tmp_path) as running:
             runner = await running.add_runner("i-1")
-            node = await running.add_node("node-1", main=SLEEPING_MAIN, revoke_ms=REVOKE_MS)
+            node = await running.add_node("node-1", main=SUSPENDED_MAIN, revoke_ms=REVOKE_MS)
             await running.call_until(node, "/safe/x", 200)
             running.store.down = True
             ran = len(runner.ran)
-            await _suspend(running, SLEEP_SECONDS)
+            await _suspend(running, SUSPENSION_SECONDS)
             assert (await running.call(node, "/safe/x", request_id="r-2")).status == 503
             assert len(runner.ran) == ran
             await until(lambda: "machine was suspended" in node.messages(), "the sleep is logged")
@@ -54,16 +52,18 @@
     asyncio.run(check())
 
 
-def test_timers_that_were_due_in_a_sleep_are_due_after_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    slept = [0.0]
+def test_timers_that_expire_in_a_suspension_are_due_after_it(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    suspended_time = [0.0]
     real = clock.seconds
-    monkeypatch.setattr(clock, "seconds", lambda: real() + slept[0])
+    monkeypatch.setattr(clock, "seconds", lambda: real() + suspended_time[0])
 
     async def check() -> None:
         loop = asyncio.get_running_loop()
         due = loop.create_future()
         loop.call_later(3_600.0, due.set_result, None)
-        slept[0] = 3_601.0
+        suspended_time[0] = 3_601.0
         await asyncio.wait({due}, timeout=0.0)
         await asyncio.sleep(0)
         assert due.done()
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(("sleep", "told"), [(0.001, 0.0), (2.0, 2.0), (7 * 86_400.0, 604_800.0)])
-def test_a_sleep_is_noticed_once_with_its_length(
+def test_a_suspension_is_reported_once_with_its_length(
     monkeypatch: pytest.MonkeyPatch, sleep: float, told: float
 ) -> None:
     suspended = [5.0]
@@ -84,7 +84,7 @@
     assert watch.check() == 0.0
 
 
-def test_without_a_clock_of_the_time_since_boot_the_monotonic_one_is_read(
+def test_without_a_boot_time_clock_the_monotonic_clock_is_used(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(clock, "BOOT_CLOCK", None)
@@ -93,7 +93,7 @@
     assert clock.suspended_seconds() == 0.0
 
 
-def test_no_module_of_a_node_reads_the_monotonic_clock_for_itself() -> None:
+def test_only_the_clock_module_reads_the_monotonic_clock() -> None:
     readers = {
         str(path.relative_to(SOURCES))
         for path in SOURCES.rglob("*.py")
--- a/tests/fleet/test_weights_rollout_duty.py
+++ b/tests/fleet/test_weights_rollout_duty.py
@@ -1,4 +1,4 @@
-"""The duty of ordering weights, in virtual time: lost and late orders, handover, fences."""
+"""The duty of ordering weights, in virtual time: lost and late orders, new holders, fences."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 @dataclass
 class MemoryLeases:
-    """Leases and keys of a store that is always there."""
+    """Leases and keys of a store that is always reachable."""
 
     scheduler: Scheduler
     revision: int = 0
@@ -106,7 +106,7 @@
 
 @dataclass
 class FakeRunners:
-    """Runners that load weights in virtual time, and may lose or delay orders."""
+    """Runners that load weights in virtual time, and can lose or delay orders."""
 
     scheduler: Scheduler
     weights: dict[str, int]
@@ -119,7 +119,7 @@
     restarted: set[str] = field(default_factory=set)
     lose: int = 0
     late: float | None = None
-    loading_most: int = 0
+    max_loading: int = 0
 
     async def report(self, runner_id: str, address: str) -> RunnerReport:
         if runner_id in self.restarted:
@@ -135,12 +135,12 @@
             self.lose -= 1
             if self.late is not None:
                 when = self.scheduler.now + self.late
-                self.scheduler.at(when, functools.partial(self._take_late, order))
+                self.scheduler.at(when, functools.partial(self._accept_late, order))
             await asyncio.sleep(0.4)
             raise BackendError("no answer", step="order", peer=order.address)
         return self._take(order)
 
-    def _take_late(self, order: WeightsOrder) -> None:
+    def _accept_late(self, order: WeightsOrder) -> None:
         self._take(order)
 
     def _take(self, order: WeightsOrder) -> OrderOutcome:
@@ -157,7 +157,7 @@
         self.busy_until[runner_id] = self.scheduler.now + LOAD_SECONDS
         self.target[runner_id] = order.version
         loading = sum(1 for until in self.busy_until.values() if until > self.scheduler.now)
-        self.loading_most = max(self.loading_most, loading)
+        self.max_loading = max(self.max_loading, loading)
         return OrderOutcome.TAKEN
 
     def _settle(self, runner_id: str) -> None:
@@ -208,26 +208,26 @@
             node.state.apply(WeightsNamed(MODEL, version), self.scheduler.now)
 
 
-def settled(bench: Bench) -> dict[str, int]:
+def loaded_weights(bench: Bench) -> dict[str, int]:
     for runner_id in bench.ids:
         bench.runners._settle(runner_id)
     return bench.runners.weights
 
 
-def test_all_runners_get_the_newest_version_by_parts() -> None:
+def test_all_runners_get_the_newest_version_a_few_at_a_time() -> None:
     bench = Bench()
     node = bench.add_node("node-1")
     bench.run(4.0)
     bench.name_weights(2, node)
     bench.run(7.0)
-    assert set(settled(bench).values()) == {2}
-    assert bench.runners.loading_most <= 3
+    assert set(loaded_weights(bench).values()) == {2}
+    assert bench.runners.max_loading <= 3
     assert len(bench.runners.orders) == 6
     bench.scheduler.close()
 
 
-def load_beside_prefills(seconds: float) -> float:
-    """Name a version while prefills at the only runner take a time; return when it was ordered."""
+def order_delay_during_prefills(seconds: float) -> float:
+    """Announce a version during prefills at the only runner; return the delay of the order."""
     bench = Bench(count=1)
     node = bench.add_node("node-1")
     bench.run(4.0)
@@ -237,21 +237,22 @@
     runner.prefill_done_at = named_at + seconds
     bench.name_weights(2, node)
     bench.run(4.0)
-    assert settled(bench) == {"i-0": 2}
+    assert loaded_weights(bench) == {"i-0": 2}
     bench.scheduler.close()
     return bench.runners.orders[0][0] - named_at
 
 
 def test_a_runner_loads_once_the_prefills_at_it_are_done() -> None:
-    # Lagos quiet-1: an order took out prompts of 10,000 tokens and more that were being read.
-    assert load_beside_prefills(1.0) >= 1.0
+    # Guards against an order during prefills: the load evicted prompts of 10,000 tokens and more,
+    # whose prefill had to be repeated (seen in Lagos quiet-1).
+    assert order_delay_during_prefills(1.0) >= 1.0
 
 
-def test_a_load_does_not_wait_for_prefills_without_end() -> None:
-    assert load_beside_prefills(100.0) < 4.0
+def test_the_wait_for_prefills_is_bounded() -> None:
+    assert order_delay_during_prefills(100.0) < 4.0
 
 
-def test_a_version_in_the_middle_is_skipped() -> None:
+def test_a_version_that_is_superseded_before_its_orders_is_skipped() -> None:
     bench = Bench()
     node = bench.add_node("node-1")
     bench.run(4.0)
@@ -259,13 +260,13 @@
     bench.run(START_DELAY_SECONDS / 2)
     bench.name_weights(3, node)
     bench.run(8.0)
-    assert set(settled(bench).values()) == {3}
+    assert set(loaded_weights(bench).values()) == {3}
     assert {order.version for _, order in bench.runners.orders} == {3}
     bench.scheduler.close()
 
 
 @pytest.mark.parametrize("late", [None, 2.5])
-def test_lost_orders_are_given_again_and_late_ones_do_no_harm(late: float | None) -> None:
+def test_lost_orders_are_repeated_and_late_orders_have_no_effect(late: float | None) -> None:
     bench = Bench()
     node = bench.add_node("node-1")
     bench.run(4.0)
@@ -274,7 +275,7 @@
     bench.run(1.0)
     bench.name_weights(3, node)
     bench.run(14.0)
-    assert set(settled(bench).values()) == {3}
+    assert set(loaded_weights(bench).values()) == {3}
     bench.scheduler.close()
 
 
@@ -295,7 +296,7 @@
     bench.name_weights(3, other)
     bench.run(9.0)
     later = [order for _, order in bench.runners.orders[before:]]
-    assert set(settled(bench).values()) == {3}
+    assert set(loaded_weights(bench).values()) == {3}
     assert {order.holder for order in later} == {other.state.node_id}
     fences = [order.fence for _, order in bench.runners.orders]
     assert fences == sorted(fences) and len(set(fences)) == 2
@@ -318,11 +319,11 @@
 
     monkeypatch.setattr(waiting.loop, "call_at", counted)
     bench.run(2.0)
-    # It looks at the lease each 0.4 s, for which it may sleep twice.
+    # The node checks the lease every 0.4 s, and each check may sleep twice.
     assert len(made) <= 10
 
 
-def test_a_paused_holder_stops_by_its_own_clock() -> None:
+def test_a_paused_holder_loses_its_lease_by_its_own_clock() -> None:
     bench = Bench()
     node = bench.add_node("node-1")
     bench.run(4.0)
@@ -347,7 +348,7 @@
     first = {order.runner_id: at for at, order in reversed(bench.runners.orders)}
     assert first["i-0"] >= ordered_at + TURN
     assert min(first.values()) < ordered_at + TURN
-    assert set(settled(bench).values()) == {2}
+    assert set(loaded_weights(bench).values()) == {2}
     bench.scheduler.close()
 
 
@@ -364,18 +365,18 @@
     assert later == []
 
 
-def test_a_node_that_has_just_started_orders_nothing_yet() -> None:
+def test_a_node_that_has_just_started_sends_no_orders_yet() -> None:
     bench = Bench()
     node = bench.add_node("node-1")
     bench.name_weights(2, node)
     bench.run(TURN - 0.1)
     assert bench.runners.orders == []
     bench.run(9.0)
-    assert set(settled(bench).values()) == {2}
+    assert set(loaded_weights(bench).values()) == {2}
     bench.scheduler.close()
 
 
-def test_a_stopping_node_does_not_take_the_duty() -> None:
+def test_a_stopping_node_does_not_acquire_the_duty() -> None:
     bench = Bench()
     node = bench.add_node("node-1")
     node.duty.stop_acquiring()
@@ -385,15 +386,16 @@
 
 
 def test_a_stop_does_not_wait_for_a_store_that_is_silent() -> None:
-    # A process has 0.7 s to end in once its last request is answered; a call may take 1.5 s.
+    # A process has 0.7 s to stop after its last request is answered, but a store call may take 1.5
+    # s.
     bench = Bench()
     node = bench.add_node("node-1")
     bench.run(1.0)
     assert node.duty._lease.fence() is not None
     bench.leases.silent = True
-    handing_over = bench.scheduler.spawn(node.loop, node.duty.hand_over())
+    releasing = bench.scheduler.spawn(node.loop, node.duty.hand_over())
     bench.run(STOP_MARGIN_SECONDS / 2)
-    assert handing_over.done() and node.duty._lease.fence() is None
+    assert releasing.done() and node.duty._lease.fence() is None
     bench.scheduler.close()
 
 
@@ -412,26 +414,28 @@
     bench.name_weights(2, node)
     bench.run(10.0)
     assert [order.runner_id for _, order in bench.runners.orders].count("i-0") == 1
-    others = {runner: version for runner, version in settled(bench).items() if runner != "i-0"}
+    others = {
+        runner: version for runner, version in loaded_weights(bench).items() if runner != "i-0"
+    }
     assert set(others.values()) == {2}
     bench.scheduler.close()
 
 
-def test_a_process_that_has_ended_is_not_ordered_and_the_peers_are_told(
+def test_a_restarted_runner_is_not_ordered_and_reported_to_the_peers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     bench = Bench(count=2)
     node, other = bench.add_node("node-1"), bench.add_node("node-2")
-    told: list[str] = []
+    reported: list[str] = []
     for each in (node, other):
-        monkeypatch.setattr(each.peers, "restarted", told.append)
+        monkeypatch.setattr(each.peers, "restarted", reported.append)
     bench.run(4.0)
     bench.runners.restarted = {"i-1"}
     bench.name_weights(2, node, other)
     bench.run(3.0)
-    assert settled(bench)["i-0"] == 2
+    assert loaded_weights(bench)["i-0"] == 2
     assert {order.runner_id for _, order in bench.runners.orders} == {"i-0"}
-    assert told == ["i-1"]
+    assert reported == ["i-1"]
     holder = node if node.duty._lease.fence() is not None else other
     assert holder.state.pool.get("i-1") is None
     bench.scheduler.close()
--- a/tests/stateful/test_restored_leases.py
+++ b/tests/stateful/test_restored_leases.py
@@ -1,4 +1,4 @@
-"""The lease on a duty when the key-value service comes back from older copies of itself."""
+"""The lease on a duty when the key-value service is restored from older snapshots."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 class Service:
-    """The service, which loses writes and gives numbers out again."""
+    """The service; a restore loses writes and assigns lease numbers and revisions again."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.store = KeyValueStore()
         self.snapshots: list[KeyValueSnapshot] = [self.store.snapshot()]
-        # The highest fence of a key that all nodes have heard of.
-        self.heard_fence = 0
+        # The highest fence that all nodes know.
+        self.known_fence = 0
 
 
 class NodeView:
-    """The service as one node sees it: it learns of a new era with its own calls."""
+    """The service as one node sees it: the node learns of a new era only from its own calls."""
 
     def __init__(self, service: Service) -> None:
         self._service = service
@@ -49,7 +49,7 @@
     ) -> StoreRevision | None:
         revision = self._store().transact(conditions, puts)
         if revision is not None:
-            self._service.heard_fence = max(self._service.heard_fence, revision.number)
+            self._service.known_fence = max(self._service.known_fence, revision.number)
         return revision
 
     async def grant_lease(self, ttl_seconds: float) -> int:
@@ -66,7 +66,7 @@
 
 
 class RestoredLeases(RuleBasedStateMachine):
-    """Three nodes that want one duty, before a service that may be restored at any moment."""
+    """Three nodes compete for one duty, and the service may be restored at any moment."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -82,7 +82,7 @@
             f"node-{number}",
             TTL,
             lambda: service.now,
-            lambda: service.heard_fence,
+            lambda: service.known_fence,
         )
 
     @rule(node=NODES)
@@ -103,7 +103,7 @@
             self.service.store.transact([], [Put("/other", b"1")])
 
     @rule()
-    def copy(self) -> None:
+    def take_snapshot(self) -> None:
         self.service.snapshots.append(self.service.store.snapshot())
 
     @rule(which=st.integers(0, 50))
@@ -112,7 +112,7 @@
         self.service.store.restore(snapshots[which % len(snapshots)])
 
     @invariant()
-    def one_holder_acts(self) -> None:
+    def at_most_one_holder_acts(self) -> None:
         acting = [lease.fence() for lease in self.leases if lease.fence() is not None]
         assert len(acting) <= 1
         for fence in acting:
@@ -121,7 +121,7 @@
                 self.fences.append(fence)
 
     @invariant()
-    def no_fence_falls(self) -> None:
+    def fences_never_decrease(self) -> None:
         assert self.fences == sorted(self.fences)
 
 
--- a/tests/unit/test_claim_coordinator.py
+++ b/tests/unit/test_claim_coordinator.py
@@ -1,4 +1,4 @@
-"""Claim rounds over peers that answer at different times."""
+"""Claim rounds with peers that answer at different times."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class SlowPeers:
-    """Each peer answers after its own number of turns of the event loop."""
+    """Each peer answers after a given number of iterations of the event loop."""
 
     gossip_bytes_sent = 0
 
@@ -34,13 +34,13 @@
         raise NotImplementedError
 
     async def call(self, address: str, message: Message, timeout: float) -> Message:
-        turns, reply = self._replies[address]
-        for _ in range(turns):
+        iterations, reply = self._replies[address]
+        for _ in range(iterations):
             await asyncio.sleep(0)
         return reply
 
 
-def test_a_repeat_gets_the_answer_that_a_slower_replica_has() -> None:
+def test_a_repeated_claim_gets_the_answer_of_a_slower_replica() -> None:
     members = [make_member(f"node-{zone}", zone) for zone in ZONES]
     membership = Membership(members[0], [], MembershipTiming(), Random(1))
     membership.merge(members, 0.0)
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -1,4 +1,4 @@
-"""The duty lease: a paused holder stops by its own clock, and its fence is the older one."""
+"""The duty lease: exclusive holders, increasing fences, and restores of the key-value service."""
 
 from __future__ import annotations
 
@@ -58,20 +58,20 @@
 
 @dataclass
 class SlowKeyValue(MemoryKeyValue):
-    """Answers a renewal, or the write of a key, only when it is let go."""
+    """Answers renewals and writes only after ``release`` is set."""
 
-    let_go: asyncio.Event = field(default_factory=asyncio.Event)
+    release: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def keep_alive(self, lease_id: int) -> bool:
         alive = await super().keep_alive(lease_id)
-        await self.let_go.wait()
+        await self.release.wait()
         return alive
 
     async def transact(
         self, conditions: Sequence[Condition], puts: Sequence[Put]
     ) -> StoreRevision | None:
         revision = await super().transact(conditions, puts)
-        await self.let_go.wait()
+        await self.release.wait()
         return revision
 
 
@@ -116,7 +116,7 @@
     assert new_fence > old_fence
 
 
-def test_giving_up_lets_another_take_over_at_once() -> None:
+def test_another_node_acquires_a_released_lease_at_once() -> None:
     service = MemoryKeyValue()
     first, second = make_lease(service, "first"), make_lease(service, "second")
     asyncio.run(first.renew_or_acquire())
@@ -126,58 +126,58 @@
     assert second.fence() is not None
 
 
-async def end_while_asking(service: SlowKeyValue, lease: DutyLease) -> None:
-    """Give a lease up while a call on it has no answer yet."""
-    asking = asyncio.create_task(lease.renew_or_acquire())
+async def release_during_call(service: SlowKeyValue, lease: DutyLease) -> None:
+    """Release a lease while a call for it is in progress."""
+    call = asyncio.create_task(lease.renew_or_acquire())
     await asyncio.sleep(0)
     await lease.give_up()
-    service.let_go.set()
-    await asking
+    service.release.set()
+    await call
 
 
-def test_a_lease_that_is_given_up_during_a_renewal_stays_given_up() -> None:
+def test_a_lease_released_during_a_renewal_stays_released() -> None:
     async def scenario() -> None:
         service = SlowKeyValue()
         lease = make_lease(service, "first")
-        service.let_go.set()
+        service.release.set()
         await lease.renew_or_acquire()
-        service.let_go.clear()
-        await end_while_asking(service, lease)
+        service.release.clear()
+        await release_during_call(service, lease)
         assert lease.fence() is None
         assert await service.get("/duty") is None
 
     asyncio.run(scenario())
 
 
-def test_a_lease_that_is_got_during_a_stop_is_given_back() -> None:
+def test_a_lease_granted_during_a_stop_is_revoked() -> None:
     async def scenario() -> None:
         service = SlowKeyValue()
         lease = make_lease(service, "first")
-        await end_while_asking(service, lease)
+        await release_during_call(service, lease)
         assert lease.fence() is None
         assert await service.get("/duty") is None
 
     asyncio.run(scenario())
 
 
-def test_a_fence_that_was_refused_during_a_renewal_is_used_no_more() -> None:
+def test_a_fence_refused_during_a_renewal_is_not_used_again() -> None:
     async def scenario() -> None:
         service = SlowKeyValue()
         lease = make_lease(service, "first")
-        service.let_go.set()
+        service.release.set()
         await lease.renew_or_acquire()
-        service.let_go.clear()
-        asking = asyncio.create_task(lease.renew_or_acquire())
+        service.release.clear()
+        call = asyncio.create_task(lease.renew_or_acquire())
         await asyncio.sleep(0)
         lease.lose()
-        service.let_go.set()
-        await asking
+        service.release.set()
+        await call
         assert lease.fence() is None
 
     asyncio.run(scenario())
 
 
-# Guards against a holder that goes on by a lease which the restored service has lost.
+# Guards against a holder that still uses a lease which the service lost in a restore.
 def test_a_holder_stops_at_once_when_the_service_was_restored() -> None:
     service = MemoryKeyValue()
     snapshot = service.store.snapshot()
@@ -188,8 +188,9 @@
     assert lease.fence() is None
 
 
-# Guards against a lease of somebody else that is renewed or ended by a number given out again.
-def test_a_lease_number_that_was_given_out_again_is_left_alone() -> None:
+# Guards against renewing or revoking another node's lease: a restored service assigns lease numbers
+# again.
+def test_a_reassigned_lease_number_is_not_renewed_or_revoked() -> None:
     service = MemoryKeyValue()
     snapshot = service.store.snapshot()
     first = make_lease(service, "first")
@@ -208,8 +209,8 @@
     assert second.fence() is not None
 
 
-# Guards against orders that back ends refuse, since the restored service's revisions are lower.
-def test_a_fence_rises_across_a_restore() -> None:
+# Guards against orders that back ends refuse: revisions, and so fences, are lower after a restore.
+def test_a_fence_increases_across_a_restore() -> None:
     service = MemoryKeyValue()
     snapshot = service.store.snapshot()
     for _ in range(40):
@@ -230,7 +231,7 @@
     assert entry is not None and entry.mod_revision.number == after
 
 
-def test_a_fence_out_of_reach_leaves_the_duty_free() -> None:
+def test_an_unreachable_fence_leaves_the_duty_free() -> None:
     service = MemoryKeyValue()
     lease = DutyLease(service, "/duty", "first", TTL, lambda: service.now, lambda: 10_000)
     asyncio.run(lease.renew_or_acquire())
@@ -238,18 +239,18 @@
     assert asyncio.run(service.get("/duty")) is None
 
 
-def test_a_lease_that_was_granted_before_a_restore_is_not_ended_after_it() -> None:
+def test_a_lease_granted_before_a_restore_is_not_revoked_after_it() -> None:
     async def scenario() -> None:
         service = SlowKeyValue()
         snapshot = service.store.snapshot()
         lease = make_lease(service, "first")
-        asking = asyncio.create_task(lease.renew_or_acquire())
+        call = asyncio.create_task(lease.renew_or_acquire())
         await asyncio.sleep(0)
         service.store.restore(snapshot)
         assert await service.grant_lease(TTL) == 1, "the number of the lease that was lost"
         await lease.give_up()
-        service.let_go.set()
-        await asking
+        service.release.set()
+        await call
         assert list(service.store.leases) == [1]
 
     asyncio.run(scenario())
--- a/tests/unit/test_restored_key_value.py
+++ b/tests/unit/test_restored_key_value.py
@@ -1,4 +1,4 @@
-"""A key-value service that was restored from a snapshot, seen by its client over HTTP."""
+"""A key-value service that is restored from a snapshot, accessed by its client over HTTP."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     asyncio.run(play())
 
 
-# Guards against a holder that goes on by a lease of a cluster that was restored from a snapshot.
-def test_a_falling_revision_ends_the_leases_and_the_fence_rises() -> None:
+# Guards against a holder that still uses a lease which the service lost in a restore.
+def test_a_lower_revision_ends_the_leases_and_the_next_fence_is_higher() -> None:
     async def scenario(store: KeyValueStore, client: KeyValueClient) -> None:
         snapshot = store.snapshot()
         for _ in range(5):
@@ -56,7 +56,7 @@
     with_service(scenario)
 
 
-def test_a_condition_on_a_revision_holds_for_that_change_only() -> None:
+def test_a_revision_condition_holds_only_for_the_current_revision() -> None:
     async def scenario(store: KeyValueStore, client: KeyValueClient) -> None:
         first = await client.transact([], [Put("/key", b"1")])
         assert first is not None
