--- a/src/hillstack/daemon/caller_room.py
+++ b/src/hillstack/daemon/caller_room.py
@@ -16,7 +16,7 @@
 
 # Descriptors that the platform reserves for files, and those that a node uses besides connections
 # of callers and the runner connections for their requests: listeners, datagram sockets, connections
-# to the store, status calls to 45 runners at once.
+# to the store, calls to 45 runners at once.
 RESERVED_DESCRIPTORS = 300
 # A request in progress may hold a connection from its caller and a connection to a runner.
 DESCRIPTORS_PER_CALLER = 2
--- a/src/hillstack/daemon/duty_keeper.py
+++ b/src/hillstack/daemon/duty_keeper.py
@@ -73,7 +73,7 @@
         return ACQUIRE_SLOT_SECONDS * (order.index(self._state.node_id) if known else len(order))
 
 
-class LeaseKeeper:
+class LeaseRenewer:
     """The loop that acquires and renews the lease on a duty.
 
     Args:
@@ -112,12 +112,12 @@
         """Stop trying to acquire the duty; a lease that is already held is still renewed."""
         self._stopping = True
 
-    async def hand_over(self) -> None:
+    async def release_on_stop(self) -> None:
         """Release the lease before a planned stop, so that another node can acquire it."""
         self._stopping = True
         try:
             async with asyncio.timeout(RELEASE_TIMEOUT_SECONDS):
-                await self._lease.give_up()
+                await self._lease.release()
         except PlatformError as error:
             logger.info("duty lease not released, left to expire", extra=error_fields(error))
         except TimeoutError:
--- a/src/hillstack/daemon/duty_lease.py
+++ b/src/hillstack/daemon/duty_lease.py
@@ -88,14 +88,14 @@
         if ended == self._ended:
             await self._acquire(ended)
 
-    def lose(self) -> None:
+    def invalidate(self) -> None:
         """Stop using this fence, because another holder with a higher fence was observed.
 
         The key is left to expire; the next holder of the duty then gets a new fence.
         """
         self._end()
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """Revoke the lease, so that another node can acquire the duty at once.
 
         Raises:
--- a/src/hillstack/daemon/early_listeners.py
+++ b/src/hillstack/daemon/early_listeners.py
@@ -78,7 +78,7 @@
     family = socket.AF_INET6 if address.startswith("[") else socket.AF_INET
     opened = socket.socket(family, socket.SOCK_STREAM)
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    _watch_callers(opened)
+    _enable_keepalive(opened)
     gives_up_at = clock.seconds() + ADDRESS_WAIT_SECONDS
     while True:
         try:
@@ -95,7 +95,7 @@
         return opened
 
 
-def _watch_callers(listener: socket.socket) -> None:
+def _enable_keepalive(listener: socket.socket) -> None:
     """Let the kernel close connections of silent callers; accepted sockets inherit the options."""
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     options = (
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -336,7 +336,7 @@
             self._shared_runner_limits.run(),
             self._pipeline.runner_ends.run(),
             self._registry.run(),
-            self._duty.keep_lease(),
+            self._duty.maintain_lease(),
             self._duty.run(),
             self._observer.run(),
             self._rollouts.run(),
@@ -480,7 +480,7 @@
             )
             await asyncio.sleep(STOP_CHECK_SECONDS)
             elapsed = self._clock() - started_at
-        await asyncio.gather(self._duty.hand_over(), self._rollouts.hand_over())
+        await asyncio.gather(self._duty.release_on_stop(), self._rollouts.release_on_stop())
         logger.info("drained", extra={"active": self._pipeline.active})
 
     async def _close(self) -> None:
--- a/src/hillstack/daemon/limit_holder.py
+++ b/src/hillstack/daemon/limit_holder.py
@@ -43,8 +43,9 @@
 # How often idle buckets and expired shortage pauses are removed.
 EXPIRE_SECONDS = 2.0
 MILLISECONDS = 1_000.0
-# Transfer numbers start at random, so that the numbers of two successive processes do not collide:
-# a late answer to the earlier process would add its tokens twice.
+# Transfer numbers start at random, so that the numbers of two processes on a machine do not
+# collide: a late answer to the earlier process would be accepted by the later one and its tokens
+# counted twice.
 NUMBER_BITS = 32
 
 
--- a/src/hillstack/daemon/node.py
+++ b/src/hillstack/daemon/node.py
@@ -153,7 +153,7 @@
     async def leave(self) -> None:
         """Release duties and announce that this node leaves; it still serves requests."""
         self.stopping = True
-        await self._weights.hand_over()
+        await self._weights.release_on_stop()
         self._send(self.membership.leave())
 
     async def stop(self) -> None:
--- a/src/hillstack/daemon/rollout_decider.py
+++ b/src/hillstack/daemon/rollout_decider.py
@@ -134,7 +134,7 @@
         self._clock = clock
         self._watch: _Watch | None = None
 
-    def is_wanted(self) -> bool:
+    def has_undecided_order(self) -> bool:
         """Return whether there is a current order that is not decided yet."""
         order = self._state.rollouts.order(self._service)
         return order is not None and not self._is_settled(order)
--- a/src/hillstack/daemon/software_rollout_duty.py
+++ b/src/hillstack/daemon/software_rollout_duty.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Protocol
 
-from hillstack.daemon.duty_keeper import AcquireSlot, LeaseKeeper
+from hillstack.daemon.duty_keeper import AcquireSlot, LeaseRenewer
 from hillstack.daemon.duty_lease import DutyLease
 from hillstack.daemon.key_value import LeaseStore
 from hillstack.daemon.rollout_decider import Observations, RolloutDecider, RolloutStore
@@ -18,7 +18,7 @@
 
 logger = logging.getLogger(__name__)
 
-# A twentieth of the time in which a bad version must be closed.
+# Interval of decisions: a twentieth of the time within which a bad version must be closed.
 TICK_SECONDS = 0.25
 # Interval of the check for new orders; adds to the delay of polling the store.
 IDLE_SECONDS = 0.5
@@ -82,13 +82,13 @@
         """Stop trying to acquire duties; leases that are already held are still renewed."""
         self._stopping = True
         for rollout in self._rollouts.values():
-            rollout.lease_keeper.stop_acquiring()
+            rollout.lease_renewer.stop_acquiring()
 
-    async def hand_over(self) -> None:
+    async def release_on_stop(self) -> None:
         """Release all duties before a planned stop."""
         self.stop_acquiring()
         held = [rollout for rollout in self._rollouts.values() if rollout.fence() is not None]
-        await asyncio.gather(*(rollout.lease_keeper.hand_over() for rollout in held))
+        await asyncio.gather(*(rollout.lease_renewer.release_on_stop() for rollout in held))
 
     def holds(self, service: str) -> bool:
         """Return whether this node decides the rollout of a service."""
@@ -96,9 +96,9 @@
         return rollout is not None and rollout.fence() is not None
 
     def _rollout(self, service: str) -> _ServiceRollout:
-        known = self._rollouts.get(service)
-        if known is not None:
-            return known
+        existing = self._rollouts.get(service)
+        if existing is not None:
+            return existing
         lease = DutyLease(
             self._store,
             self._duty_key(service),
@@ -115,11 +115,11 @@
             self._apply_seconds,
             self._clock,
         )
-        made = _ServiceRollout(service, self._state, lease, decider, self._clock, self._rng)
+        rollout = _ServiceRollout(service, self._state, lease, decider, self._clock, self._rng)
         if self._stopping:
-            made.lease_keeper.stop_acquiring()
-        self._rollouts[service] = made
-        return made
+            rollout.lease_renewer.stop_acquiring()
+        self._rollouts[service] = rollout
+        return rollout
 
 
 class _ServiceRollout:
@@ -140,7 +140,7 @@
         self._decider = decider
         self._was_held = False
         slot = AcquireSlot(state, self._is_free, clock, rng)
-        self.lease_keeper = LeaseKeeper(lease, slot, self._note_held)
+        self.lease_renewer = LeaseRenewer(lease, slot, self._note_held)
         self._task: asyncio.Task[None] | None = None
 
     def fence(self) -> int | None:
@@ -150,7 +150,7 @@
     def begin(self) -> None:
         """Start to take part, unless already started or nothing is left to decide."""
         if self._task is None or self._task.done():
-            if not self._decider.is_wanted():
+            if not self._decider.has_undecided_order():
                 return
             self._task = asyncio.create_task(self._take_part())
             self._task.add_done_callback(self._log_failure)
@@ -162,10 +162,10 @@
 
     async def _take_part(self) -> None:
         """Observe the rollout, and decide while the duty is held, until decided or withdrawn."""
-        renewal = asyncio.create_task(self.lease_keeper.run())
+        renewal = asyncio.create_task(self.lease_renewer.run())
         renewal.add_done_callback(self._log_failure)
         try:
-            while self._decider.is_wanted():
+            while self._decider.has_undecided_order():
                 view = self._decider.observe()
                 key_revision = self._lease.key_revision()
                 if view is not None and key_revision is not None:
@@ -174,19 +174,19 @@
             self._decider.observe()
         finally:
             renewal.cancel()
-        await self._give_up()
+        await self._release()
 
-    async def _give_up(self) -> None:
+    async def _release(self) -> None:
         """Release the lease, so that no node has to wait for it when the next order arrives."""
         try:
-            await self._lease.give_up()
+            await self._lease.release()
         except PlatformError as error:
             fields = error_fields(error) | {"service": self._service}
             logger.info("rollout duty not released, left to expire", extra=fields)
         self._note_held(False)
 
     def _is_free(self) -> bool:
-        if not self._state.duty_known or not self._decider.is_wanted():
+        if not self._state.duty_known or not self._decider.has_undecided_order():
             return False
         return self._state.rollout_deciders.get(self._service) is None
 
--- a/src/hillstack/daemon/weights_duty.py
+++ b/src/hillstack/daemon/weights_duty.py
@@ -48,10 +48,10 @@
                 logger.debug("duty lease not renewed", extra=error_fields(error))
             self._give_orders()
 
-    async def hand_over(self) -> None:
+    async def release_on_stop(self) -> None:
         """Release the duty before a planned stop."""
         try:
-            await self._lease.give_up()
+            await self._lease.release()
         except PlatformError as error:
             logger.info("duty lease not released, left to expire", extra=error_fields(error))
 
--- a/src/hillstack/daemon/weights_rollout_duty.py
+++ b/src/hillstack/daemon/weights_rollout_duty.py
@@ -9,7 +9,7 @@
 
 from hillstack.core.runner_pool import Runner
 from hillstack.core.weights_rollout import RolloutPlan, RolloutView
-from hillstack.daemon.duty_keeper import AcquireSlot, LeaseKeeper
+from hillstack.daemon.duty_keeper import AcquireSlot, LeaseRenewer
 from hillstack.daemon.duty_lease import DutyLease
 from hillstack.daemon.peer_exchange import PeerExchange
 from hillstack.daemon.weights_orders import OrderOutcome, OrderSender, WeightsOrder
@@ -20,7 +20,7 @@
 
 logger = logging.getLogger(__name__)
 
-# Interval of the check for loads to begin: a tenth of the duration of a load.
+# Interval of the check for loads that can begin: a tenth of the duration of a load.
 TICK_SECONDS = 0.05
 # Time for a datagram to reach all peers and for sends in progress; until then requests still
 # arrive.
@@ -39,8 +39,7 @@
 REPORT_LAG_SECONDS = 0.3
 # Pause before an unreachable runner is tried again.
 UNREACHABLE_PAUSE_SECONDS = 0.5
-# Estimated duration until the first load was observed: a wait, a load and a report, rather too
-# long.
+# Initial estimate of the duration of a load, including the wait and the report; rather too long.
 INITIAL_LOAD_SECONDS = 1.3
 # Weight of the latest load in the moving average of durations: the last five loads dominate.
 LOAD_SMOOTHING = 0.2
@@ -84,11 +83,11 @@
         self._load_seconds = INITIAL_LOAD_SECONDS
         self._plans: dict[str, RolloutPlan] = {}
         slot = AcquireSlot(state, self._is_free, clock, rng)
-        self._lease_keeper = LeaseKeeper(lease, slot, self._note_held)
+        self._lease_renewer = LeaseRenewer(lease, slot, self._note_held)
 
-    async def keep_lease(self) -> None:
+    async def maintain_lease(self) -> None:
         """Renew the lease, or try to acquire it while nobody holds it, until cancelled."""
-        await self._lease_keeper.run()
+        await self._lease_renewer.run()
 
     async def run(self) -> None:
         """Give orders while the lease is held, until cancelled."""
@@ -106,14 +105,14 @@
 
     def stop_acquiring(self) -> None:
         """Stop trying to acquire the duty; a lease that is already held is still renewed."""
-        self._lease_keeper.stop_acquiring()
+        self._lease_renewer.stop_acquiring()
 
-    async def hand_over(self) -> None:
+    async def release_on_stop(self) -> None:
         """Cancel the loads in progress and release the duty before a planned stop."""
-        self._lease_keeper.stop_acquiring()
+        self._lease_renewer.stop_acquiring()
         for task in list(self._loading.values()):
             task.cancel()
-        await self._lease_keeper.hand_over()
+        await self._lease_renewer.release_on_stop()
 
     def _is_free(self) -> bool:
         return self._state.duty_known and self._state.duty_holder is None
@@ -263,7 +262,7 @@
             case OrderOutcome.OTHER_INSTANCE:
                 self._state.pool.note_leaving(runner)
             case OrderOutcome.FENCED:
-                self._lease.lose()
+                self._lease.invalidate()
             case _:
                 pass
 
--- a/tests/fleet/test_software_rollout_duty.py
+++ b/tests/fleet/test_software_rollout_duty.py
@@ -407,7 +407,7 @@
     bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
     first = held(bench)
-    bench.scheduler.spawn(first.loop, first.duty.hand_over())
+    bench.scheduler.spawn(first.loop, first.duty.release_on_stop())
     # The others learn that the duty is free, wait for their time slot and acquire it before the
     # lease would have expired.
     bench.run(TTL)
--- a/tests/fleet/test_weights_rollout_duty.py
+++ b/tests/fleet/test_weights_rollout_duty.py
@@ -196,7 +196,7 @@
             state, lease, self.runners, peers, TURN, self.scheduler.clock, make_rng()
         )
         loop = self.scheduler.new_loop()
-        self.scheduler.spawn(loop, duty.keep_lease())
+        self.scheduler.spawn(loop, duty.maintain_lease())
         self.scheduler.spawn(loop, duty.run())
         return Node(state, duty, peers, loop)
 
@@ -393,7 +393,7 @@
     bench.run(1.0)
     assert node.duty._lease.fence() is not None
     bench.leases.silent = True
-    releasing = bench.scheduler.spawn(node.loop, node.duty.hand_over())
+    releasing = bench.scheduler.spawn(node.loop, node.duty.release_on_stop())
     bench.run(STOP_MARGIN_SECONDS / 2)
     assert releasing.done() and node.duty._lease.fence() is None
     bench.scheduler.close()
--- a/tests/stateful/test_restored_leases.py
+++ b/tests/stateful/test_restored_leases.py
@@ -90,8 +90,8 @@
         asyncio.run(self.leases[node].renew_or_acquire())
 
     @rule(node=NODES)
-    def give_up(self, node: int) -> None:
-        asyncio.run(self.leases[node].give_up())
+    def release(self, node: int) -> None:
+        asyncio.run(self.leases[node].release())
 
     @rule(seconds=st.sampled_from([0.3, 0.9, 1.4, 2.1]))
     def pass_time(self, seconds: float) -> None:
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -58,20 +58,20 @@
 
 @dataclass
 class SlowKeyValue(MemoryKeyValue):
-    """Answers renewals and writes only after ``release`` is set."""
+    """Answers renewals and writes only after ``unblock`` is set."""
 
-    release: asyncio.Event = field(default_factory=asyncio.Event)
+    unblock: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def keep_alive(self, lease_id: int) -> bool:
         alive = await super().keep_alive(lease_id)
-        await self.release.wait()
+        await self.unblock.wait()
         return alive
 
     async def transact(
         self, conditions: Sequence[Condition], puts: Sequence[Put]
     ) -> StoreRevision | None:
         revision = await super().transact(conditions, puts)
-        await self.release.wait()
+        await self.unblock.wait()
         return revision
 
 
@@ -120,7 +120,7 @@
     service = MemoryKeyValue()
     first, second = make_lease(service, "first"), make_lease(service, "second")
     asyncio.run(first.renew_or_acquire())
-    asyncio.run(first.give_up())
+    asyncio.run(first.release())
     asyncio.run(second.renew_or_acquire())
     assert first.fence() is None
     assert second.fence() is not None
@@ -130,8 +130,8 @@
     """Release a lease while a call for it is in progress."""
     call = asyncio.create_task(lease.renew_or_acquire())
     await asyncio.sleep(0)
-    await lease.give_up()
-    service.release.set()
+    await lease.release()
+    service.unblock.set()
     await call
 
 
@@ -139,9 +139,9 @@
     async def scenario() -> None:
         service = SlowKeyValue()
         lease = make_lease(service, "first")
-        service.release.set()
+        service.unblock.set()
         await lease.renew_or_acquire()
-        service.release.clear()
+        service.unblock.clear()
         await release_during_call(service, lease)
         assert lease.fence() is None
         assert await service.get("/duty") is None
@@ -164,13 +164,13 @@
     async def scenario() -> None:
         service = SlowKeyValue()
         lease = make_lease(service, "first")
-        service.release.set()
+        service.unblock.set()
         await lease.renew_or_acquire()
-        service.release.clear()
+        service.unblock.clear()
         call = asyncio.create_task(lease.renew_or_acquire())
         await asyncio.sleep(0)
-        lease.lose()
-        service.release.set()
+        lease.invalidate()
+        service.unblock.set()
         await call
         assert lease.fence() is None
 
@@ -203,7 +203,7 @@
     ends_at = service.store.leases[1].expires_at
     service.now += 1.0
     asyncio.run(first.renew_or_acquire())
-    asyncio.run(first.give_up())
+    asyncio.run(first.release())
     assert first.fence() is None
     assert service.store.leases[1].expires_at == ends_at
     assert second.fence() is not None
@@ -248,8 +248,8 @@
         await asyncio.sleep(0)
         service.store.restore(snapshot)
         assert await service.grant_lease(TTL) == 1, "the number of the lease that was lost"
-        await lease.give_up()
-        service.release.set()
+        await lease.release()
+        service.unblock.set()
         await call
         assert list(service.store.leases) == [1]
 
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -153,7 +153,7 @@
     Mutation(
         "a refused fence is used on",
         "daemon/weights_rollout_duty.py",
-        "                self._lease.lose()\n",
+        "                self._lease.invalidate()\n",
         "                pass\n",
     ),
     Mutation(
