--- a/src/hillstack/daemon/bundle_sync.py
+++ b/src/hillstack/daemon/bundle_sync.py
@@ -2,7 +2,8 @@
 
 A node fetches bundles from the key-value service and from other nodes: at startup, and whenever
 another node announces a higher version. Only a few nodes of each zone watch and poll the service;
-the other nodes learn of new versions through gossip.
+the other nodes learn of new versions through gossip. The head is the entry in the service that
+holds the version and digest of the accepted bundle.
 """
 
 from __future__ import annotations
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -86,7 +86,7 @@
 # Longer than the operator's limits allow callers to reuse an idle connection.
 KEEP_ALIVE_SECONDS = 120
 # Message of the event loop when no descriptor is left to accept a connection. The loop reports it
-# once for each connection in the backlog, and tries again after a second.
+# once for each place of the backlog, and tries again after a second.
 ACCEPT_FAILED = "socket.accept() out of system resource"
 # Descriptor limit assumed if the system sets none: the lowest usual default.
 DEFAULT_DESCRIPTORS = 1_024
--- a/tests/fleet/test_suspended_machine.py
+++ b/tests/fleet/test_suspended_machine.py
@@ -1,9 +1,10 @@
 """Suspension of the machine, during which the monotonic clock stops.
 
-Guards against serving revoked keys after a suspension. Ages, bounds and timers of the event loop
+Guards against accepting revoked keys after a suspension. Ages, bounds and timers of the event loop
 were measured by the monotonic clock, so a node whose machine was suspended for 14 s without the
 store served requests with keys for another 3.9 s, 17.9 s after its last update of revocations.
-The first test simulates this with a monotonic clock that stops while the process is stopped.
+The first test simulates this with a monotonic clock that stops while the process is stopped. With a
+clock that counts the suspended time, the node refuses such requests as soon as it is resumed.
 """
 
 from __future__ import annotations
@@ -21,7 +22,8 @@
 
 SOURCES = Path(__file__).parents[2] / "src" / "hillstack"
 SUSPENDED_MAIN = "tests.fleet.suspended_main"
-# Without the store, the node stops to accept keys after this time; shorter than the suspension.
+# Without the store, the node stops accepting keys before this time is over. The suspension is
+# longer.
 REVOKE_MS = 3_000
 SUSPENSION_SECONDS = 4.0
 
--- a/tests/fleet/test_weights_rollout_duty.py
+++ b/tests/fleet/test_weights_rollout_duty.py
@@ -46,7 +46,7 @@
 )
 
 TTL = 2.0
-TURN = 3.0
+HOLDER_GAP = 3.0
 LOAD_SECONDS = 0.6
 
 
@@ -193,7 +193,7 @@
         peers = PeerExchange(state, PeerLink(), choice, "zone-a", clock, make_rng())
         lease = DutyLease(self.leases, "duty", name, TTL, self.scheduler.clock)
         duty = WeightsRolloutDuty(
-            state, lease, self.runners, peers, TURN, self.scheduler.clock, make_rng()
+            state, lease, self.runners, peers, HOLDER_GAP, self.scheduler.clock, make_rng()
         )
         loop = self.scheduler.new_loop()
         self.scheduler.spawn(loop, duty.maintain_lease())
@@ -346,8 +346,8 @@
     bench.name_weights(2, node)
     bench.run(9.0)
     first = {order.runner_id: at for at, order in reversed(bench.runners.orders)}
-    assert first["i-0"] >= ordered_at + TURN
-    assert min(first.values()) < ordered_at + TURN
+    assert first["i-0"] >= ordered_at + HOLDER_GAP
+    assert min(first.values()) < ordered_at + HOLDER_GAP
     assert set(loaded_weights(bench).values()) == {2}
     bench.scheduler.close()
 
@@ -355,7 +355,7 @@
 def test_a_fence_that_was_refused_is_used_no_more() -> None:
     bench = Bench()
     node = bench.add_node("node-1")
-    bench.scheduler.run_until(TURN + 1.0)
+    bench.scheduler.run_until(HOLDER_GAP + 1.0)
     bench.runners.fences = dict.fromkeys(bench.ids, 1_000_000)
     node.state.apply(WeightsNamed(MODEL, 2), bench.scheduler.now)
     bench.scheduler.run_until(bench.scheduler.now + 8.0)
@@ -369,7 +369,7 @@
     bench = Bench()
     node = bench.add_node("node-1")
     bench.name_weights(2, node)
-    bench.run(TURN - 0.1)
+    bench.run(HOLDER_GAP - 0.1)
     assert bench.runners.orders == []
     bench.run(9.0)
     assert set(loaded_weights(bench).values()) == {2}
--- a/tests/stateful/test_restored_leases.py
+++ b/tests/stateful/test_restored_leases.py
@@ -86,7 +86,7 @@
         )
 
     @rule(node=NODES)
-    def look(self, node: int) -> None:
+    def renew(self, node: int) -> None:
         asyncio.run(self.leases[node].renew_or_acquire())
 
     @rule(node=NODES)
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -199,7 +199,7 @@
     second = make_lease(service, "second")
     asyncio.run(second.renew_or_acquire())
     assert second.fence() is not None
-    assert list(service.store.leases) == [1], "the number of the first one's lease"
+    assert list(service.store.leases) == [1], "the number of the first holder's lease"
     ends_at = service.store.leases[1].expires_at
     service.now += 1.0
     asyncio.run(first.renew_or_acquire())
@@ -222,7 +222,7 @@
     asyncio.run(second.renew_or_acquire())
     service.store.restore(snapshot)
     asyncio.run(second.renew_or_acquire())
-    assert second.fence() is None, "the first one may not have heard of the restore"
+    assert second.fence() is None, "the first holder may not know of the restore"
     service.now += TTL
     asyncio.run(second.renew_or_acquire())
     after = second.fence()
