--- a/src/hillstack/daemon/fleet_process.py
+++ b/src/hillstack/daemon/fleet_process.py
@@ -1,4 +1,4 @@
-"""Runs a node in this process, once its libraries are loaded."""
+"""Runs a node in this process, after its libraries are loaded."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hillstack.daemon.early_listeners import EarlyListeners
 from hillstack.daemon.fleet_node import FleetNode
 from hillstack.daemon.start_times import StartTimes
-from hillstack.daemon.suspensions import ClockedEventLoop
+from hillstack.daemon.suspensions import SuspendAwareEventLoop
 from hillstack.logs import configure_bounded_logging
 
 
@@ -18,8 +18,8 @@
 
     Args:
         path: Settings file.
-        listeners: Sockets that listen already.
-        times: When the phases of the start so far ended.
+        listeners: Sockets that are already listening.
+        times: When the startup phases so far ended.
 
     Raises:
         SettingsError: The settings are invalid.
@@ -30,5 +30,5 @@
     async def run() -> None:
         await FleetNode(settings, listeners, times, path).run()
 
-    with asyncio.Runner(loop_factory=ClockedEventLoop) as runner:
+    with asyncio.Runner(loop_factory=SuspendAwareEventLoop) as runner:
         runner.run(run())
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -123,7 +123,7 @@
     Mutation(
         "a holder does not wait for runners ordered lately",
         "daemon/weights_rollout_duty.py",
-        "if now < runner.peer_ordered_at + self._turn",
+        "if now < runner.peer_ordered_at + self._holder_gap",
         "if False",
     ),
     Mutation(
@@ -153,7 +153,7 @@
     Mutation(
         "a refused fence is used on",
         "daemon/weights_rollout_duty.py",
-        "                self._lease.lose()\n",
+        "                self._lease.invalidate()\n",
         "                pass\n",
     ),
     Mutation(
@@ -223,7 +223,7 @@
     Mutation(
         "saves that never came are believed",
         "daemon/cache_follower.py",
-        "self._drop_unseen(holder)",
+        "self._drop_unconfirmed(holder)",
         "pass",
     ),
     Mutation(
@@ -609,7 +609,7 @@
     Mutation(
         "resting connections are kept where no room is left",
         "daemon/caller_room.py",
-        "        for connection in resting[:count]:\n            connection.shutdown()\n",
+        "        for connection in idle[:count]:\n            connection.shutdown()\n",
         "",
     ),
     Mutation(
