--- a/src/hillstack/platform/__init__.py
+++ b/src/hillstack/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Adapter of the users' platform: names, formats, calls.
+"""Adapter to the protocol of the platform on which hillstack is deployed.
 
-Nothing here decides anything, and nothing outside this folder knows the platform's names.
+The package defines the platform's names and formats and makes the calls to its runners and its
+store. It makes no routing decisions, and no other package depends on the platform's names.
 """
--- a/src/hillstack/platform/bodies.py
+++ b/src/hillstack/platform/bodies.py
@@ -1,7 +1,7 @@
-"""Bodies of the platform's protocol, field by field as they lie on the wire.
+"""Message bodies of the platform's protocol, with the field names used on the wire.
 
-``formats`` translates them to the product's types. Unknown fields are passed over, as the protocol
-asks.
+``formats`` converts these bodies to hillstack's own types. Decoding ignores unknown fields, as the
+protocol requires.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 
 class ShareBody(msgspec.Struct):
-    """One service of a split route."""
+    """A service of a route whose traffic is split, with its share of the requests."""
 
     service: str
     weight: float = 1.0
 
 
 class RouteBody(msgspec.Struct):
-    """A route of the configuration."""
+    """A route in the operator's configuration."""
 
     name: str
     host: str
@@ -36,13 +36,13 @@
 
 
 class ModelName(msgspec.Struct):
-    """A model that an engine serves."""
+    """The name of a model that an engine serves."""
 
     name: str
 
 
 class EngineBody(msgspec.Struct):
-    """The engine of a service."""
+    """The inference engine of a service: its slots, KV cache size, link and models."""
 
     slots: int = 1
     kv_capacity_tokens: int = 0
@@ -52,7 +52,7 @@
 
 
 class ServiceBody(msgspec.Struct):
-    """A service of the configuration."""
+    """A service in the operator's configuration."""
 
     name: str
     max_conns: int = 0
@@ -64,20 +64,21 @@
 
 
 class LimitsBody(msgspec.Struct):
-    """Limits of the configuration."""
+    """Limits on callers' requests in the operator's configuration."""
 
     max_body_bytes: int = 4_194_304
     idle_timeout_ms: float = 15_000.0
 
 
 class TenantBody(msgspec.Struct):
-    """A tenant of the configuration.
+    """A tenant in the operator's configuration, with its API keys and its rate limit.
 
     Attributes:
-        rate_per_s: What it may send in a second, over all nodes; 0 or nothing for no limit.
-        burst: What may come on top of that at once.
-        unit: ``tokens`` if both count tokens; requests are counted without it.
-        plain_tokens: Tokens that a request without a size counts as.
+        rate_per_s: Requests or tokens per second, over all nodes; 0 or None for no limit.
+        burst: Requests or tokens that the tenant may send at once in addition to the rate.
+        unit: ``tokens`` if ``rate_per_s`` and ``burst`` count tokens; ``requests`` or None if
+            they count requests.
+        plain_tokens: Tokens charged for a request that does not declare its size.
     """
 
     name: str
@@ -108,7 +109,7 @@
 
 
 class RunnerBody(msgspec.Struct):
-    """A runner's entry in the directory."""
+    """A runner's entry in the store's directory of runners."""
 
     service: str
     address: str
@@ -116,14 +117,14 @@
     slots: int
     state: str
     models: list[ModelVersion] = []
-    # Of the runner's software, not of its weights.
+    # Version of the runner's software, not of its weights.
     version: str = ""
-    # When its process started, in Unix milliseconds; 0 where it is not told.
+    # Start time of the process, in Unix milliseconds; 0 if the entry does not state it.
     born: int = 0
 
 
 class WeightsBody(msgspec.Struct):
-    """A version of a model's weights that the operator names."""
+    """The version of a model's weights that the operator wants served."""
 
     model: str
     version: int
@@ -133,7 +134,7 @@
     """The operator's order to move a service to a version of its software.
 
     Attributes:
-        over_s: Seconds within which it should be decided.
+        over_s: Seconds within which the rollout should be completed or reverted.
     """
 
     service: str
@@ -142,17 +143,17 @@
 
 
 class RolloutStatusBody(msgspec.Struct):
-    """What the operator is told of a rollout."""
+    """The status of a rollout that the operator reads from the store."""
 
     state: str
     target_version: str
 
 
 class RolloutRecordBody(msgspec.Struct):
-    """How far a rollout is: an item of the system's own.
+    """The progress of a rollout, in an item that only hillstack reads and writes.
 
     Attributes:
-        elapsed_s: Age of the order in seconds when it was written.
+        elapsed_s: Age of the order in seconds when the record was written.
     """
 
     target: str
@@ -164,7 +165,7 @@
 
 
 class NodeBody(msgspec.Struct):
-    """Where a node of this system listens for its peers, its zone and its link in Mbit/s."""
+    """A hillstack node: the address for its peers, its zone and its link speed in Mbit/s."""
 
     address: str
     zone: str = ""
@@ -172,7 +173,10 @@
 
 
 class CacheEventsBody(msgspec.Struct):
-    """Changes of what a holder keeps: number, sign, salt, part, tokens kept now, model."""
+    """Changes of the prompt parts that a cache holder has cached.
+
+    Each event is a tuple of number, sign, salt, part, tokens cached after the change, and model.
+    """
 
     epoch: int
     next_token: int
@@ -182,7 +186,7 @@
 
 
 class CacheListBody(msgspec.Struct):
-    """All that a holder keeps: salt, part, tokens, model."""
+    """All prompt parts that a cache holder has cached, each as salt, part, tokens and model."""
 
     epoch: int
     next_token: int
@@ -191,7 +195,7 @@
 
 
 class StoreItem(msgspec.Struct):
-    """An item of the store, or the news that one is gone."""
+    """An item of the store, or the notice that a key was removed."""
 
     key: str
     rev: int
@@ -202,7 +206,7 @@
 
 
 class RangeBody(msgspec.Struct):
-    """A page of items."""
+    """A page of items, and the store revision at which the page was read."""
 
     items: list[StoreItem] = []
     more: bool = False
@@ -210,34 +214,34 @@
 
 
 class WatchBody(msgspec.Struct):
-    """Changes since a revision."""
+    """Changes since a revision, and the revision up to which they are complete."""
 
     events: list[StoreItem] = []
     at: int = 0
 
 
 class LeaseBody(msgspec.Struct):
-    """A new lease."""
+    """A lease that the store granted."""
 
     lease: int
     ttl_ms: float = 0.0
 
 
 class LeaseRequest(msgspec.Struct):
-    """A wish for a lease."""
+    """A request for a lease."""
 
     ttl_ms: int
 
 
 class KeyRevision(msgspec.Struct):
-    """Condition of a transaction: the key has this revision, 0 when it is absent."""
+    """Condition of a transaction: the key has this revision, or is absent if it is 0."""
 
     key: str
     rev: int
 
 
 class PutBody(msgspec.Struct):
-    """A write of a transaction."""
+    """A write within a transaction."""
 
     key: str
     value: str
@@ -245,7 +249,7 @@
 
 
 class TxnRequest(msgspec.Struct):
-    """A transaction."""
+    """A transaction: its conditions, its writes and the keys that it removes."""
 
     expected_count: list[KeyRevision] = []
     put: list[PutBody] = []
@@ -265,13 +269,13 @@
 
 
 class TxnBody(msgspec.Struct):
-    """The revision of a transaction."""
+    """The revision at which a transaction was applied."""
 
     rev: int
 
 
 class ReportBody(msgspec.Struct):
-    """State of a runner."""
+    """The state that a runner reports of itself."""
 
     models: list[ModelVersion] = []
     busy: bool = False
--- a/src/hillstack/platform/incarnations.py
+++ b/src/hillstack/platform/incarnations.py
@@ -1,8 +1,9 @@
-"""Identifiers of runners' processes.
+"""Identifiers of runner processes.
 
-On the wire a runner has an ``id``, under which it may start again, and says in ``born`` when it
-started. The product's identifier of a runner names one process: it holds both. So whatever is
-believed or told of a process before never counts for the next one, without a check anywhere else.
+On the wire a runner has an ``id``, which it keeps across restarts, and reports its start time in
+``born``. Hillstack's runner identifier combines both and so names one process. State recorded for
+one process therefore never applies to the next process of the same ``id``, and no other code has
+to check for restarts.
 """
 
 from __future__ import annotations
@@ -13,39 +14,44 @@
 
 
 def runner_id_of(instance: str, born: int) -> str:
-    """Return the product's identifier of a process.
+    """Return hillstack's identifier of a runner process.
 
     Args:
-        instance: Its ``id`` on the wire.
-        born: When it started, in Unix milliseconds; 0 if it does not say.
+        instance: The runner's ``id`` on the wire.
+        born: Start time of the process in Unix milliseconds; 0 if the runner does not state it.
     """
     if born:
         return f"{instance}{SEPARATOR}{born}"
-    # Otherwise an ``id`` that looks like one with a start would be taken apart.
+    # An ``id`` that contains the separator itself gets an empty start time, so that
+    # ``instance_of`` does not split the ``id``.
     return instance + SEPARATOR if SEPARATOR in instance else instance
 
 
 def instance_of(runner_id: str) -> str:
-    """Return the ``id`` on the wire of a process."""
+    """Return the ``id`` on the wire of a runner process."""
     instance, separator, _ = runner_id.rpartition(SEPARATOR)
     return instance if separator else runner_id
 
 
 def check_process(runner_id: str, born: int, step: str) -> None:
-    """Check that an answer is that of the process that was asked, as far as both can be told.
+    """Check that the process that answered is the one that was addressed.
+
+    The check passes if the start time of either process is unknown.
 
     Args:
-        runner_id: The process that was asked.
-        born: When the one that answered started; 0 if it does not say.
-        step: What was asked, for the error.
+        runner_id: The process that was addressed.
+        born: Start time of the process that answered; 0 if the answer does not state it.
+        step: The kind of call, for the error.
 
     Raises:
-        RunnerRestartedError: A later process of the same ``id`` has answered.
-        BackendError: One before it has, late.
+        RunnerRestartedError: A later process of the same ``id`` answered.
+        BackendError: The answer is a late one from an earlier process of the same ``id``.
     """
-    known = runner_id.rpartition(SEPARATOR)[2] if SEPARATOR in runner_id else ""
-    if not born or not known or int(known) == born:
+    expected_born = runner_id.rpartition(SEPARATOR)[2] if SEPARATOR in runner_id else ""
+    if not born or not expected_born or int(expected_born) == born:
         return
-    if born > int(known):
-        raise RunnerRestartedError(f"started again at {born}", step=step, peer=runner_id)
-    raise BackendError(f"answer of the process before, of {born}", step=step, peer=runner_id)
+    if born > int(expected_born):
+        raise RunnerRestartedError(f"runner restarted at {born}", step=step, peer=runner_id)
+    raise BackendError(
+        f"answer from an earlier process, started at {born}", step=step, peer=runner_id
+    )
--- a/src/hillstack/platform/known_fields.py
+++ b/src/hillstack/platform/known_fields.py
@@ -1,6 +1,6 @@
-"""Header fields that a runner's answer is known to carry.
+"""Header fields that are expected in a runner's answer.
 
-Any other one may be something new that runners say of themselves, which nobody reads yet.
+Any other field may be a new signal of the runners that hillstack does not handle yet.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 from hillstack.platform import names
 
-_STANDARD = (
+_STANDARD_FIELDS = (
     "Accept-Ranges",
     "Age",
     "Cache-Control",
@@ -34,7 +34,7 @@
     "Vary",
     "Via",
 )
-_OF_RUNNERS = (
+_RUNNER_FIELDS = (
     names.INSTANCE,
     names.KEEP_ALIVE,
     names.LEAVING,
@@ -45,9 +45,9 @@
     names.SIGNATURE,
     names.VERSIONS,
 )
-KNOWN_FIELDS = frozenset(name.lower() for name in (*_STANDARD, *_OF_RUNNERS))
+KNOWN_FIELDS = frozenset(name.lower() for name in (*_STANDARD_FIELDS, *_RUNNER_FIELDS))
 
 
 def unknown_fields(fields: Iterable[str]) -> list[str]:
-    """Return the names among those of an answer that are not known."""
+    """Return the header fields of an answer that are not expected."""
     return [name for name in fields if name.lower() not in KNOWN_FIELDS]
--- a/src/hillstack/platform/names.py
+++ b/src/hillstack/platform/names.py
@@ -1,4 +1,4 @@
-"""Names that the platform's protocol uses."""
+"""Header, path, parameter and key names of the platform's protocol."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 LEASE_END_PATH = "/kv-lease-end"
 
 PREFIX_PARAMETER = "path_prefix"
-# Allows an answer that is seconds old, at a tenth of the price.
+# Allows the store to answer with data that is some seconds old, at a tenth of the cost.
 STALE_PARAMETER = "stale"
 ERA_HEADER = "Store-Era"
 AFTER_PARAMETER = "after"
@@ -72,7 +72,8 @@
 ROLLOUT_DUTY_PREFIX = "hillstack/duties/rollout/"
 ROLLOUT_RECORDS_PREFIX = "hillstack/rollouts/"
 
-# Headers that belong to one connection, and those that only the router may set.
+# Headers that apply to one connection only and are never forwarded. ``SET_BY_ROUTER`` holds the
+# headers that only the router may set, so a caller's values of them are dropped.
 HOP_BY_HOP = frozenset(
     {
         b"connection",
--- a/src/hillstack/platform/store.py
+++ b/src/hillstack/platform/store.py
@@ -342,7 +342,7 @@
         try:
             return to_event(item)
         except PlatformError as error:
-            self._unreadable.note(item, error)
+            self._unreadable.report(item, error)
             # Without a value a configuration means nothing: the last good one stays in force.
             return to_event(StoredItem(item.key, item.revision, None))
 
--- a/src/hillstack/platform/unreadable.py
+++ b/src/hillstack/platform/unreadable.py
@@ -1,4 +1,4 @@
-"""Items of the store that can't be read: told once each, and counted."""
+"""Logging and counting of store items that can't be decoded, once per revision of an item."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 
 logger = logging.getLogger(__name__)
 
-# Each node reads the whole store again each few seconds. Beyond so many keys at a time the oldest
-# are told again.
-MAX_KEYS = 512
-# What decoders say may quote the value, which may be as long as the store allows.
+# Each node reloads the whole store every few seconds. If more keys than this are unreadable at the
+# same time, the items that were reported first are reported again.
+MAX_REPORTED_KEYS = 512
+# Decoding errors may quote the value, which may be as long as the store allows.
 MAX_ERROR_CHARACTERS = 200
 
 
 class UnreadableItems:
-    """Notes items that can't be read.
+    """Logs each unreadable item once per revision.
 
     Args:
-        on_new: Called for each one that was not noted before.
+        on_reported: Called each time an item is logged.
     """
 
-    def __init__(self, on_new: Callable[[], None] = lambda: None) -> None:
-        self._on_new = on_new
-        self._revisions: OrderedDict[str, StoreRevision] = OrderedDict()
+    def __init__(self, on_reported: Callable[[], None] = lambda: None) -> None:
+        self._on_reported = on_reported
+        self._reported_revisions: OrderedDict[str, StoreRevision] = OrderedDict()
 
-    def note(self, item: StoredItem, error: PlatformError) -> None:
-        """Note an item, and tell of it unless that was done for this revision."""
-        if self._revisions.get(item.key) == item.revision:
+    def report(self, item: StoredItem, error: PlatformError) -> None:
+        """Log an unreadable item, unless this revision of it was already logged."""
+        if self._reported_revisions.get(item.key) == item.revision:
             return
-        self._revisions[item.key] = item.revision
-        self._revisions.move_to_end(item.key)
-        while len(self._revisions) > MAX_KEYS:
-            self._revisions.popitem(last=False)
+        self._reported_revisions[item.key] = item.revision
+        self._reported_revisions.move_to_end(item.key)
+        while len(self._reported_revisions) > MAX_REPORTED_KEYS:
+            self._reported_revisions.popitem(last=False)
         fields = error_fields(error) | {"revision": str(item.revision)}
         shortened = {
             name: value[:MAX_ERROR_CHARACTERS] if isinstance(value, str) else value
             for name, value in fields.items()
         }
         logger.error("item can't be read", extra=shortened)
-        self._on_new()
+        self._on_reported()
