--- a/src/hillstack/platform/formats.py
+++ b/src/hillstack/platform/formats.py
@@ -1,4 +1,4 @@
-"""Translates the platform's items and headers to the product's types."""
+"""Converts the platform's store items and headers to hillstack's own types."""
 
 from __future__ import annotations
 
@@ -61,22 +61,23 @@
     "requests": LimitUnit.REQUESTS,
     "tokens": LimitUnit.TOKENS,
 }
-KINDS = {"safe": RouteKind.SAFE, "unsafe": RouteKind.UNSAFE, "streaming": RouteKind.STREAM}
+ROUTE_KINDS = {"safe": RouteKind.SAFE, "unsafe": RouteKind.UNSAFE, "streaming": RouteKind.STREAM}
 DRAINING = "draining"
-# What does not fit these was not written by a runner: 32 bits, and the end of the year 9999.
-MOST_SLOTS = 2**31 - 1
-LATEST_START_MS = 253_402_300_799_999
-HIGHEST_PORT = 65_535
-STATES = frozenset({"ready", DRAINING})
+# Upper bounds for the fields of a runner's entry: 32 bits, and the end of the year 9999. A larger
+# value was not written by a runner.
+MAX_SLOTS = 2**31 - 1
+MAX_START_MS = 253_402_300_799_999
+MAX_PORT = 65_535
+RUNNER_STATES = frozenset({"ready", DRAINING})
 
 Body = TypeVar("Body")
 
 
 def to_event(item: StoredItem) -> StoreEvent | None:
-    """Translate an item of the store; None for keys that mean nothing to the product.
+    """Convert an item of the store to an event; None for keys that hillstack does not use.
 
     Raises:
-        PlatformError: The value can't be read.
+        PlatformError: The value can't be decoded or is invalid.
     """
     key = item.key
     value = item.value
@@ -88,7 +89,7 @@
         instance = key[len(names.RUNNERS_PREFIX) :]
         if value is None:
             return RunnerUnlisted(instance, item.revision)
-        return _runner(instance, item, value)
+        return _runner_listed(instance, item, value)
     if key.startswith(names.NODES_PREFIX):
         node_id = key[len(names.NODES_PREFIX) :]
         if value is None:
@@ -113,7 +114,7 @@
         service = key[len(names.ROLLOUT_RECORDS_PREFIX) :]
         return RolloutRecorded(_rollout_record(service, item, value))
     if key == names.CONFIGURATION_KEY:
-        return ConfigurationChanged(_table(_decode(item, value, ConfigurationBody)))
+        return ConfigurationChanged(_routing_table(_decode(item, value, ConfigurationBody)))
     if key.startswith(names.WEIGHTS_PREFIX):
         body = _decode(item, value, WeightsBody)
         return WeightsNamed(body.model, body.version, item.revision)
@@ -121,7 +122,7 @@
 
 
 def listed_keys(keys: Iterable[str]) -> ListedKeys:
-    """Return what a whole list of the store's keys says."""
+    """Sort a complete list of the store's keys into runners, nodes, duties and rollouts."""
     keys = set(keys)
     listed = ListedKeys(set(), set(), names.DUTY_KEY in keys)
     for key in keys:
@@ -139,29 +140,29 @@
 
 
 def parse_shape(parts: str, usage: str, hint: str = "") -> PromptShape | None:
-    """Return the shape of a prompt from its headers; None if they can't be read.
+    """Return the shape of a prompt from its headers; None if they can't be parsed.
 
     Args:
-        parts: The parts of the prompt.
-        usage: Tokens of the prompt, and the most that may be generated.
-        hint: The caller's estimate of the tokens that will be; right at the median, and mostly far
-            below the most. Empty if there is none.
+        parts: The parts of the prompt as ``ID:TOKENS``, separated by commas.
+        usage: Tokens of the prompt and the maximum to generate, separated by a comma.
+        hint: The caller's estimate of the tokens that will be generated; empty if there is none.
+            It is accurate at the median and usually far below the maximum.
     """
     try:
         _, _, output = usage.partition(",")
         if hint.isdecimal():
             output = str(min(int(output or hint), int(hint)))
-        pairs = [entry.split(":") for entry in parts.split(",") if entry]
-        shaped = tuple(PromptPart(part_id, int(tokens)) for part_id, tokens in pairs)
-        return PromptShape(shaped, int(output or 0)) if shaped else None
+        fields = [entry.split(":") for entry in parts.split(",") if entry]
+        prompt_parts = tuple(PromptPart(part_id, int(tokens)) for part_id, tokens in fields)
+        return PromptShape(prompt_parts, int(output or 0)) if prompt_parts else None
     except ValueError:
         return None
 
 
 def parse_usage(usage: str) -> int | None:
-    """Return the tokens that a request counts as: its prompt and the most that may be generated.
+    """Return the tokens charged for a request: its prompt plus the maximum to generate.
 
-    None if its header can't be read, or it has none.
+    Returns None if the header is missing or can't be parsed.
     """
     numbers = usage.split(",")
     if len(numbers) != 2 or not all(number.strip().isdecimal() for number in numbers):
@@ -176,12 +177,12 @@
         raise PlatformError(str(error), step="decode item", peer=item.key) from error
 
 
-def _runner(instance: str, item: StoredItem, value: bytes) -> RunnerListed:
+def _runner_listed(instance: str, item: StoredItem, value: bytes) -> RunnerListed:
     body = _decode(item, value, RunnerBody)
-    if body.state not in STATES:
+    if body.state not in RUNNER_STATES:
         raise PlatformError(f"state {body.state!r}", step="read runner", peer=item.key)
-    is_whole = 0 <= body.slots <= MOST_SLOTS and 0 <= body.born <= LATEST_START_MS
-    if not instance or not _is_address(body.address) or not is_whole:
+    is_in_range = 0 <= body.slots <= MAX_SLOTS and 0 <= body.born <= MAX_START_MS
+    if not instance or not _is_address(body.address) or not is_in_range:
         text = f"address {body.address!r}, slots {body.slots}, born {body.born}"
         raise PlatformError(text, step="read runner", peer=item.key)
     weights = {model.name: model.version for model in body.models if model.version}
@@ -208,7 +209,7 @@
         ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
     except ValueError:
         return False
-    return port.isascii() and port.isdigit() and 0 < int(port[:6]) <= HIGHEST_PORT
+    return port.isascii() and port.isdigit() and 0 < int(port[:6]) <= MAX_PORT
 
 
 def _rollout_order(service: str, item: StoredItem, value: bytes) -> RolloutOrder:
@@ -237,12 +238,14 @@
     )
 
 
-def _table(body: ConfigurationBody) -> RoutingTable:
+def _routing_table(body: ConfigurationBody) -> RoutingTable:
     tenants: dict[str, TenantEntry] | None = None
     if body.tenants is not None:
         tenants = {}
         for tenant in body.tenants:
-            entry = TenantEntry(tenant.name, tenant.priority, tenant.isolated, _limit(tenant))
+            entry = TenantEntry(
+                tenant.name, tenant.priority, tenant.isolated, _tenant_limit(tenant)
+            )
             tenants.update(dict.fromkeys(tenant.api_keys, entry))
     limits = RequestLimits(body.limits.max_body_bytes, body.limits.idle_timeout_ms / 1000)
     return RoutingTable.build(
@@ -254,22 +257,22 @@
     )
 
 
-def _limit(body: TenantBody) -> TenantLimit | None:
-    """Return the limit of a tenant; None if it has none.
+def _tenant_limit(body: TenantBody) -> TenantLimit | None:
+    """Return the rate limit of a tenant; None if it has none.
 
     Raises:
-        PlatformError: It makes no sense.
+        PlatformError: A field of the limit is invalid.
     """
     unit = LIMIT_UNITS.get(body.unit or "")
     if unit is None:
         raise _limit_error(body, "unit", body.unit)
-    rate = _quantity(body, "rate_per_s", body.rate_per_s)
-    burst = _quantity(body, "burst", body.burst)
-    plain = _quantity(body, "plain_tokens", body.plain_tokens)
-    return TenantLimit(rate, burst, unit, plain) if rate > 0 else None
+    rate = _non_negative(body, "rate_per_s", body.rate_per_s)
+    burst = _non_negative(body, "burst", body.burst)
+    default_tokens = _non_negative(body, "plain_tokens", body.plain_tokens)
+    return TenantLimit(rate, burst, unit, default_tokens) if rate > 0 else None
 
 
-def _quantity(body: TenantBody, name: str, value: float | None) -> float:
+def _non_negative(body: TenantBody, name: str, value: float | None) -> float:
     value = value or 0.0
     if not 0.0 <= value < math.inf:
         raise _limit_error(body, name, value)
@@ -290,7 +293,7 @@
         name=body.name,
         host=body.host,
         path_prefix=body.path_prefix,
-        kind=KINDS.get(body.kind, RouteKind.UNSAFE),
+        kind=ROUTE_KINDS.get(body.kind, RouteKind.UNSAFE),
         timeout_seconds=body.timeout_ms / 1000,
         target_seconds=body.target_ms / 1000,
         max_attempts=max(1, body.attempts),
@@ -313,9 +316,9 @@
             link_megabits=max(1.0, body.engine.link_mbps),
             models=tuple(model.name for model in body.engine.models),
         )
-    kept = None
+    cache_store = None
     if body.kv_store_addr:
-        kept = KeptCacheStore(
+        cache_store = KeptCacheStore(
             body.kv_store_addr, body.zone, body.kv_capacity_tokens, body.link_mbps
         )
-    return Service(body.name, body.max_conns, engine, kept)
+    return Service(body.name, body.max_conns, engine, cache_store)
--- a/src/hillstack/platform/ingress.py
+++ b/src/hillstack/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests and the readiness question, as ASGI applications."""
+"""ASGI applications that receive callers' requests and answer readiness checks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     Verdict,
 )
 
-STATUSES = {
+STATUS_BY_VERDICT = {
     Verdict.UNAVAILABLE: 503,
     Verdict.OVERLOADED: 429,
     Verdict.OVER_LIMIT: 429,
@@ -30,30 +30,30 @@
     Verdict.TIMED_OUT: 504,
 }
 PAYLOAD_TOO_LARGE = 413
-CLOSE = (b"connection", b"close")
-# Turns of the loop from a request that was read to the cancellation by a close right behind it: the
-# read, the loss of the connection, the watcher, and one to spare.
-CLOSE_TURNS = 4
+CLOSE_HEADER = (b"connection", b"close")
+# Iterations of the event loop from a request that was read to its cancellation by a close that
+# directly follows it: the read, the loss of the connection, the watcher task, and one in reserve.
+CLOSE_READ_ITERATIONS = 4
 
 
 class Serving(Protocol):
-    """Serves one request."""
+    """Serves requests; the pipeline behind the ingress."""
 
     async def serve(self, request: ServingRequest, sink: Any) -> None:
-        """Serve a request into a sink."""
+        """Serve a request, writing its answer to the sink."""
         ...
 
 
-class CallerGoneError(Exception):
-    """The caller closed its connection before its request was read."""
+class CallerDisconnectedError(Exception):
+    """The caller closed its connection before its request was read completely."""
 
 
 class AsgiSink:
-    """The answer to one caller.
+    """Sends the answer to one request as ASGI messages.
 
     Args:
-        send: ASGI send.
-        closing: Whether the connection should end after the answer.
+        send: The ASGI ``send`` callable.
+        closing: Returns whether the connection should be closed after the answer.
     """
 
     def __init__(self, send: Send, closing: Callable[[], bool]) -> None:
@@ -62,11 +62,11 @@
         self.started = False
 
     async def start(self, status: int, headers: HeaderList) -> None:
-        """Send the head."""
+        """Send the status and the headers."""
         self.started = True
         headers = [(name.lower(), value) for name, value in headers]
         if self._closing():
-            headers.append(CLOSE)
+            headers.append(CLOSE_HEADER)
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
     async def write(self, data: bytes) -> None:
@@ -74,19 +74,21 @@
         await self._send({"type": "http.response.body", "body": data, "more_body": True})
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """Mark the answer as complete."""
         await self._send({"type": "http.response.body", "body": b"", "more_body": False})
 
 
 class Ingress:
-    """The application that callers talk to.
+    """The ASGI application that receives callers' requests.
 
     Args:
         serving: Serves requests.
         clock: Monotonic seconds.
-        max_body_bytes: Returns the largest body that is read.
-        closing: Returns whether callers should go to another node after their answer.
-        is_behind: Returns whether requests are read late, so that callers may have left already.
+        max_body_bytes: Returns the size limit of a request body.
+        closing: Returns whether connections should be closed after an answer, so that callers move
+            to another node.
+        is_behind: Returns whether the event loop reads requests late, in which case their callers
+            may already have disconnected.
     """
 
     def __init__(
@@ -111,12 +113,12 @@
         sink = AsgiSink(send, self._closing)
         try:
             body = await self._read_body(receive)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             return
         if body is None:
             await self._answer(sink, PAYLOAD_TOO_LARGE, "body too large", scope, None)
             return
-        request = _request(scope, body, arrived_at)
+        request = _to_serving_request(scope, body, arrived_at)
         if request is None:
             await self._answer(sink, 400, "no request identifier", scope, None)
             return
@@ -125,18 +127,18 @@
     async def _serve_while_connected(
         self, request: ServingRequest, receive: Receive, sink: AsgiSink, scope: Scope
     ) -> None:
-        """Serve, and give up at once when the caller leaves."""
+        """Serve a request, and cancel it as soon as the caller disconnects."""
         serving = asyncio.current_task()
         assert serving is not None
         watcher = asyncio.create_task(_cancel_on_disconnect(receive, serving))
         try:
             if self._is_behind():
-                await _let_a_close_be_read()
+                await _yield_until_close_is_read()
             await self._serving.serve(request, sink)
         except RejectedError as error:
             if sink.started:
                 return
-            status = STATUSES[error.verdict]
+            status = STATUS_BY_VERDICT[error.verdict]
             await self._answer(sink, status, error.message, scope, error.retry_after)
         except StreamCutError:
             return
@@ -153,7 +155,7 @@
         while True:
             message: Message = await receive()
             if message["type"] == "http.disconnect":
-                raise CallerGoneError
+                raise CallerDisconnectedError
             piece = message.get("body", b"")
             size += len(piece)
             if size > limit:
@@ -170,28 +172,28 @@
             (b"content-type", b"text/plain"),
             (b"content-length", str(len(body)).encode()),
         ]
-        request_id = _header(scope, _field(names.REQUEST_ID))
+        request_id = _find_header(scope, _header_name(names.REQUEST_ID))
         if request_id is not None:
-            headers.append((_field(names.REQUEST_ID), request_id))
+            headers.append((_header_name(names.REQUEST_ID), request_id))
         if retry_after is not None:
-            headers.append((_field(names.RETRY_AFTER), f"{retry_after:.2f}".encode()))
+            headers.append((_header_name(names.RETRY_AFTER), f"{retry_after:.2f}".encode()))
         await sink.start(status, headers)
         await sink.write(body)
         await sink.finish()
 
 
 class Readiness:
-    """Answers whether new connections should be sent here.
+    """The ASGI application that answers whether new connections should be sent to this node.
 
     Args:
-        ready: Returns whether the node is ready.
+        ready: Returns whether the node accepts new connections.
     """
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self._ready = ready
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one question."""
+        """Answer one readiness check."""
         if scope["type"] != "http":
             return
         status = 404
@@ -202,13 +204,14 @@
         await send({"type": "http.response.body", "body": b""})
 
 
-async def _let_a_close_be_read() -> None:
-    """Let the loop read a close that waits behind the request; the watcher then cancels it.
+async def _yield_until_close_is_read() -> None:
+    """Let the event loop read a connection close that directly follows the request.
 
-    Without it a request whose caller is gone would reach a runner before its close is seen. It
-    costs turns of the loop, so only where reading is late.
+    The watcher task then cancels the request. Otherwise a request whose caller has disconnected
+    would reach a runner before the close is read. The delay costs iterations of the event loop, so
+    it is used only while the loop reads late.
     """
-    for _ in range(CLOSE_TURNS):
+    for _ in range(CLOSE_READ_ITERATIONS):
         await asyncio.sleep(0)
 
 
@@ -220,46 +223,46 @@
             return
 
 
-def _request(scope: Scope, body: bytes, arrived_at: float) -> ServingRequest | None:
-    """Translate a request; None if it has no identifier."""
+def _to_serving_request(scope: Scope, body: bytes, arrived_at: float) -> ServingRequest | None:
+    """Convert an ASGI request to a ``ServingRequest``; None if it has no identifier."""
     headers: dict[bytes, bytes] = dict(scope["headers"])
-    request_id = headers.get(_field(names.REQUEST_ID))
+    request_id = headers.get(_header_name(names.REQUEST_ID))
     if request_id is None:
         return None
     target = scope["raw_path"].decode("latin-1")
-    usage = _text(headers, _field(names.TOKEN_USAGE))
+    usage = _header_text(headers, _header_name(names.TOKEN_USAGE))
     query: bytes = scope["query_string"]
     if query:
         target += "?" + query.decode("latin-1")
     return ServingRequest(
         request_id=request_id.decode("latin-1"),
         method=scope["method"],
-        host=_text(headers, b"host").partition(":")[0].lower(),
+        host=_header_text(headers, b"host").partition(":")[0].lower(),
         path=scope["raw_path"].decode("latin-1"),
         target=target,
-        headers=_passed_on(scope["headers"]),
+        headers=_forwarded_headers(scope["headers"]),
         body=body,
         arrived_at=arrived_at,
-        patience_seconds=_seconds(headers.get(_field(names.DEADLINE))),
-        key=_text(headers, _field(names.API_KEY)) or None,
-        model=_text(headers, _field(names.MODEL)),
+        patience_seconds=_parse_milliseconds(headers.get(_header_name(names.DEADLINE))),
+        key=_header_text(headers, _header_name(names.API_KEY)) or None,
+        model=_header_text(headers, _header_name(names.MODEL)),
         shape=parse_shape(
-            _text(headers, _field(names.PROMPT_PARTS)),
+            _header_text(headers, _header_name(names.PROMPT_PARTS)),
             usage,
-            _text(headers, _field(names.LENGTH_HINT)),
+            _header_text(headers, _header_name(names.LENGTH_HINT)),
         ),
         tokens=parse_usage(usage),
-        last_event_id=_whole_number(headers.get(_field(names.LAST_EVENT_ID))),
+        last_event_id=_parse_integer(headers.get(_header_name(names.LAST_EVENT_ID))),
     )
 
 
 @functools.cache
-def _field(name: str) -> bytes:
-    """Return a header's name as the server hands it over."""
+def _header_name(name: str) -> bytes:
+    """Return a header's name as ASGI servers pass it: lower case, in bytes."""
     return name.lower().encode()
 
 
-def _passed_on(headers: HeaderList) -> HeaderList:
+def _forwarded_headers(headers: HeaderList) -> HeaderList:
     return [
         (name, value)
         for name, value in headers
@@ -267,15 +270,16 @@
     ]
 
 
-def _text(headers: dict[bytes, bytes], name: bytes) -> str:
+def _header_text(headers: dict[bytes, bytes], name: bytes) -> str:
     return headers.get(name, b"").decode("latin-1")
 
 
-def _header(scope: Scope, name: bytes) -> bytes | None:
+def _find_header(scope: Scope, name: bytes) -> bytes | None:
     return next((value for key, value in scope["headers"] if key == name), None)
 
 
-def _seconds(text: bytes | None) -> float | None:
+def _parse_milliseconds(text: bytes | None) -> float | None:
+    """Return the seconds in a text that states milliseconds; None if it can't be parsed."""
     if text is None:
         return None
     try:
@@ -284,5 +288,5 @@
         return None
 
 
-def _whole_number(text: bytes | None) -> int | None:
+def _parse_integer(text: bytes | None) -> int | None:
     return int(text) if text is not None and text.isdigit() else None
