--- a/src/hillstack/platform/bodies.py
+++ b/src/hillstack/platform/bodies.py
@@ -176,6 +176,7 @@
     """Changes of the prompt parts that a cache holder has cached.
 
     Each event is a tuple of number, sign, salt, part, tokens cached after the change, and model.
+    The sign is ``+`` for a part that was cached and ``-`` for one that was dropped.
     """
 
     epoch: int
--- a/src/hillstack/platform/cache_feed.py
+++ b/src/hillstack/platform/cache_feed.py
@@ -1,4 +1,4 @@
-"""Calls that tell which parts of prompts a runner, or a store of kept KV cache, keeps."""
+"""Calls that return the prompt parts in the cache of a runner or in a KV cache store."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from hillstack.errors import BackendError, BackendRefusedError
 from hillstack.platform import names
 from hillstack.platform.bodies import CacheEventsBody, CacheListBody
-from hillstack.platform.connections import Question, Reply, ask
+from hillstack.platform.connections import OutgoingCall, Reply, send_call
 from hillstack.platform.incarnations import check_process, instance_of
 from hillstack.platform.runner_signals import Asked, SignalListener, SignalReader
 
 OK = 200
-# A list of thousands of parts, at a runner that is at work.
+# Allows for a list of thousands of parts, from a runner under load.
 LIST_LIMIT_SECONDS = 1.5
-# Beyond the time that a holder may hold a question back.
-ANSWER_LIMIT_SECONDS = 0.7
+# Time for the answer, in addition to the time for which a holder may delay it to wait for a change.
+ANSWER_MARGIN_SECONDS = 0.7
 
 Body = TypeVar("Body", CacheEventsBody, CacheListBody)
 
 
 class HttpCacheFeed:
-    """Asks holders what they keep.
+    """Fetches which prompt parts cache holders (runners and KV cache stores) have cached.
 
     Args:
         session: HTTP session of ``make_runner_session``; not closed here.
-        listener: Takes what runners say of themselves; nobody by default.
+        listener: Receives the signals in runners' answers; None to ignore them.
     """
 
     def __init__(
@@ -42,51 +42,53 @@
         self._signals = SignalReader(listener)
 
     async def listing(self, holder: CacheHolder) -> CacheListing:
-        """Return all that a holder keeps.
+        """Return all prompt parts that a holder has cached.
 
         Raises:
-            BackendError: It can't be had.
+            BackendError: The call failed, or the answer can't be used.
         """
-        question = Question(
+        call = OutgoingCall(
             "GET", holder.address, names.CACHE_LIST_PATH, LIST_LIMIT_SECONDS, _headers(holder)
         )
-        body = await self._ask(holder, question, CacheListBody)
+        body = await self._fetch(holder, call, CacheListBody)
         entries = [
             CacheEntry(salt, PromptPart(part_id, tokens)) for salt, part_id, tokens, _ in body.held
         ]
         return CacheListing(body.epoch, body.next_token, entries)
 
     async def changes(self, holder: CacheHolder, since: int, wait_seconds: float) -> CacheChanges:
-        """Return the changes since a number, waiting for one for a while.
+        """Return the changes since an event number, waiting for the first one if there is none.
 
         Raises:
-            BackendError: They can't be had.
+            BackendError: The call failed, or the answer can't be used.
         """
         path = f"{names.CACHE_EVENTS_PATH}?{names.SINCE_PARAMETER}={since}"
         headers = _headers(holder) | {names.WAIT_HEADER: str(int(wait_seconds * 1000))}
-        limit = wait_seconds + ANSWER_LIMIT_SECONDS
-        question = Question("GET", holder.address, path, limit, headers)
-        body = await self._ask(holder, question, CacheEventsBody)
+        limit = wait_seconds + ANSWER_MARGIN_SECONDS
+        call = OutgoingCall("GET", holder.address, path, limit, headers)
+        body = await self._fetch(holder, call, CacheEventsBody)
         entries = [
             CacheEntry(salt, PromptPart(part_id, tokens))
             for _, _, salt, part_id, tokens, _ in body.events
         ]
         return CacheChanges(body.epoch, body.next_token, entries, body.lost)
 
-    async def _ask(self, holder: CacheHolder, question: Question, kind: type[Body]) -> Body:
-        """Return the answer of the process that is watched; stores have no name to check."""
+    async def _fetch(self, holder: CacheHolder, call: OutgoingCall, kind: type[Body]) -> Body:
+        """Send a call and return the decoded answer.
+
+        The answer of a runner must come from the process that was addressed. A KV cache store has
+        no process identifier to check.
+        """
         asked = Asked(AnswerKind.CACHE)
-        reply = await ask(self._session, question)
+        reply = await send_call(self._session, call)
         if reply.status != OK:
             self._read_signals(holder, reply, asked)
             text = f"status {reply.status}"
-            raise BackendRefusedError(text, step="cache feed", peer=question.address)
+            raise BackendRefusedError(text, step="cache feed", peer=call.address)
         try:
             body = msgspec.json.decode(reply.body, type=kind)
         except msgspec.MsgspecError as error:
-            raise BackendError(
-                str(error), step="decode cache feed", peer=question.address
-            ) from error
+            raise BackendError(str(error), step="decode cache feed", peer=call.address) from error
         if not holder.is_store:
             check_process(holder.holder_id, body.born, "cache feed")
         self._read_signals(holder, reply, asked)
--- a/src/hillstack/platform/connections.py
+++ b/src/hillstack/platform/connections.py
@@ -1,9 +1,10 @@
-"""HTTP connections to runners and to the store: what the client library does not do by itself.
+"""HTTP connections to runners and to the store, with checks that aiohttp does not make.
 
-An answer without a length that ends in a reset is broken, not complete. An answer with the
-identifier of another request is passed over. A connection to a machine that has gone silent breaks,
-and those that have rested beside it are not used again: whatever silenced one (a lost entry in a
-firewall, a cut) has mostly silenced all that were open, while new ones work.
+- An answer without a length that ends in a connection reset is an error, not a complete answer.
+- An answer that carries the identifier of another request is discarded.
+- A connection to a silent machine, which acknowledges and sends nothing, is closed, and idle
+  connections to the same address are not reused. The cause (a lost firewall entry, a network cut)
+  usually affects all open connections to the address, while new connections work.
 """
 
 from __future__ import annotations
@@ -24,26 +25,31 @@
 from hillstack.errors import BackendError
 from hillstack.platform import names
 
-# Unacknowledged bytes for that long: the machine is gone or cut off; ordinary losses take less.
-SILENCE_LIMIT_MS = 1_200
-# Probes of connections that wait for an answer: the system takes whole seconds, and one is least.
+# If sent bytes stay unacknowledged for this long, the machine is down or cut off. Ordinary packet
+# loss is repaired sooner.
+UNACKNOWLEDGED_LIMIT_MS = 1_200
+# TCP keepalive probes, for connections that wait for an answer. The operating system accepts only
+# whole seconds, so 1 is the minimum.
 PROBE_IDLE_SECONDS = 1
 PROBE_INTERVAL_SECONDS = 1
 PROBE_COUNT = 2
-# How long a connection may rest where no answer says it: runners close it after some seconds, and
-# one that is closed costs a new try.
+# Idle limit of a connection whose answers announce no keep-alive time. Runners close an idle
+# connection after some seconds, and a request that meets a closed connection has to be retried.
 DEFAULT_REST_SECONDS = 4.0
-# Part of the time that a runner announces which is used. Its time began when it sent the answer,
-# and a request that meets its close may have run, so it is given up if it must not run twice.
+# Fraction of a runner's announced keep-alive time during which its connection is reused. The time
+# starts when the runner sends the answer. A request that arrives while the runner closes the
+# connection may have run, and fails if it must not run twice.
 REST_SHARE = 0.75
-# The longest rest, whatever is announced: connections beyond it hold descriptors for nothing.
+# Upper bound of the idle limit, whatever a runner announces. Connections that stay idle for longer
+# hold file descriptors without use.
 MOST_REST_SECONDS = 30.0
-# A connection takes some milliseconds; packets that open one are repeated after a second.
+# Opening a connection takes some milliseconds; the system retransmits a lost SYN after a second.
 CONNECT_LIMIT_SECONDS = 0.5
-# A connection that ends after it owed bytes for that long had gone silent: what the system's own
-# time-out takes. The shorter limits of questions tell by themselves.
-OWED_SILENCE_SECONDS = SILENCE_LIMIT_MS / 1000
-# Addresses kept with their last silence: several times the runners of the largest deployment.
+# A connection that is closed while an answer is due, and that delivered no bytes for this long,
+# counts as silent. The time equals TCP_USER_TIMEOUT. Calls with a shorter limit report their own
+# time-outs through ``note_silence``.
+UNANSWERED_LIMIT_SECONDS = UNACKNOWLEDGED_LIMIT_MS / 1000
+# Addresses whose last silence is recorded: several times the runners of the largest deployment.
 MAX_SILENT_ADDRESSES = 8_192
 
 Endpoint = tuple[str, int]
@@ -51,32 +57,32 @@
 
 
 class SilentAddresses:
-    """When a connection to an address was last found silent.
+    """Records when a connection to an address was last found silent.
 
-    A connection that has not been heard since then is not used again, which costs a new one of
-    some milliseconds; used again, each would cost a request its whole time-out.
+    A connection that has received nothing since then is not reused. Opening a new one costs some
+    milliseconds, while each reuse of a silent connection would cost a request its whole time-out.
     """
 
     def __init__(self) -> None:
-        self._found_at: dict[Endpoint, float] = {}
+        self._silent_at: dict[Endpoint, float] = {}
 
-    def note(self, endpoint: Endpoint) -> None:
-        """Note a connection to an address that has gone silent."""
-        if len(self._found_at) >= MAX_SILENT_ADDRESSES:
-            self._found_at.clear()
-        self._found_at[endpoint] = clock.seconds()
+    def record(self, endpoint: Endpoint) -> None:
+        """Record that a connection to the endpoint is silent as of now."""
+        if len(self._silent_at) >= MAX_SILENT_ADDRESSES:
+            self._silent_at.clear()
+        self._silent_at[endpoint] = clock.seconds()
 
-    def is_trusted(self, endpoint: Endpoint, heard_at: float) -> bool:
-        """Return whether a connection that was last heard at a moment may be used again."""
-        return heard_at > self._found_at.get(endpoint, float("-inf"))
+    def is_reusable(self, endpoint: Endpoint, received_at: float) -> bool:
+        """Return whether a connection that last received bytes at ``received_at`` may be reused."""
+        return received_at > self._silent_at.get(endpoint, float("-inf"))
 
 
 class StrictResponseHandler(ResponseHandler):
-    """One connection.
+    """The protocol of one connection; it checks answers and detects silence.
 
     Args:
-        loop: The loop.
-        silent: Where silence is noted.
+        loop: The event loop.
+        silent: Records the addresses whose connections are silent.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, silent: SilentAddresses) -> None:
@@ -84,49 +90,52 @@
         self._silent = silent
         self._endpoint = NO_ENDPOINT
         self._expected_id: str | None = None
-        self._asked_at = 0.0
-        self._heard_at = 0.0
-        self._awaits_head = False
-        self._rest_seconds = DEFAULT_REST_SECONDS
+        self._read_started_at = 0.0
+        self._received_at = 0.0
+        self._awaiting_head = False
+        self._idle_limit_seconds = DEFAULT_REST_SECONDS
 
     def expect(self, request_id: str) -> None:
-        """Take only the answer to this request from now on."""
+        """Discard answers to other requests than this one from now on."""
         self._expected_id = request_id
 
     @property
-    def rests_until(self) -> float:
-        """When it has rested for so long that it is not used again, on the monotonic clock."""
-        return self._heard_at + self._rest_seconds
+    def reusable_until(self) -> float:
+        """Monotonic time after which the idle connection is not reused."""
+        return self._received_at + self._idle_limit_seconds
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep where the connection goes."""
+        """Store the address of the peer."""
         super().connection_made(transport)
         host, port = (transport.get_extra_info("peername") or NO_ENDPOINT)[:2]
         self._endpoint = (host, port)
-        self._heard_at = clock.seconds()
+        self._received_at = clock.seconds()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes, and note that the connection lives."""
-        self._heard_at = clock.seconds()
+        """Process received bytes, and store the time of receipt."""
+        self._received_at = clock.seconds()
         super().data_received(data)
 
     async def read(self) -> Any:
-        """Return the next answer, passing over answers to other requests."""
-        self._asked_at = clock.seconds()
-        self._awaits_head = True
+        """Return the next answer.
+
+        An answer to another request is discarded, and the connection is closed after this answer.
+        """
+        self._read_started_at = clock.seconds()
+        self._awaiting_head = True
         while True:
             message, payload = await super().read()
-            answered = message.headers.get(names.REQUEST_ID)
-            if answered is None or self._expected_id is None or answered == self._expected_id:
-                self._awaits_head = False
-                # Ahead of the body: with its last byte the connection begins to rest.
-                self._rest_seconds = rest_seconds(message.headers.get(names.KEEP_ALIVE))
+            answered_id = message.headers.get(names.REQUEST_ID)
+            if answered_id is None or self._expected_id is None or answered_id == self._expected_id:
+                self._awaiting_head = False
+                # Set before the body is read, since the connection becomes idle with its last byte.
+                self._idle_limit_seconds = rest_seconds(message.headers.get(names.KEEP_ALIVE))
                 return message, payload
             self.force_close()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Break an answer that a reset has cut, and note a silence."""
-        self._note_if_silent(exc)
+        """Fail an answer that the lost connection cut off, and record a silent peer."""
+        self._record_if_silent(exc)
         payload = self._payload
         if exc is None or payload is None or payload.is_eof():
             super().connection_lost(exc)
@@ -135,39 +144,40 @@
         error.__cause__ = exc
         payload.set_exception(error)
         super().connection_lost(exc)
-        # The library has put its own error there, which does not tell a reset from a silence.
+        # aiohttp has set an error of its own, which does not distinguish a reset from a time-out.
         payload.set_exception(error)
 
     def close(self) -> None:
-        """Close, and note a silence before the next request looks for a connection."""
-        self._note_if_silent(None)
+        """Close the connection; a silent peer is recorded before the next request selects one."""
+        self._record_if_silent(None)
         super().close()
 
     def is_connected(self) -> bool:
         """Return whether the connection can take a request.
 
-        It is open, no bytes are left over, and none beside it was found silent since it was heard.
+        The connection must be open, with no unread bytes and within its idle limit. No connection
+        to the same address may have been found silent since this one last received bytes.
         """
         if not super().is_connected() or self._buffer or self._tail:
             return False
-        if clock.seconds() >= self.rests_until:
+        if clock.seconds() >= self.reusable_until:
             return False
-        return self._silent.is_trusted(self._endpoint, self._heard_at)
+        return self._silent.is_reusable(self._endpoint, self._received_at)
 
-    def _note_if_silent(self, exc: BaseException | None) -> None:
+    def _record_if_silent(self, exc: BaseException | None) -> None:
         payload = self._payload
-        owes_bytes = self._awaits_head or (payload is not None and not payload.is_eof())
-        quiet_since = max(self._asked_at, self._heard_at)
-        owed_long = owes_bytes and clock.seconds() - quiet_since >= OWED_SILENCE_SECONDS
-        if owed_long or (isinstance(exc, OSError) and exc.errno == errno.ETIMEDOUT):
-            self._silent.note(self._endpoint)
+        answer_due = self._awaiting_head or (payload is not None and not payload.is_eof())
+        silent_since = max(self._read_started_at, self._received_at)
+        timed_out = answer_due and clock.seconds() - silent_since >= UNANSWERED_LIMIT_SECONDS
+        if timed_out or (isinstance(exc, OSError) and exc.errno == errno.ETIMEDOUT):
+            self._silent.record(self._endpoint)
 
 
 class StrictResponse(aiohttp.ClientResponse):
-    """An answer that must belong to its request."""
+    """A response whose request identifier must be that of its request."""
 
     async def start(self, connection: Any) -> aiohttp.ClientResponse:
-        """Tell the connection which answer to wait for, then read its head."""
+        """Set the request identifier that the connection expects, then read the head."""
         expected = self.request_info.headers.get(names.REQUEST_ID)
         protocol = connection.protocol
         if expected is not None and isinstance(protocol, StrictResponseHandler):
@@ -176,11 +186,11 @@
 
 
 class WatchedConnector(aiohttp.TCPConnector):
-    """Connections of which none is used again that rested beside a silent one.
+    """A connection pool that does not reuse idle connections to an address found silent.
 
     Attributes:
-        resting: Until when a resting connection to each ``IP:PORT`` may be used again, as far as
-            there is one.
+        resting: Per ``IP:PORT`` with an idle connection, the monotonic time until which the
+            connection that was released last may be reused.
     """
 
     def __init__(self) -> None:
@@ -197,21 +207,21 @@
         self._factory = factory
 
     async def _get(self, key: Any, traces: Any) -> Any:
-        """Take a resting connection, and note whether another one is left."""
+        """Take an idle connection; drop the address from ``resting`` if no other one is left."""
         connection = await super()._get(key, traces)
         if key not in self._conns:
             self.resting.pop(f"{key.host}:{key.port}", None)
         return connection
 
     def _release(self, key: Any, protocol: Any, *, should_close: bool = False) -> None:
-        """Let a connection rest, and note until when it may be used again."""
+        """Return a connection to the pool, and store until when it may be reused."""
         super()._release(key, protocol, should_close=should_close)
         if key in self._conns and isinstance(protocol, StrictResponseHandler):
-            self.resting[f"{key.host}:{key.port}"] = protocol.rests_until
+            self.resting[f"{key.host}:{key.port}"] = protocol.reusable_until
 
 
 def rest_seconds(announced: str | None) -> float:
-    """Return how long a connection may rest, from the parameters that an answer announces."""
+    """Return how long a connection may stay idle, from the ``Keep-Alive`` field of an answer."""
     for parameter in (announced or "").split(","):
         name, _, value = parameter.partition("=")
         if name.strip().lower() == "timeout" and value.strip().isdecimal():
@@ -220,12 +230,12 @@
 
 
 def make_socket(address: Any) -> socket.socket:
-    """Return a TCP socket that notices a silent peer."""
+    """Return a TCP socket that detects a silent peer."""
     family, kind, protocol, _, _ = address
     made = socket.socket(family, kind, protocol)
     made.setblocking(False)
     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_LIMIT_MS)
+    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS)
     made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_SECONDS)
     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_SECONDS)
@@ -234,7 +244,7 @@
 
 
 def make_runner_session() -> aiohttp.ClientSession:
-    """Return a session for requests to runners; it repeats nothing by itself."""
+    """Return a session for requests to runners; it never retries a request."""
     session = aiohttp.ClientSession(
         connector=WatchedConnector(),
         response_class=StrictResponse,
@@ -248,7 +258,7 @@
 
 
 def resting_connections(session: aiohttp.ClientSession) -> Mapping[str, float]:
-    """Return until when a resting connection to each ``IP:PORT`` may be used, kept current."""
+    """Return a live mapping of ``IP:PORT`` to when its idle connection ceases to be reusable."""
     assert isinstance(session.connector, WatchedConnector)
     return session.connector.resting
 
@@ -259,22 +269,22 @@
 
 
 def note_silence(session: aiohttp.ClientSession, address: str) -> None:
-    """Note that a call to ``IP:PORT`` had no answer in time, or that the process there has ended.
+    """Record that a call to ``IP:PORT`` timed out, or that the process there has ended.
 
-    The call's own connection is closed by the library; those that rest beside it are not used
-    again. Where a machine went down without a word nothing else shows that they lead nowhere before
-    a request is sent, and one that may run only once is lost with it.
+    aiohttp closes the connection of the call itself; idle connections to the same address are not
+    reused after this. If a machine fails without closing its connections, nothing else shows that
+    they are unusable before a request is sent, and a request that may run only once then fails.
     """
     if isinstance(session.connector, WatchedConnector):
-        session.connector.silent.note(split_address(address))
+        session.connector.silent.record(split_address(address))
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
-    """A call of the router's own to a runner or a store of kept KV cache.
+class OutgoingCall:
+    """A call that the router makes on its own account to a runner or a KV cache store.
 
     Attributes:
-        limit_seconds: Longest time until the whole answer is there.
+        limit_seconds: Time limit for receiving the complete answer.
     """
 
     method: str
@@ -287,31 +297,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The answer to a question."""
+    """The complete answer to a call."""
 
     body: bytes
     status: int
     headers: Mapping[str, str]
 
 
-async def ask(session: aiohttp.ClientSession, question: Question) -> Reply:
-    """Return the answer to a question.
+async def send_call(session: aiohttp.ClientSession, call: OutgoingCall) -> Reply:
+    """Send a call and return its answer.
 
     Raises:
-        BackendError: No answer came; the call may or may not have been taken.
+        BackendError: No complete answer was received; the call may or may not have been executed.
     """
-    timeout = aiohttp.ClientTimeout(
-        total=question.limit_seconds, sock_connect=CONNECT_LIMIT_SECONDS
-    )
-    url = f"http://{question.address}{question.path}"
+    timeout = aiohttp.ClientTimeout(total=call.limit_seconds, sock_connect=CONNECT_LIMIT_SECONDS)
+    url = f"http://{call.address}{call.path}"
     try:
         async with session.request(
-            question.method, url, data=question.data, headers=question.headers, timeout=timeout
+            call.method, url, data=call.data, headers=call.headers, timeout=timeout
         ) as response:
             return Reply(await response.read(), response.status, response.headers)
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         if isinstance(error, TimeoutError):
-            note_silence(session, question.address)
+            note_silence(session, call.address)
         text = str(error) or type(error).__name__
-        step = f"{question.method} {question.path.partition('?')[0]}"
-        raise BackendError(text, step=step, peer=question.address) from error
+        step = f"{call.method} {call.path.partition('?')[0]}"
+        raise BackendError(text, step=step, peer=call.address) from error
--- a/src/hillstack/platform/rollouts.py
+++ b/src/hillstack/platform/rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts of software as they lie in the store: what is written, and what a person is shown."""
+"""Software rollouts in the store: encoding their records and statuses, and listing them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 from hillstack.platform.formats import to_event
 from hillstack.serving.store_events import RolloutOrdered, RolloutRecorded
 
-# While the traffic shifts the operator is told what it was told before: it is running.
+# States in the status that the operator reads. The state stays ``running`` when traffic starts to
+# shift.
 STATES = {
     RolloutStage.CANARY: "running",
     RolloutStage.SHIFTING: "running",
@@ -26,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutLine:
-    """A rollout as the store tells of it.
+    """The order, record and status that the store holds for one service's rollout.
 
     Attributes:
-        order: The order that stands; None if there is none.
-        record: How far it is; None if no node has written that yet.
-        state: What the operator was told, with the version that it is about; empty if nothing.
+        order: The operator's current order; None if there is none.
+        record: The progress of the rollout; None if no node has written a record yet.
+        state: The state and target version of the operator's status; empty if there is none.
     """
 
     service: str
@@ -41,12 +42,12 @@
 
 
 def rollout_duty_key(service: str) -> str:
-    """Return the key of the duty of deciding a service's rollout."""
+    """Return the key of the duty lease for deciding a service's rollout."""
     return names.ROLLOUT_DUTY_PREFIX + service
 
 
 def encode_rollout_record(record: RolloutRecord) -> bytes:
-    """Return a record as it lies in the store."""
+    """Return a record in the format of the store."""
     body = RolloutRecordBody(
         record.target,
         record.order_revision.number,
@@ -59,21 +60,24 @@
 
 
 def encode_rollout_status(record: RolloutRecord) -> bytes:
-    """Return what the operator is told of a record."""
+    """Return the status that the operator reads, in the format of the store."""
     return msgspec.json.encode(RolloutStatusBody(STATES[record.stage], record.target))
 
 
 def rollout_lines(
     orders: Iterable[StoredItem], records: Iterable[StoredItem], statuses: Iterable[StoredItem]
 ) -> list[RolloutLine]:
-    """Return what the store tells of each service with an order, a record or a status."""
-    known_orders = dict(_orders(orders))
-    known_records = dict(_records(records))
-    states = dict(_states(statuses))
-    services = sorted({*known_orders, *known_records, *states})
+    """Return an entry for each service that has an order, a record or a status in the store."""
+    orders_by_service = dict(_orders(orders))
+    records_by_service = dict(_records(records))
+    states_by_service = dict(_states(statuses))
+    services = sorted({*orders_by_service, *records_by_service, *states_by_service})
     return [
         RolloutLine(
-            service, known_orders.get(service), known_records.get(service), states.get(service, "")
+            service,
+            orders_by_service.get(service),
+            records_by_service.get(service),
+            states_by_service.get(service, ""),
         )
         for service in services
     ]
--- a/src/hillstack/platform/runner_signals.py
+++ b/src/hillstack/platform/runner_signals.py
@@ -1,6 +1,7 @@
-"""Reads what a runner says of itself in the head of an answer.
+"""Reads the signals that a runner sets in the headers of its answers.
 
-It leaves, wants a backoff, or takes so many requests a second from all nodes together.
+A runner can announce that it is about to stop, ask for a backoff, or state the requests per second
+that it accepts from all nodes together.
 """
 
 from __future__ import annotations
@@ -20,25 +21,26 @@
 SERVICE_UNAVAILABLE = 503
 OK = 200
 REDIRECTS = 300
-SAYS_SO = "1"
-# Whole or with a fraction. A date, a sign or anything else is passed over like a missing one: the
-# pause after any refusal holds all the same.
+FLAG_SET = "1"
+# A decimal number with an optional fraction. A date, a sign or any other text is treated like a
+# missing field; the pause that follows every refusal applies anyway.
 DECIMAL = re.compile(r"[0-9]+(\.[0-9]*)?")
-# Backoffs of some seconds were seen. One that is longer than a lease of the platform may be is
-# taken for a mistake, and the runner is asked again after that.
+# The longest lease of the platform. Usual backoffs are some seconds; a longer backoff than this is
+# treated as a mistake and cut to this limit.
 MAX_BACKOFF_SECONDS = 600.0
-# More than all nodes send to all runners of the largest fleet: as good as none.
+# Requests per second. More than all nodes send to all runners of the largest fleet, so a higher
+# limit has no effect.
 MAX_LIMIT = 1_000_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Asked:
-    """What a runner was asked, and when.
+    """A call to a runner whose answer is read for signals.
 
     Attributes:
-        kind: What it was.
-        request_id: The request; empty for other kinds.
-        at: When it was sent, on the system's monotonic clock.
+        kind: The kind of call.
+        request_id: Identifier of the caller's request; empty for other kinds of calls.
+        at: When the call was sent, on the system's monotonic clock.
     """
 
     kind: AnswerKind
@@ -47,58 +49,58 @@
 
 
 class SignalListener(Protocol):
-    """Takes what runners say of themselves."""
+    """Receives the signals in the answers of runners."""
 
     def heard(self, runner_id: str, signals: RunnerSignals, source: AnswerSource) -> None:
-        """Take what an answer says of a process, when its head has come.
+        """Handle the signals of an answer; called once per answer, when its head was received.
 
         Args:
-            runner_id: The process.
-            signals: What it says, which may be nothing: that ends a limit.
-            source: Which answer.
+            runner_id: The runner process that answered.
+            signals: The signals, possibly none. An answer without a limit ends an earlier limit.
+            source: The kind, status and duration of the answer.
         """
         ...
 
     def unknown_field(self, runner_id: str, name: str, value: str) -> None:
-        """Take a header field of an answer that nobody reads.
+        """Handle a header field of an answer that hillstack does not know.
 
         Args:
-            runner_id: The process.
+            runner_id: The runner process that answered.
             name: The field's name, in lower case.
-            value: Its value.
+            value: The field's value.
         """
         ...
 
 
 class SignalReader:
-    """Hands on what answers say of their runners.
+    """Passes the signals in runners' answers to a listener.
 
     Args:
-        listener: Where it is taken; nowhere by default.
+        listener: Receives the signals; None to ignore them.
     """
 
     def __init__(self, listener: SignalListener | None = None) -> None:
         self._listener = listener
 
     def read(self, runner_id: str, status: int, headers: Mapping[str, str], asked: Asked) -> None:
-        """Read the head of an answer that is a process's own, as far as that can be told.
+        """Read the head of an answer, unless it names another runner as its sender.
 
         Args:
-            runner_id: The process that was asked.
+            runner_id: The runner process that the call was sent to.
             status: Status of the answer.
-            headers: Its headers.
-            asked: What was asked.
+            headers: Headers of the answer.
+            asked: The call.
         """
         answered_by = headers.get(names.INSTANCE)
         if answered_by is not None and answered_by != instance_of(runner_id):
             return
         if self._listener is None:
             return
-        is_whole = OK <= status < REDIRECTS
+        is_complete = OK <= status < REDIRECTS
         if asked.kind is AnswerKind.REQUEST:
-            is_whole = is_whole and names.SIGNATURE in headers
+            is_complete = is_complete and names.SIGNATURE in headers
         source = AnswerSource(
-            asked.kind, status, clock.seconds() - asked.at, asked.request_id, is_whole
+            asked.kind, status, clock.seconds() - asked.at, asked.request_id, is_complete
         )
         self._listener.heard(runner_id, signals_of(status, headers), source)
         for name in unknown_fields(headers):
@@ -106,8 +108,8 @@
 
 
 def signals_of(status: int, headers: Mapping[str, str]) -> RunnerSignals:
-    """Return what an answer says of its runner."""
-    leaving = headers.get(names.LEAVING, "").strip() == SAYS_SO
+    """Return the signals in the head of an answer."""
+    leaving = headers.get(names.LEAVING, "").strip() == FLAG_SET
     backoff = 0.0
     if status == SERVICE_UNAVAILABLE:
         backoff = backoff_of(headers.get(names.RETRY_AFTER, ""))
@@ -115,7 +117,7 @@
 
 
 def backoff_of(text: str) -> float:
-    """Return the seconds of backoff that a text asks for; 0 if it can't be read."""
+    """Return the backoff in seconds that a text states; 0 if it can't be parsed."""
     text = text.strip()
     if not DECIMAL.fullmatch(text):
         return 0.0
@@ -123,7 +125,7 @@
 
 
 def limit_of(text: str) -> float | None:
-    """Return the requests a second that a text names; None if it can't be read."""
+    """Return the limit in requests per second that a text states; None if it can't be parsed."""
     text = text.strip()
     if not DECIMAL.fullmatch(text):
         return None
--- a/src/hillstack/platform/runners.py
+++ b/src/hillstack/platform/runners.py
@@ -1,4 +1,4 @@
-"""Calls to runners: requests, reports, orders."""
+"""Calls to runners: callers' requests, state reports and orders to load weights."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from hillstack.errors import BackendBrokenError, BackendError, ConnectionLostError
 from hillstack.platform import names
 from hillstack.platform.bodies import OrderBody, ReportBody
-from hillstack.platform.connections import Question, ask
+from hillstack.platform.connections import OutgoingCall, send_call
 from hillstack.platform.incarnations import check_process, instance_of
 from hillstack.platform.runner_signals import Asked, SignalListener, SignalReader
 from hillstack.serving.types import (
@@ -29,20 +29,22 @@
     ServingRequest,
 )
 
-REFUSALS = frozenset({429, 503})
+REFUSAL_STATUSES = frozenset({429, 503})
 OK = 200
 MISDIRECTED = 421
-# What the system says of a connection that its other side closed; a silent one has other causes.
-LOST_ERRNOS = frozenset({errno.ECONNRESET, errno.EPIPE, errno.ECONNABORTED})
-# What the library says of it, where the system says nothing.
-LOST_ERRORS = (
+# Errors of the operating system for a connection that the peer closed. A connection to a silent
+# peer fails with other errors.
+CONNECTION_LOST_ERRNOS = frozenset({errno.ECONNRESET, errno.EPIPE, errno.ECONNABORTED})
+# Errors of aiohttp for such a connection if there is no error of the operating system.
+CONNECTION_LOST_ERRORS = (
     aiohttp.ServerDisconnectedError,
     aiohttp.ClientPayloadError,
     ConnectionResetError,
 )
-# A report takes some milliseconds; a load waits for it.
+# A report takes some milliseconds, and a load of weights waits for it.
 REPORT_LIMIT_SECONDS = 0.4
-# An order is answered at once or late: the next report tells whether it was taken.
+# A runner answers an order either at once or much later. In the second case the next report shows
+# whether the runner accepted the order.
 ORDER_LIMIT_SECONDS = 0.25
 ORDER_MODES = {
     RunningRequests.FINISH: names.FINISH_RUNS,
@@ -59,7 +61,7 @@
 
 
 class HttpRunnerAnswer:
-    """An answer of a runner whose head is in."""
+    """An answer of a runner whose head has been received."""
 
     def __init__(self, response: aiohttp.ClientResponse, peer: str) -> None:
         self._response = response
@@ -72,7 +74,7 @@
 
     @property
     def headers(self) -> HeaderList:
-        """Headers that are passed on."""
+        """Headers that are forwarded to the caller."""
         return [
             (name, value)
             for name, value in self._response.raw_headers
@@ -81,41 +83,41 @@
 
     @property
     def signed(self) -> bool:
-        """Whether it carries the runner's signature and answers this request."""
+        """Whether the answer carries the runner's signature and a request identifier."""
         headers = self._response.headers
         return names.SIGNATURE in headers and names.REQUEST_ID in headers
 
     async def next_piece(self) -> bytes:
-        """Return the next bytes of the body, or ``b""`` after its proper end."""
+        """Return the next bytes of the body, or ``b""`` after the body has ended completely."""
         try:
             return await self._response.content.readany()
         except (aiohttp.ClientError, OSError) as error:
-            raise self._broken(error) from error
+            raise self._broken_error(error) from error
 
     async def whole_body(self) -> bytes:
         """Return the whole body."""
         try:
             return await self._response.read()
         except (aiohttp.ClientError, OSError) as error:
-            raise self._broken(error) from error
+            raise self._broken_error(error) from error
 
     def close(self) -> None:
-        """Give the answer up; a complete one leaves its connection in use."""
+        """Release the connection if the answer is complete, else close it."""
         if self._response.content.at_eof():
             self._response.release()
         else:
             self._response.close()
 
-    def _broken(self, error: Exception) -> BackendBrokenError:
-        return _broken(error, "relay", self._peer)
+    def _broken_error(self, error: Exception) -> BackendBrokenError:
+        return _broken_error(error, "relay", self._peer)
 
 
 class HttpRunnerClient:
-    """Sends requests, questions and orders to runners.
+    """Sends requests, report calls and orders to runners.
 
     Args:
         session: HTTP session of ``make_runner_session``; not closed here.
-        listener: Takes what runners say of themselves; nobody by default.
+        listener: Receives the signals in runners' answers; None to ignore them.
     """
 
     def __init__(
@@ -125,11 +127,11 @@
         self._signals = SignalReader(listener)
 
     async def send(self, request: ServingRequest, dispatch: Dispatch) -> HttpRunnerAnswer:
-        """Send a request and return its answer's head.
+        """Send a request and return the answer once its head has been received.
 
         Raises:
-            RunnerRefusedError: It was not run and never will be.
-            BackendBrokenError: It may have run.
+            RunnerRefusedError: The runner did not and will not execute the request.
+            BackendBrokenError: The runner may have executed the request.
         """
         url = URL(f"http://{dispatch.address}{request.target}", encoded=True)
         peer = dispatch.runner_id
@@ -147,21 +149,21 @@
                 str(error), step="connect", peer=peer, cause=RefusalCause.UNREACHABLE
             ) from error
         except (aiohttp.ClientError, OSError) as error:
-            raise _broken(error, "await answer", peer) from error
+            raise _broken_error(error, "await answer", peer) from error
         self._signals.read(peer, response.status, response.headers, asked)
         self._check_executed(response, dispatch)
         return HttpRunnerAnswer(response, peer)
 
     async def report(self, runner_id: str, address: str) -> RunnerReport:
-        """Return what a runner says of itself, as of some hundred milliseconds ago.
+        """Return the state that a runner reports; it may be some hundred milliseconds old.
 
         Raises:
-            BackendError: It can't be had.
+            BackendError: The call failed, or the answer can't be used.
         """
         headers = {names.EXPECT_INSTANCE: instance_of(runner_id)}
-        question = Question("GET", address, names.REPORT_PATH, REPORT_LIMIT_SECONDS, headers)
+        call = OutgoingCall("GET", address, names.REPORT_PATH, REPORT_LIMIT_SECONDS, headers)
         asked = Asked(AnswerKind.REPORT)
-        reply = await ask(self._session, question)
+        reply = await send_call(self._session, call)
         if reply.status != OK:
             self._signals.read(runner_id, reply.status, reply.headers, asked)
             raise BackendError(f"status {reply.status}", step="report", peer=runner_id)
@@ -178,7 +180,7 @@
         """Order a runner to load weights.
 
         Raises:
-            BackendError: The order may or may not have been taken.
+            BackendError: No answer was received; the runner may or may not have accepted the order.
         """
         body = OrderBody(
             op=names.WEIGHTS_OPERATION,
@@ -194,31 +196,31 @@
             names.EXPECT_INSTANCE: instance_of(order.runner_id),
         }
         data = msgspec.json.encode(body)
-        question = Question(
+        call = OutgoingCall(
             "POST", order.address, names.ORDER_PATH, ORDER_LIMIT_SECONDS, headers, data
         )
         asked = Asked(AnswerKind.ORDER)
-        reply = await ask(self._session, question)
+        reply = await send_call(self._session, call)
         self._signals.read(order.runner_id, reply.status, reply.headers, asked)
         return ORDER_OUTCOMES.get(reply.status, OrderOutcome.REJECTED)
 
     def _check_executed(self, response: aiohttp.ClientResponse, dispatch: Dispatch) -> None:
-        """Raise if the answer says that the request was not run, or must not be passed on."""
+        """Raise if the request was not executed, or if the answer must not be forwarded."""
         status = response.status
-        not_run = names.NOT_EXECUTED in response.headers or status == MISDIRECTED
-        if not not_run and status not in REFUSALS:
+        not_executed = names.NOT_EXECUTED in response.headers or status == MISDIRECTED
+        if not not_executed and status not in REFUSAL_STATUSES:
             return
-        version = _version(response)
+        version = _weights_version(response)
         instance = response.headers.get(names.INSTANCE)
         response.close()
         peer = dispatch.runner_id
-        if not not_run:
+        if not not_executed:
             text = f"status {status} without a promise"
             raise BackendBrokenError(text, step="await answer", peer=peer)
         cause = RefusalCause.FULL
         if status == MISDIRECTED:
-            other = instance is not None and instance != instance_of(dispatch.runner_id)
-            cause = RefusalCause.OTHER_INSTANCE if other else RefusalCause.OTHER_WEIGHTS
+            is_other_instance = instance is not None and instance != instance_of(dispatch.runner_id)
+            cause = RefusalCause.OTHER_INSTANCE if is_other_instance else RefusalCause.OTHER_WEIGHTS
         raise RunnerRefusedError(
             f"status {status}",
             step="await answer",
@@ -228,23 +230,23 @@
         )
 
 
-def _broken(error: Exception, step: str, peer: str) -> BackendBrokenError:
-    """Return the error of an answer that broke off, told by what broke it."""
+def _broken_error(error: Exception, step: str, peer: str) -> BackendBrokenError:
+    """Return the error for an answer that broke off; its type depends on the cause."""
     kind = ConnectionLostError if _is_connection_lost(error) else BackendBrokenError
     return kind(str(error) or type(error).__name__, step=step, peer=peer)
 
 
 def _is_connection_lost(error: Exception) -> bool:
-    """Return whether the runner closed or reset the connection before the answer's end."""
+    """Return whether the runner closed or reset the connection before the answer was complete."""
     cause: BaseException | None = error
     while cause is not None:
         if isinstance(cause, OSError) and cause.errno is not None:
-            return cause.errno in LOST_ERRNOS
+            return cause.errno in CONNECTION_LOST_ERRNOS
         cause = cause.__cause__
-    return isinstance(error, LOST_ERRORS)
+    return isinstance(error, CONNECTION_LOST_ERRORS)
 
 
-def _version(response: aiohttp.ClientResponse) -> int:
+def _weights_version(response: aiohttp.ClientResponse) -> int:
     text = response.headers.get(names.VERSIONS, "")
     return int(text) if text.isdigit() else 0
 
--- a/src/hillstack/platform/store.py
+++ b/src/hillstack/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's metadata store."""
+"""Client of the platform's metadata store."""
 
 from __future__ import annotations
 
@@ -59,13 +59,14 @@
 CONDITION_FAILED = 412
 THROTTLED = 429
 REFUSED = 503
-# A slow store takes up to a second; the freshness bound of 4.5 s leaves room for two tries.
+# A slow store takes up to a second to answer. A node's data may be at most 4.5 s old, which leaves
+# time for two attempts.
 CALL_LIMIT_SECONDS = 1.5
-# A quarter of the lease: a renewal without an answer is repeated while it runs.
+# A quarter of the lease, so that an unanswered renewal can be repeated before the lease expires.
 LEASE_CALL_LIMIT_SECONDS = 0.5
-# Eras are counted one by one.
-MOST_ERA_DIGITS = 15
-# What stands for a value that is not base64: no item is read from it.
+# Eras are consecutive numbers, so a longer text is not an era.
+MAX_ERA_DIGITS = 15
+# Replaces a value that is not base64. No item can be decoded from it.
 UNREADABLE_VALUE = b""
 
 Body = TypeVar("Body")
@@ -73,12 +74,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Everything that the store holds.
+    """All items of the store, read page by page.
 
     Attributes:
-        changes: All items.
-        revision: Revision from which to watch: that of the first page.
-        latest: Revision up to which some page may go.
+        changes: All items, as changes.
+        revision: The earliest revision of any page, from which to watch for changes.
+        latest: The latest revision of any page; items may be as new as this.
     """
 
     changes: list[StoreChange]
@@ -88,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Changes since a revision, and the revision up to which they go."""
+    """Changes since a revision, and the revision up to which they are complete."""
 
     changes: list[StoreChange]
     revision: StoreRevision
@@ -96,20 +97,20 @@
 
 @dataclass(frozen=True, slots=True)
 class _Answer:
-    """The body of an answer, and the era that it is of."""
+    """The body of an answer, and the store era in which it is valid."""
 
     body: bytes
     era: int
 
 
 class MetadataStore:
-    """Client of the store.
+    """Reads, watches and writes the items of the store.
 
     Args:
-        address: ``IP:PORT``.
+        address: ``IP:PORT`` of the store.
         session: HTTP session of ``make_store_session``; not closed here.
-        on_unreadable: Called for each item that can't be read.
-        store_era: Where the eras that answers name are noted; one of its own by default.
+        on_unreadable: Called once for each revision of an item that can't be decoded.
+        store_era: Tracks the eras that answers name; a new tracker by default.
     """
 
     def __init__(
@@ -120,38 +121,40 @@
         store_era: StoreEra | None = None,
     ) -> None:
         self._era = store_era or StoreEra()
-        self._unreadable_era: str | None = None
+        self._last_invalid_era: str | None = None
         self._unreadable = UnreadableItems(on_unreadable)
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
         self._address = address
         self._session = session
 
     @property
     def era(self) -> int:
-        """The latest era of the store that is known."""
+        """The latest known era of the store."""
         return self._era.current
 
     async def snapshot(self, *, may_be_old: bool = False) -> Snapshot:
-        """Return everything; the pages are no snapshot, so watch from the earliest revision.
+        """Return all items of the store.
+
+        The pages are read at different revisions, so a watch has to start from the earliest one.
 
         Args:
-            may_be_old: Whether the answer may be some seconds old; it costs a tenth then.
+            may_be_old: Whether the answer may be some seconds old, at a tenth of the cost.
 
         Raises:
             PlatformError: A call failed, or the store was restored between two pages.
         """
         era, pages = await self._pages("", may_be_old)
         revisions = [StoreRevision(era, page.at) for page in pages]
-        items = [_stored(item, era) for page in pages for item in page.items]
+        items = [_to_stored_item(item, era) for page in pages for item in page.items]
         return Snapshot(self.read_items(items), min(revisions), max(revisions))
 
     async def _list(self, prefix: str) -> list[StoredItem]:
-        """Return the items below a prefix."""
+        """Return all items whose keys start with a prefix."""
         era, pages = await self._pages(prefix, may_be_old=False)
-        return [_stored(item, era) for page in pages for item in page.items]
+        return [_to_stored_item(item, era) for page in pages for item in page.items]
 
     async def _pages(self, prefix: str, may_be_old: bool) -> tuple[int, list[RangeBody]]:
-        """Return all pages of the items below a prefix, and the era that they are of."""
+        """Return all pages of items whose keys start with a prefix, and the era of the pages."""
         pages: list[RangeBody] = []
         eras: set[int] = set()
         after = ""
@@ -166,17 +169,17 @@
             pages.append(page)
             eras.add(answer.era)
             if len(eras) > 1:
-                text = "restored between two pages"
+                text = "store restored between two pages"
                 raise OutdatedAnswerError(text, step="list", peer=self._address)
             if not page.more or not page.items:
                 return answer.era, pages
             after = page.items[-1].key
 
     async def changes(self, revision: StoreRevision, wait_seconds: float) -> Changes:
-        """Return the changes after a revision, waiting for one for a while.
+        """Return the changes after a revision, waiting for the first one if there is none.
 
         Raises:
-            HistoryLostError: The store no longer has them, or has been restored since.
+            HistoryLostError: The store no longer has the changes, or was restored since then.
             PlatformError: The call failed.
         """
         query = {
@@ -187,35 +190,38 @@
         limit = wait_seconds + CALL_LIMIT_SECONDS
         answer = await self._call("GET", names.WATCH_PATH, "watch", query=query, limit=limit)
         if answer.era != revision.era:
-            # It counts from a revision that now is another change's.
-            text = f"restored since {revision}"
+            # In the new era the requested revision number belongs to a different change.
+            text = f"store restored since {revision}"
             raise HistoryLostError(text, step="watch", peer=self._address)
         body = self._decode(answer, WatchBody)
-        changes = self.read_items(_stored(item, answer.era) for item in body.events)
+        changes = self.read_items(_to_stored_item(item, answer.era) for item in body.events)
         return Changes(changes, max(revision, StoreRevision(answer.era, body.at)))
 
     def read_items(self, items: Iterable[StoredItem]) -> list[StoreChange]:
-        """Return what items mean; one that can't be read is told, and the others hold."""
-        return [StoreChange(item, self._event(item)) for item in items]
+        """Convert items to changes.
+
+        An item that can't be decoded is logged and counts as removed; the others are unaffected.
+        """
+        return [StoreChange(item, self._to_event(item)) for item in items]
 
     def listed(self, keys: Iterable[str]) -> ListedKeys:
-        """Return what a whole list of keys says."""
+        """Sort a complete list of the store's keys into runners, nodes, duties and rollouts."""
         return listed_keys(keys)
 
     async def announce_node(self, node: NodeEntry) -> StoreRevision:
-        """Write where a node listens for its peers, and what else they need of it.
+        """Write a node's entry: its address for peers, its zone and its link speed.
 
         Returns:
-            The revision of its entry.
+            The revision of the entry.
         """
         value = msgspec.json.encode(NodeBody(node.address, node.zone, node.link_megabits))
         revision = await self.transact([], [Put(names.NODES_PREFIX + node.node_id, value)])
         if revision is None:
-            raise PlatformError("not written", step="announce node", peer=self._address)
+            raise PlatformError("node entry not written", step="announce node", peer=self._address)
         return revision
 
     async def remove_node(self, node_id: str, revision: StoreRevision) -> bool:
-        """Remove a node's entry if it has this revision; return whether it had."""
+        """Remove a node's entry if it has this revision; return whether it was removed."""
         key = names.NODES_PREFIX + node_id
         return await self._transact([RevisionIs(key, revision)], [], [key]) is not None
 
@@ -236,20 +242,21 @@
     async def transact(
         self, conditions: Sequence[Condition], puts: Sequence[Put]
     ) -> StoreRevision | None:
-        """Write if all conditions hold; return the revision or None.
+        """Write if all conditions hold; return the revision, or None if one does not hold.
 
         Raises:
-            PlatformError: It failed, or a condition asks for a value: the store compares revisions.
+            PlatformError: The call failed, or a condition requires a value: the store compares only
+                revisions.
         """
         return await self._transact(conditions, puts, [])
 
-    def _expected(self, condition: Condition) -> KeyRevision:
-        """Return a condition as the store understands it."""
+    def _to_key_revision(self, condition: Condition) -> KeyRevision:
+        """Convert a condition to the format of the store."""
         if isinstance(condition, RevisionIs):
             return KeyRevision(condition.key, condition.revision.number)
         if condition.value is None:
             return KeyRevision(condition.key, 0)
-        text = f"no condition on the value of {condition.key}"
+        text = f"unsupported condition on the value of {condition.key}"
         raise PlatformError(text, step="transact", peer=self._address)
 
     async def _transact(
@@ -257,29 +264,32 @@
     ) -> StoreRevision | None:
         """Return the revision of a transaction, or None if its conditions do not hold.
 
-        A condition on a revision of an earlier era can't be asked for: the number may be that of
-        another change now.
+        A condition on a revision of an earlier era counts as not met. It is not sent, since in the
+        current era the number may belong to a different change.
         """
-        expected = [self._expected(condition) for condition in conditions]
-        counted_in = {c.revision.era for c in conditions if _names_a_change(c)}
-        if counted_in - {self.era}:
+        expected = [self._to_key_revision(condition) for condition in conditions]
+        condition_eras = {c.revision.era for c in conditions if _requires_revision(c)}
+        if condition_eras - {self.era}:
             return None
-        body = TxnRequest(expected, [_put(put) for put in puts], list(removed))
+        body = TxnRequest(expected, [_to_put_body(put) for put in puts], list(removed))
         try:
             answer = await self._call("POST", names.TXN_PATH, "transact", body=body)
         except _StatusError as error:
             if error.status in (CONDITION_FAILED, NOT_FOUND):
                 return None
             raise
-        if counted_in - {answer.era}:
-            text = "restored under a write with conditions"
+        if condition_eras - {answer.era}:
+            text = "store restored during a conditional write"
             raise PlatformOutcomeUnknownError(text, step="transact", peer=self._address)
         return StoreRevision(answer.era, self._decode(answer, TxnBody).rev)
 
     async def write_rollout(
         self, record: RolloutRecord, fence: StoreRevision, tell_operator: bool
     ) -> StoreRevision | None:
-        """Replace a record, with the operator's status, under the conditions of ``RolloutStore``.
+        """Replace a rollout's record, and optionally the status that the operator reads.
+
+        The write requires that the order, the record and the duty's key still have the expected
+        revisions; see ``RolloutStore``.
 
         Returns:
             The revision of the new record, or None if a condition does not hold.
@@ -294,7 +304,7 @@
         puts = [Put(record_key, encode_rollout_record(record))]
         if tell_operator:
             status = Put(names.ROLLOUT_STATUS_PREFIX + service, encode_rollout_status(record))
-            # The record last: the revision of a transaction is that of its last write.
+            # The record comes last, since a transaction returns the revision of its last write.
             puts.insert(0, status)
         return await self.transact(conditions, puts)
 
@@ -307,7 +317,7 @@
         return event.record if isinstance(event, RolloutRecorded) else None
 
     async def rollout_lines(self) -> list[RolloutLine]:
-        """Return all rollouts as the store tells of them."""
+        """Return the order, record and status of each service's rollout."""
         return rollout_lines(
             await self._list(names.ROLLOUTS_PREFIX),
             await self._list(names.ROLLOUT_RECORDS_PREFIX),
@@ -315,7 +325,7 @@
         )
 
     async def grant_lease(self, ttl_seconds: float) -> int:
-        """Return the identifier of a new lease."""
+        """Request a lease from the store and return its identifier."""
         body = LeaseRequest(int(ttl_seconds * 1000))
         answer = await self._call(
             "POST", names.LEASE_PATH, "grant lease", body=body, limit=LEASE_CALL_LIMIT_SECONDS
@@ -323,7 +333,7 @@
         return self._decode(answer, LeaseBody).lease
 
     async def keep_alive(self, lease_id: int) -> bool:
-        """Renew a lease; return False if it is over."""
+        """Renew a lease; return False if the lease has ended."""
         try:
             path = f"{names.KEEP_PATH}/{lease_id}"
             await self._call("POST", path, "renew lease", limit=LEASE_CALL_LIMIT_SECONDS)
@@ -334,16 +344,16 @@
         return True
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease; its keys go with it."""
+        """End a lease; the store removes the keys attached to it."""
         await self._call("DELETE", f"{names.LEASE_END_PATH}/{lease_id}", "end lease")
 
-    def _event(self, item: StoredItem) -> StoreEvent | None:
-        """Return what an item means; one that can't be read counts as removed."""
+    def _to_event(self, item: StoredItem) -> StoreEvent | None:
+        """Convert an item to an event; an item that can't be decoded counts as removed."""
         try:
             return to_event(item)
         except PlatformError as error:
             self._unreadable.report(item, error)
-            # Without a value a configuration means nothing: the last good one stays in force.
+            # A configuration without a value gives no event, so the last valid one stays in force.
             return to_event(StoredItem(item.key, item.revision, None))
 
     def _decode(self, answer: _Answer, kind: type[Body]) -> Body:
@@ -363,20 +373,20 @@
         limit: float = CALL_LIMIT_SECONDS,
         may_be_old: bool = False,
     ) -> _Answer:
-        url = self._base + path
+        url = self._base_url + path
         if query:
             url += "?" + urllib.parse.urlencode(query)
         data = msgspec.json.encode(body) if body is not None else None
         headers = {"Content-Type": "application/json"} if data is not None else {}
         timeout = aiohttp.ClientTimeout(total=limit, sock_connect=CALL_LIMIT_SECONDS)
-        asked_in = self.era
+        era_before_call = self.era
         try:
             async with self._session.request(
                 method, url, data=data, headers=headers, timeout=timeout
             ) as response:
                 raw = await response.read()
                 status = response.status
-                told = self._told_era(response.headers.get(names.ERA_HEADER))
+                named_era = self._parse_era(response.headers.get(names.ERA_HEADER))
         except aiohttp.ClientConnectorError as error:
             raise PlatformUnavailableError(str(error), step=step, peer=self._address) from error
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
@@ -384,9 +394,11 @@
                 note_silence(self._session, self._address)
             text = str(error) or type(error).__name__
             raise PlatformOutcomeUnknownError(text, step=step, peer=self._address) from error
-        era = self._era.of_answer(told, asked_in, may_be_old=may_be_old)
+        era = self._era.of_answer(named_era, era_before_call, may_be_old=may_be_old)
         if era is None:
-            raise OutdatedAnswerError("of an earlier era", step=step, peer=self._address)
+            raise OutdatedAnswerError(
+                "answer from an earlier store era", step=step, peer=self._address
+            )
         if status == OK:
             return _Answer(raw, era)
         if status == THROTTLED:
@@ -394,35 +406,37 @@
         if status == REFUSED:
             raise PlatformUnavailableError(f"status {status}", step=step, peer=self._address)
         if status == GONE:
-            raise HistoryLostError("history gone", step=step, peer=self._address)
+            raise HistoryLostError("store no longer has the changes", step=step, peer=self._address)
         raise _StatusError(status, step, self._address)
 
-    def _told_era(self, text: str | None) -> int | None:
-        """Return the era that an answer names; None if it names none that can be read."""
+    def _parse_era(self, text: str | None) -> int | None:
+        """Return the era in an answer's header; None if the header is missing or invalid."""
         if text is None:
             return None
-        if text.isascii() and text.isdecimal() and len(text) <= MOST_ERA_DIGITS:
+        if text.isascii() and text.isdecimal() and len(text) <= MAX_ERA_DIGITS:
             return int(text)
-        if text != self._unreadable_era:
-            self._unreadable_era = text
-            shown = text[:MOST_ERA_DIGITS]
-            logger.error("store era can't be read", extra={"era": shown, "peer": self._address})
+        if text != self._last_invalid_era:
+            self._last_invalid_era = text
+            shortened = text[:MAX_ERA_DIGITS]
+            logger.error("store era can't be read", extra={"era": shortened, "peer": self._address})
         return None
 
 
 class _StatusError(PlatformError):
+    """The store answered with a status that callers of ``_call`` may handle."""
+
     def __init__(self, status: int, step: str, peer: str) -> None:
         super().__init__(f"status {status}", step=step, peer=peer)
         self.status = status
 
 
-def _names_a_change(condition: Condition) -> TypeGuard[RevisionIs]:
-    """Return whether a condition holds for one change only, not for a key that is absent."""
+def _requires_revision(condition: Condition) -> TypeGuard[RevisionIs]:
+    """Return whether a condition requires a revision of the key, not the key's absence."""
     return isinstance(condition, RevisionIs) and condition.revision != NO_REVISION
 
 
-def _stored(item: StoreItem, era: int) -> StoredItem:
-    """Return an item of the wire; a value that is not base64 becomes one that can't be read."""
+def _to_stored_item(item: StoreItem, era: int) -> StoredItem:
+    """Convert an item from the wire; a value that is not base64 becomes an unreadable one."""
     revision = StoreRevision(era, item.rev)
     if item.gone:
         return StoredItem(item.key, revision, None)
@@ -432,5 +446,5 @@
         return StoredItem(item.key, revision, UNREADABLE_VALUE)
 
 
-def _put(put: Put) -> PutBody:
+def _to_put_body(put: Put) -> PutBody:
     return PutBody(put.key, base64.b64encode(put.value).decode(), put.lease_id)
--- a/tests/fleet/test_silent_connections.py
+++ b/tests/fleet/test_silent_connections.py
@@ -14,7 +14,7 @@
 from hillstack.platform import connections, names
 from hillstack.platform.connections import (
     PROBE_IDLE_SECONDS,
-    SILENCE_LIMIT_MS,
+    UNACKNOWLEDGED_LIMIT_MS,
     WatchedConnector,
     make_runner_session,
     make_socket,
@@ -151,7 +151,7 @@
 def test_a_request_that_was_given_up_in_silence_ends_their_use_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connections, "OWED_SILENCE_SECONDS", AT_ONCE_SECONDS / 2)
+    monkeypatch.setattr(connections, "UNANSWERED_LIMIT_SECONDS", AT_ONCE_SECONDS / 2)
 
     async def use(server: SilencedServer, session: aiohttp.ClientSession) -> None:
         client = HttpRunnerClient(session)
@@ -209,7 +209,7 @@
     made = make_socket((socket.AF_INET, socket.SOCK_STREAM, 0, "", ("127.0.0.1", 1)))
     with made:
         limit = made.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
-        assert limit == SILENCE_LIMIT_MS
+        assert limit == UNACKNOWLEDGED_LIMIT_MS
         assert made.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
         assert made.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE) == PROBE_IDLE_SECONDS
 
--- a/tests/fleet/test_unreadable_items.py
+++ b/tests/fleet/test_unreadable_items.py
@@ -14,7 +14,7 @@
 from hillstack.daemon.change_log import StoredItem
 from hillstack.platform import names
 from hillstack.platform.bodies import StoreItem
-from hillstack.platform.store import MetadataStore, _stored
+from hillstack.platform.store import MetadataStore, _to_stored_item
 from hillstack.serving.fleet_state import FleetState
 from tests.fleet.builders import ENGINES, MODEL, make_route, make_state, make_table, rev
 
@@ -138,7 +138,7 @@
     state, store = make_state(make_table(make_route())), make_store()
     take(state, store, entry(10))
     for text in ("%%%", "abc", "é", "YQ"):
-        take(state, store, _stored(StoreItem(names.RUNNERS_PREFIX + "i-1", 12, text), 0))
+        take(state, store, _to_stored_item(StoreItem(names.RUNNERS_PREFIX + "i-1", 12, text), 0))
         assert usable(state) == []
 
 
@@ -184,7 +184,7 @@
 
 @given(st.text(max_size=40))
 def test_no_text_of_a_value_ends_the_reading(text: str) -> None:
-    item = _stored(StoreItem(names.RUNNERS_PREFIX + "i-1", 12, text), 0)
+    item = _to_stored_item(StoreItem(names.RUNNERS_PREFIX + "i-1", 12, text), 0)
     assert make_store().read_items([item])[0].item is item
 
 
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -141,7 +141,7 @@
     Mutation(
         "crossed answers are taken",
         "platform/connections.py",
-        "if answered is None or self._expected_id is None or answered == self._expected_id:",
+        "if answered_id is None or self._expected_id is None or answered_id == self._expected_id:",
         "if True:",
     ),
     Mutation(
@@ -548,7 +548,7 @@
     Mutation(
         "connections that rest beside a silent one are used again",
         "platform/connections.py",
-        'return heard_at > self._found_at.get(endpoint, float("-inf"))',
+        'return received_at > self._silent_at.get(endpoint, float("-inf"))',
         "return True",
     ),
     Mutation(
@@ -964,7 +964,7 @@
     Mutation(
         "conditions of an earlier era are asked for",
         "platform/store.py",
-        "if counted_in - {self.era}:",
+        "if condition_eras - {self.era}:",
         "if False:",
     ),
     Mutation(
