--- a/src/hillstack/platform/connections.py
+++ b/src/hillstack/platform/connections.py
@@ -48,7 +48,7 @@
 # A connection that is closed while an answer is due, and that delivered no bytes for this long,
 # counts as silent. The time equals TCP_USER_TIMEOUT. Calls with a shorter limit report their own
 # time-outs through ``note_silence``.
-UNANSWERED_LIMIT_SECONDS = UNACKNOWLEDGED_LIMIT_MS / 1000
+OWED_SILENCE_SECONDS = UNACKNOWLEDGED_LIMIT_MS / 1000
 # Addresses whose last silence is recorded: several times the runners of the largest deployment.
 MAX_SILENT_ADDRESSES = 8_192
 
@@ -168,7 +168,7 @@
         payload = self._payload
         answer_due = self._awaiting_head or (payload is not None and not payload.is_eof())
         silent_since = max(self._read_started_at, self._received_at)
-        timed_out = answer_due and clock.seconds() - silent_since >= UNANSWERED_LIMIT_SECONDS
+        timed_out = answer_due and clock.seconds() - silent_since >= OWED_SILENCE_SECONDS
         if timed_out or (isinstance(exc, OSError) and exc.errno == errno.ETIMEDOUT):
             self._silent.record(self._endpoint)
 
--- a/tests/fleet/test_adapter_boundary.py
+++ b/tests/fleet/test_adapter_boundary.py
@@ -1,4 +1,4 @@
-"""Nothing outside the adapter knows the names of the users' platform."""
+"""The platform's protocol names appear only in the adapter ``hillstack.platform``."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 SOURCE = Path(__file__).parents[2] / "src" / "hillstack"
 ADAPTER = SOURCE / "platform"
 
-# Names that mean nothing else. Words that the product uses for itself are not listed, such as
-# "tenant" and the path of the readiness question, which the OpenAI dialect's routers have too.
+# Names that occur only in the platform's protocol. Words that hillstack itself uses are not listed,
+# such as "tenant" and the path of the readiness check, which routers with an OpenAI-compatible API
+# also have.
 HEADERS = (
     names.REQUEST_ID,
     names.DEADLINE,
@@ -61,29 +62,29 @@
     'expected_count"',
     'next_token"',
 )
-STAND_INS = ("fleet_store.py", "fleet_runner.py", "fleet_cache.py")
-# The OpenAI dialect of today's routers has these words of its own.
-OWN_WORDS = {"x-request-id"}
+EMULATORS = ("fleet_store.py", "fleet_runner.py", "fleet_cache.py")
+# Header names of the OpenAI-compatible API that contain a name of the platform.
+OPENAI_HEADERS = {"x-request-id"}
 
 
 def product_sources() -> list[Path]:
-    stand_ins = {SOURCE / "emulator" / name for name in STAND_INS}
+    emulator_paths = {SOURCE / "emulator" / name for name in EMULATORS}
     paths = [path for path in SOURCE.rglob("*.py") if ADAPTER not in path.parents]
-    return [path for path in paths if path not in stand_ins]
+    return [path for path in paths if path not in emulator_paths]
 
 
 @pytest.mark.parametrize("name", [*HEADERS, *PATHS, *FIELDS])
-def test_a_name_of_the_platform_stands_only_in_the_adapter(name: str) -> None:
-    wanted = name.lower()
+def test_platform_name_appears_only_in_the_adapter(name: str) -> None:
+    lowered_name = name.lower()
     for path in product_sources():
         text = path.read_text().lower()
-        for own in OWN_WORDS:
-            text = text.replace(own, "")
-        assert wanted not in text, f"{path.relative_to(SOURCE)} knows {name!r}"
+        for header in OPENAI_HEADERS:
+            text = text.replace(header, "")
+        assert lowered_name not in text, f"{path.relative_to(SOURCE)} knows {name!r}"
 
 
 @pytest.mark.parametrize("name", [*HEADERS, *PATHS])
-def test_the_stand_ins_take_the_names_from_the_adapter(name: str) -> None:
-    for stand_in in STAND_INS:
-        text = (SOURCE / "emulator" / stand_in).read_text()
+def test_emulators_import_the_names_from_the_adapter(name: str) -> None:
+    for emulator in EMULATORS:
+        text = (SOURCE / "emulator" / emulator).read_text()
         assert f'"{name}"' not in text
--- a/tests/fleet/test_connections.py
+++ b/tests/fleet/test_connections.py
@@ -1,4 +1,4 @@
-"""Requests to runners over sockets: crossed, cut, unframed and refused answers."""
+"""Requests to runners over sockets: mismatched, truncated, unframed and refused answers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     )
 
 
-def whole(request_id: str, body: bytes = b"body") -> bytes:
+def complete_answer(request_id: str, body: bytes = b"body") -> bytes:
     return head(request_id, f"Content-Length: {len(body)}") + body
 
 
@@ -43,7 +43,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection with a reset: without lingering, closing drops what is unsent."""
+    """Close a connection with a reset: with a linger time of 0, closing discards unsent data."""
     raw: socket.socket = writer.get_extra_info("socket")
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -76,12 +76,12 @@
         answer.close()
 
 
-def test_method_target_body_and_own_headers_reach_the_runner() -> None:
+def test_runner_receives_method_target_body_and_headers() -> None:
     seen: list[bytes] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         seen.append(await read_request(reader))
-        writer.write(whole("r-1"))
+        writer.write(complete_answer("r-1"))
 
     async def use(client: HttpRunnerClient, dispatch: Dispatch) -> None:
         full = replace(dispatch, tenant="t", salt="s", weights_version=3, last_event_id=7)
@@ -112,7 +112,7 @@
 def test_an_answer_to_another_request_is_passed_over() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
-        writer.write(whole("r-0", b"late") + whole("r-1", b"right"))
+        writer.write(complete_answer("r-0", b"late") + complete_answer("r-1", b"right"))
 
     async def use(client: HttpRunnerClient, dispatch: Dispatch) -> None:
         assert await take(client, dispatch) == b"right"
@@ -120,14 +120,14 @@
     run_against(serve, use)
 
 
-def test_bytes_after_an_answer_end_the_connection() -> None:
+def test_connection_with_bytes_after_an_answer_is_not_reused() -> None:
     connections: list[int] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connections.append(1)
         await read_request(reader)
         request_id = f"r-{len(connections)}"
-        writer.write(whole(request_id, b"first") + whole("r-9", b"extra"))
+        writer.write(complete_answer(request_id, b"first") + complete_answer("r-9", b"extra"))
         await reader.read()
 
     async def use(client: HttpRunnerClient, dispatch: Dispatch) -> None:
@@ -138,17 +138,17 @@
     assert len(connections) == 2
 
 
-def test_bytes_that_come_later_on_a_resting_connection_end_it() -> None:
+def test_idle_connection_that_receives_bytes_is_not_reused() -> None:
     connections: list[int] = []
     extra_sent = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connections.append(1)
         await read_request(reader)
-        writer.write(whole(f"r-{len(connections)}"))
+        writer.write(complete_answer(f"r-{len(connections)}"))
         await writer.drain()
         await asyncio.sleep(0.05)
-        writer.write(whole("r-1", b"again"))
+        writer.write(complete_answer("r-1", b"again"))
         await writer.drain()
         extra_sent.set()
         await reader.read()
@@ -163,7 +163,7 @@
     assert len(connections) == 2
 
 
-def test_an_unframed_answer_is_complete_when_its_connection_ends() -> None:
+def test_unframed_answer_is_complete_when_its_connection_is_closed() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(head("r-1") + b"no length")
@@ -175,7 +175,7 @@
     run_against(serve, use)
 
 
-def test_an_unframed_answer_that_is_reset_is_broken() -> None:
+def test_unframed_answer_that_ends_in_a_reset_is_broken() -> None:
     release = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize("framing", ["Content-Length: 100", "Transfer-Encoding: chunked"])
-def test_a_framed_answer_that_ends_early_is_broken(framing: str) -> None:
+def test_framed_answer_that_ends_early_is_broken(framing: str) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(head("r-1", framing) + b"5\r\nhello\r\n")
@@ -261,7 +261,7 @@
     run_against(serve, use)
 
 
-def test_a_runner_that_is_not_there_has_not_run_it() -> None:
+def test_request_to_an_unreachable_runner_was_not_executed() -> None:
     async def main() -> None:
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
@@ -283,7 +283,7 @@
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         requests.append(await read_request(reader))
         if len(requests) == 1:
-            writer.write(whole("r-1"))
+            writer.write(complete_answer("r-1"))
             requests.append(await read_request(reader))
         writer.transport.abort()
 
@@ -298,7 +298,7 @@
     assert len(requests) == 2
 
 
-def test_giving_an_answer_up_closes_its_connection() -> None:
+def test_abandoning_an_answer_closes_its_connection() -> None:
     closed = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/fleet/test_formats.py
+++ b/tests/fleet/test_formats.py
@@ -1,4 +1,4 @@
-"""What the platform's words about tenants mean, and which ones are refused."""
+"""Parsing of tenants' rate limits and of request headers, and rejection of invalid limits."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
     return keys["key-1"].limit
 
 
-def test_a_limit_in_tokens() -> None:
+def test_limit_in_tokens() -> None:
     limit = limit_of(unit="tokens", plain_tokens=200, rate_per_s=297_131, burst=100_000)
     assert limit == TenantLimit(297_131, 100_000, LimitUnit.TOKENS, 200)
 
 
-def test_a_limit_in_requests() -> None:
+def test_limit_in_requests() -> None:
     limit = limit_of(rate_per_s=20, burst=10)
     assert limit == TenantLimit(20, 10, LimitUnit.REQUESTS, 0)
 
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize(
     "fields", [{}, {"rate_per_s": 0, "burst": 5}, {"rate_per_s": None, "unit": None}]
 )
-def test_no_rate_is_no_limit(fields: dict[str, Any]) -> None:
+def test_tenant_without_a_rate_has_no_limit(fields: dict[str, Any]) -> None:
     assert limit_of(**fields) is None
 
 
@@ -58,7 +58,9 @@
         ({"rate_per_s": 5, "unit": "bytes"}, "unit"),
     ],
 )
-def test_nonsense_is_refused_and_named(fields: dict[str, Any], named: str) -> None:
+def test_invalid_limit_is_rejected_with_the_name_of_its_field(
+    fields: dict[str, Any], named: str
+) -> None:
     with pytest.raises(PlatformError, match=named):
         limit_of(**fields)
 
@@ -67,12 +69,12 @@
     ("usage", "tokens"),
     [("1460,80", 1_540), ("1460, 80", 1_540), ("", None), ("1460", None), ("a,b", None)],
 )
-def test_what_a_request_counts_as(usage: str, tokens: int | None) -> None:
+def test_tokens_charged_for_a_request(usage: str, tokens: int | None) -> None:
     assert parse_usage(usage) == tokens
 
 
-class KeepingServing:
-    """Keeps the request that it is given."""
+class RecordingServing:
+    """Stores the request that it receives."""
 
     def __init__(self) -> None:
         self.request: ServingRequest | None = None
@@ -81,17 +83,17 @@
         self.request = request
 
 
-async def _no_more() -> dict[str, Any]:
+async def _receive_empty_body() -> dict[str, Any]:
     return {"type": "http.request", "body": b"", "more_body": False}
 
 
-async def _ignore(message: Any) -> None:
+async def _discard(message: Any) -> None:
     return
 
 
-def taken_over(headers: dict[str, str]) -> ServingRequest:
-    """Return what a caller's request becomes."""
-    serving = KeepingServing()
+def received_request(headers: dict[str, str]) -> ServingRequest:
+    """Return the request that the ingress makes of a caller's headers."""
+    serving = RecordingServing()
     ingress = Ingress(serving, lambda: 0.0, lambda: 1_000, lambda: False, lambda: False)
     scope = {
         "type": "http",
@@ -100,7 +102,7 @@
         "query_string": b"",
         "headers": [(name.lower().encode(), value.encode()) for name, value in headers.items()],
     }
-    asyncio.run(ingress(scope, _no_more, _ignore))
+    asyncio.run(ingress(scope, _receive_empty_body, _discard))
     assert serving.request is not None
     return serving.request
 
@@ -123,15 +125,17 @@
         names.EXPECT_VERSION,
     ],
 )
-def test_what_only_the_router_may_set_is_not_passed_on(
+def test_headers_that_only_the_router_may_set_are_not_forwarded(
     name: str, last_event: dict[str, str]
 ) -> None:
-    request = taken_over({names.REQUEST_ID: "r-1", name: "theirs", "X-Own": "kept", **last_event})
+    request = received_request(
+        {names.REQUEST_ID: "r-1", name: "theirs", "X-Own": "kept", **last_event}
+    )
     assert request.headers == [(b"x-own", b"kept")]
 
 
-def test_the_size_that_counts_is_the_prompt_and_the_most_that_may_be_generated() -> None:
+def test_charged_tokens_are_the_prompt_plus_the_maximum_to_generate() -> None:
     usage = {names.TOKEN_USAGE: "1460,80", names.LENGTH_HINT: "9"}
-    request = taken_over({names.REQUEST_ID: "r-1", names.PROMPT_PARTS: "a:1460", **usage})
+    request = received_request({names.REQUEST_ID: "r-1", names.PROMPT_PARTS: "a:1460", **usage})
     assert request.tokens == 1_540
     assert request.shape is not None and request.shape.output_tokens == 9
--- a/tests/fleet/test_rollout_store.py
+++ b/tests/fleet/test_rollout_store.py
@@ -1,4 +1,4 @@
-"""What is written to the store of a rollout, on which conditions, and what a person is shown."""
+"""Rollout records and statuses in the store, the conditions of their writes, and their listing."""
 
 from __future__ import annotations
 
@@ -45,119 +45,119 @@
 
 
 def with_store(scenario: Scenario) -> None:
-    """Play a scenario with the stand-in of the store, over HTTP."""
+    """Run a scenario against an emulated store over HTTP."""
 
-    async def play() -> None:
-        stand_in = FleetStore()
+    async def main() -> None:
+        emulated_store = FleetStore()
         address = f"127.0.0.1:{free_ports(1)[0]}"
-        server: uvicorn.Server = make_server(stand_in.app(), address)
+        server: uvicorn.Server = make_server(emulated_store.app(), address)
         serving = asyncio.create_task(server.serve())
         while not server.started:  # noqa: ASYNC110 (uvicorn offers no event)
             await asyncio.sleep(0.01)
         session = make_store_session()
         try:
-            await scenario(stand_in, MetadataStore(address, session), address)
+            await scenario(emulated_store, MetadataStore(address, session), address)
         finally:
             await session.close()
             server.should_exit = True
             await serving
 
-    asyncio.run(play())
+    asyncio.run(main())
 
 
-def begin(stand_in: FleetStore) -> tuple[RolloutRecord, int]:
-    """Put an order and a duty; return the first record to write, and the fence."""
-    order = stand_in.put(ORDER_KEY, ORDER)
-    fence = stand_in.put(rollout_duty_key(SERVICE), b"node-1")
+def write_order_and_duty(emulated_store: FleetStore) -> tuple[RolloutRecord, int]:
+    """Write an order and a duty key; return the first record to write, and the duty's fence."""
+    order = emulated_store.put(ORDER_KEY, ORDER)
+    fence = emulated_store.put(rollout_duty_key(SERVICE), b"node-1")
     return RolloutRecord(SERVICE, "v2", rev(order), RolloutStage.CANARY, "ordered", ("v0",)), fence
 
 
-def told(stand_in: FleetStore) -> object:
-    value = stand_in.value(STATUS_KEY)
+def operator_status(emulated_store: FleetStore) -> object:
+    value = emulated_store.value(STATUS_KEY)
     return json.loads(value) if value is not None else None
 
 
 def test_record_and_status_are_written_together() -> None:
-    async def scenario(stand_in: FleetStore, store: MetadataStore, address: str) -> None:
-        record, fence = begin(stand_in)
+    async def scenario(emulated_store: FleetStore, store: MetadataStore, address: str) -> None:
+        record, fence = write_order_and_duty(emulated_store)
         record = replace(record, elapsed_seconds=1.5)
         revision = await store.write_rollout(record, rev(fence), True)
-        assert told(stand_in) == {"state": "running", "target_version": "v2"}
+        assert operator_status(emulated_store) == {"state": "running", "target_version": "v2"}
         assert revision is not None
         assert await store.read_rollout(SERVICE) == replace(record, revision=revision)
 
     with_store(scenario)
 
 
-def test_the_status_stays_while_the_traffic_shifts() -> None:
-    async def scenario(stand_in: FleetStore, store: MetadataStore, address: str) -> None:
-        record, fence = begin(stand_in)
+def test_status_is_unchanged_while_traffic_shifts() -> None:
+    async def scenario(emulated_store: FleetStore, store: MetadataStore, address: str) -> None:
+        record, fence = write_order_and_duty(emulated_store)
         revision = await store.write_rollout(record, rev(fence), True)
         assert revision is not None
-        before = stand_in.value(STATUS_KEY)
+        before = emulated_store.value(STATUS_KEY)
         shifting = replace(record, stage=RolloutStage.SHIFTING, revision=revision)
         revision = await store.write_rollout(shifting, rev(fence), False)
         assert revision is not None
-        assert stand_in.value(STATUS_KEY) == before
+        assert emulated_store.value(STATUS_KEY) == before
         complete = replace(record, stage=RolloutStage.COMPLETE, revision=revision)
         assert await store.write_rollout(complete, rev(fence), True) is not None
-        assert told(stand_in) == {"state": "complete", "target_version": "v2"}
+        assert operator_status(emulated_store) == {"state": "complete", "target_version": "v2"}
 
     with_store(scenario)
 
 
 @pytest.mark.parametrize("moved", ["order", "order gone", "record", "duty", "duty gone"])
-def test_nothing_is_written_once_what_it_rests_on_has_moved(moved: str) -> None:
-    async def scenario(stand_in: FleetStore, store: MetadataStore, address: str) -> None:
-        record, fence = begin(stand_in)
+def test_nothing_is_written_if_order_record_or_duty_changed(moved: str) -> None:
+    async def scenario(emulated_store: FleetStore, store: MetadataStore, address: str) -> None:
+        record, fence = write_order_and_duty(emulated_store)
         if moved == "order":
-            stand_in.put(ORDER_KEY, ORDER)
+            emulated_store.put(ORDER_KEY, ORDER)
         elif moved == "order gone":
-            stand_in.remove(ORDER_KEY)
+            emulated_store.remove(ORDER_KEY)
         elif moved == "record":
-            stand_in.put(names.ROLLOUT_RECORDS_PREFIX + SERVICE, b"{}")
+            emulated_store.put(names.ROLLOUT_RECORDS_PREFIX + SERVICE, b"{}")
         elif moved == "duty":
-            stand_in.put(rollout_duty_key(SERVICE), b"node-2")
+            emulated_store.put(rollout_duty_key(SERVICE), b"node-2")
         else:
-            stand_in.remove(rollout_duty_key(SERVICE))
+            emulated_store.remove(rollout_duty_key(SERVICE))
         assert await store.write_rollout(record, rev(fence), True) is None
-        assert told(stand_in) is None
+        assert operator_status(emulated_store) is None
 
     with_store(scenario)
 
 
-def test_a_service_without_a_record_has_none() -> None:
-    async def scenario(stand_in: FleetStore, store: MetadataStore, address: str) -> None:
+def test_missing_record_is_read_as_none() -> None:
+    async def scenario(emulated_store: FleetStore, store: MetadataStore, address: str) -> None:
         assert await store.read_rollout(SERVICE) is None
 
     with_store(scenario)
 
 
-def test_a_condition_on_a_value_is_an_error_not_taken_for_absence() -> None:
-    async def scenario(stand_in: FleetStore, store: MetadataStore, address: str) -> None:
+def test_condition_on_a_value_raises_instead_of_meaning_absence() -> None:
+    async def scenario(emulated_store: FleetStore, store: MetadataStore, address: str) -> None:
         with pytest.raises(PlatformError):
             await store.transact([ValueIs("key", b"value")], [Put("key", b"other")])
-        assert stand_in.value("key") is None
+        assert emulated_store.value("key") is None
 
     with_store(scenario)
 
 
-def test_a_write_on_the_revision_of_a_key() -> None:
-    async def scenario(stand_in: FleetStore, store: MetadataStore, address: str) -> None:
-        first = stand_in.put("key", b"1")
+def test_write_with_a_condition_on_the_revision_of_a_key() -> None:
+    async def scenario(emulated_store: FleetStore, store: MetadataStore, address: str) -> None:
+        first = emulated_store.put("key", b"1")
         assert await store.transact([RevisionIs("key", rev(first + 1))], [Put("key", b"2")]) is None
         assert await store.transact([RevisionIs("key", rev(first))], [Put("key", b"2")]) is not None
 
     with_store(scenario)
 
 
-def test_the_holder_of_a_duty_is_heard_and_its_end() -> None:
+def test_duty_key_yields_its_holder_and_its_release() -> None:
     key = rollout_duty_key(SERVICE)
     assert to_event(StoredItem(key, rev(3), b"node-1")) == RolloutDutyHeld(SERVICE, "node-1")
     assert to_event(StoredItem(key, rev(4), None)) == RolloutDutyHeld(SERVICE, None)
 
 
-def test_an_order_that_a_whole_list_no_longer_has_stands_no_more() -> None:
+def test_order_missing_from_a_newer_full_list_is_withdrawn() -> None:
     state = make_state(make_table(make_route()))
     state.apply(RolloutOrdered(RolloutOrder(SERVICE, "v2", 12.0, rev(5))), 0.0)
     state.apply(RolloutDutyHeld(SERVICE, "node-1"), 0.0)
@@ -172,7 +172,7 @@
     assert state.rollout_deciders == {SERVICE: None}
 
 
-def test_a_stage_is_logged_once_however_often_its_record_is_written(
+def test_stage_is_logged_once_for_repeated_records(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     state = make_state(make_table(make_route()))
@@ -185,23 +185,23 @@
     assert [line.message for line in caplog.records].count("rollout stage") == 2
 
 
-def test_a_withdrawn_order_is_heard() -> None:
+def test_removed_order_yields_a_withdrawal() -> None:
     assert to_event(StoredItem(ORDER_KEY, rev(7), None)) == RolloutWithdrawn(SERVICE, rev(7))
 
 
-async def show(address: str, *options: str) -> tuple[int, str]:
-    """Run the command in a thread of its own, beside the stand-in."""
+async def run_rollouts_command(address: str, *options: str) -> tuple[int, str]:
+    """Run ``fleet rollouts`` in a separate thread while the emulated store serves."""
     arguments = ["fleet", "rollouts", "--store", address, *options]
     result = await asyncio.to_thread(CliRunner().invoke, app, arguments)
     return result.exit_code, result.output
 
 
-def test_rollouts_are_shown_with_their_reason() -> None:
-    async def scenario(stand_in: FleetStore, store: MetadataStore, address: str) -> None:
-        record, fence = begin(stand_in)
+def test_rollouts_are_listed_with_their_reason() -> None:
+    async def scenario(emulated_store: FleetStore, store: MetadataStore, address: str) -> None:
+        record, fence = write_order_and_duty(emulated_store)
         reverted = replace(record, stage=RolloutStage.REVERTED, reason="route r: 9 of 12 failed")
         await store.write_rollout(reverted, rev(fence), True)
-        code, output = await show(address)
+        code, output = await run_rollouts_command(address)
         assert code == 0
         for text in (SERVICE, "stands", "v2", "reverted v2", "9 of 12 failed"):
             assert text in output
@@ -209,12 +209,12 @@
     with_store(scenario)
 
 
-def test_a_record_of_an_earlier_order_is_not_shown_as_the_stage_of_this_one() -> None:
-    async def scenario(stand_in: FleetStore, store: MetadataStore, address: str) -> None:
-        record, fence = begin(stand_in)
+def test_record_of_an_earlier_order_is_not_listed_as_the_stage_of_the_current_one() -> None:
+    async def scenario(emulated_store: FleetStore, store: MetadataStore, address: str) -> None:
+        record, fence = write_order_and_duty(emulated_store)
         await store.write_rollout(replace(record, stage=RolloutStage.REVERTED), rev(fence), True)
-        stand_in.put(ORDER_KEY, ORDER.replace(b"v2", b"v3"))
-        code, output = await show(address, "--output", "json")
+        emulated_store.put(ORDER_KEY, ORDER.replace(b"v2", b"v3"))
+        code, output = await run_rollouts_command(address, "--output", "json")
         assert code == 0
         row = json.loads(output)[0]
         assert (row["target"], row["stage"], row["told"]) == ("v3", "not begun", "reverted v2")
@@ -222,10 +222,10 @@
     with_store(scenario)
 
 
-def test_a_store_that_is_down_is_an_error_of_the_platform() -> None:
-    async def scenario(stand_in: FleetStore, store: MetadataStore, address: str) -> None:
-        stand_in.down = True
-        code, output = await show(address)
+def test_unavailable_store_exits_with_a_platform_error() -> None:
+    async def scenario(emulated_store: FleetStore, store: MetadataStore, address: str) -> None:
+        emulated_store.down = True
+        code, output = await run_rollouts_command(address)
         assert code == ExitCode.PLATFORM and "503" in output
 
     with_store(scenario)
--- a/tests/fleet/test_silent_connections.py
+++ b/tests/fleet/test_silent_connections.py
@@ -1,4 +1,7 @@
-"""Open connections that go silent for good, without a reset, while new ones work."""
+"""Open connections that become silent without a reset while new connections work.
+
+Such connections must not be reused: each reuse would cost a request its whole time-out.
+"""
 
 from __future__ import annotations
 
@@ -26,19 +29,19 @@
 from hillstack.serving.types import Dispatch
 from tests.fleet.builders import make_request
 
-# Shorter than the limit of any call, so that a connection that rests is in use again.
-AT_ONCE_SECONDS = 0.2
-# A test that hangs fails after that long.
-WAIT_SECONDS = 30.0
+# Shorter than the time limit of any call, so an idle connection is still reusable.
+SHORT_WAIT_SECONDS = 0.2
+# Time after which a hanging test fails.
+TEST_LIMIT_SECONDS = 30.0
 
 
 @dataclass
 class SilencedServer:
-    """Answers each request until its connection is silenced; then it reads and says nothing."""
+    """Answers requests until the connection is silenced, then only reads from it."""
 
     opened: int = 0
     answered: int = 0
-    _heard: set[int] = field(default_factory=set)
+    _answering: set[int] = field(default_factory=set)
     address: str = ""
     _server: asyncio.Server | None = None
 
@@ -47,7 +50,7 @@
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def silence_open_connections(self) -> None:
-        self._heard.clear()
+        self._answering.clear()
 
     def close(self) -> None:
         assert self._server is not None
@@ -56,16 +59,16 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.opened += 1
         number = self.opened
-        self._heard.add(number)
+        self._answering.add(number)
         try:
             while True:
                 raw = await reader.readuntil(b"\r\n\r\n")
                 fields = dict(line.split(b": ", 1) for line in raw.split(b"\r\n")[1:] if line)
                 lowered = {key.lower(): value for key, value in fields.items()}
                 await reader.readexactly(int(lowered.get(b"content-length", b"0")))
-                # Together with those beside it, so that each has a connection of its own.
-                await asyncio.sleep(AT_ONCE_SECONDS / 10)
-                if number in self._heard:
+                # Concurrent requests overlap during the delay, so each gets its own connection.
+                await asyncio.sleep(SHORT_WAIT_SECONDS / 10)
+                if number in self._answering:
                     self.answered += 1
                     writer.write(self._answer(lowered))
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -89,7 +92,7 @@
         await server.start()
         session = make_session()
         try:
-            async with asyncio.timeout(WAIT_SECONDS):
+            async with asyncio.timeout(TEST_LIMIT_SECONDS):
                 await use(server, session)
         finally:
             await session.close()
@@ -107,14 +110,14 @@
         answer.close()
 
 
-async def all_of(work: Iterable[Awaitable[object]]) -> None:
+async def run_concurrently(work: Iterable[Awaitable[object]]) -> None:
     await asyncio.gather(*work)
 
 
-def test_a_renewal_that_had_no_answer_is_repeated_over_a_new_connection() -> None:
+def test_unanswered_lease_renewal_is_repeated_over_a_new_connection() -> None:
     async def use(server: SilencedServer, session: aiohttp.ClientSession) -> None:
         store = MetadataStore(server.address, session)
-        await all_of(store.keep_alive(number) for number in range(3))
+        await run_concurrently(store.keep_alive(number) for number in range(3))
         assert server.opened == 3
         server.silence_open_connections()
         with pytest.raises(PlatformOutcomeUnknownError):
@@ -125,7 +128,7 @@
     run(make_store_session, use)
 
 
-def test_calls_that_are_answered_share_their_connections() -> None:
+def test_answered_calls_share_a_connection() -> None:
     async def use(server: SilencedServer, session: aiohttp.ClientSession) -> None:
         store = MetadataStore(server.address, session)
         for number in range(5):
@@ -135,10 +138,10 @@
     run(make_store_session, use)
 
 
-def test_a_question_without_an_answer_ends_the_use_of_those_that_rested_beside_it() -> None:
+def test_unanswered_call_ends_reuse_of_idle_connections_to_its_address() -> None:
     async def use(server: SilencedServer, session: aiohttp.ClientSession) -> None:
         client = HttpRunnerClient(session)
-        await all_of(send(client, server.address, f"r-{number}") for number in range(3))
+        await run_concurrently(send(client, server.address, f"r-{number}") for number in range(3))
         server.silence_open_connections()
         with pytest.raises(BackendError):
             await client.report("i-1", server.address)
@@ -148,17 +151,17 @@
     run(make_runner_session, use)
 
 
-def test_a_request_that_was_given_up_in_silence_ends_their_use_too(
+def test_request_cancelled_after_silence_ends_reuse_of_idle_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connections, "UNANSWERED_LIMIT_SECONDS", AT_ONCE_SECONDS / 2)
+    monkeypatch.setattr(connections, "OWED_SILENCE_SECONDS", SHORT_WAIT_SECONDS / 2)
 
     async def use(server: SilencedServer, session: aiohttp.ClientSession) -> None:
         client = HttpRunnerClient(session)
-        await all_of(send(client, server.address, f"r-{number}") for number in range(3))
+        await run_concurrently(send(client, server.address, f"r-{number}") for number in range(3))
         server.silence_open_connections()
         with pytest.raises(TimeoutError):
-            async with asyncio.timeout(AT_ONCE_SECONDS):
+            async with asyncio.timeout(SHORT_WAIT_SECONDS):
                 await send(client, server.address, "r-4")
         assert await send(client, server.address, "r-5") == b"body"
         assert server.opened == 4
@@ -166,10 +169,10 @@
     run(make_runner_session, use)
 
 
-def test_a_request_that_is_given_up_at_once_leaves_the_others_in_use() -> None:
+def test_request_cancelled_at_once_keeps_idle_connections_reusable() -> None:
     async def use(server: SilencedServer, session: aiohttp.ClientSession) -> None:
         client = HttpRunnerClient(session)
-        await all_of(send(client, server.address, f"r-{number}") for number in range(3))
+        await run_concurrently(send(client, server.address, f"r-{number}") for number in range(3))
         leaving = asyncio.create_task(send(client, server.address, "r-4"))
         await asyncio.sleep(0)
         leaving.cancel()
@@ -180,7 +183,7 @@
     run(make_runner_session, use)
 
 
-def test_silence_at_one_address_says_nothing_of_another() -> None:
+def test_silence_at_one_address_does_not_affect_another() -> None:
     async def use(server: SilencedServer, session: aiohttp.ClientSession) -> None:
         client = HttpRunnerClient(session)
         await send(client, server.address, "r-1")
@@ -198,7 +201,7 @@
 
 
 @pytest.mark.parametrize("make_session", [make_runner_session, make_store_session])
-def test_the_system_watches_connections_too(
+def test_sockets_have_tcp_keepalive_and_user_timeout(
     make_session: Callable[[], aiohttp.ClientSession],
 ) -> None:
     async def use(server: SilencedServer, session: aiohttp.ClientSession) -> None:
@@ -214,11 +217,11 @@
         assert made.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE) == PROBE_IDLE_SECONDS
 
 
-def test_connections_to_a_process_that_has_ended_are_not_used_for_the_next_one() -> None:
-    # Its machine went down without a word: to this one they look open.
+def test_connections_to_an_ended_process_are_not_reused_for_its_successor() -> None:
+    # The process's machine failed without closing its connections, so they still look open here.
     async def use(server: SilencedServer, session: aiohttp.ClientSession) -> None:
         client = HttpRunnerClient(session)
-        await all_of(send(client, server.address, f"r-{number}") for number in range(3))
+        await run_concurrently(send(client, server.address, f"r-{number}") for number in range(3))
         server.silence_open_connections()
         note_silence(session, server.address)
         assert await send(client, server.address, "r-4") == b"body"
--- a/tests/fleet/test_unreadable_items.py
+++ b/tests/fleet/test_unreadable_items.py
@@ -1,4 +1,7 @@
-"""Items of the store that another writer left there: what can't be read names nothing to use."""
+"""Invalid items in the store, written by another program: none of them may take effect.
+
+An item that can't be decoded counts as removed, and reading the other items goes on.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +35,7 @@
     names.ROLLOUT_RECORDS_PREFIX + ENGINES,
     "another/key",
 )
-GOOD: dict[str, Any] = {
+VALID_ENTRY: dict[str, Any] = {
     "service": ENGINES,
     "address": "10.0.0.9:8000",
     "zone": "zone-a",
@@ -51,18 +54,26 @@
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     max_leaves=8,
 )
-# Bodies that are nearly right: each field may be missing, or hold anything.
-near_misses = st.fixed_dictionaries(
+# Bodies with the right field names: each field may be missing or have any value.
+arbitrary_bodies = st.fixed_dictionaries(
     {},
     optional={
         name: json_values
-        for name in (*GOOD, "model", "target_version", "over_s", "routes", "tenants", "stage")
+        for name in (
+            *VALID_ENTRY,
+            "model",
+            "target_version",
+            "over_s",
+            "routes",
+            "tenants",
+            "stage",
+        )
     },
 )
 values = st.one_of(
     st.binary(max_size=200),
     json_values.map(lambda value: json.dumps(value).encode()),
-    near_misses.map(lambda value: json.dumps(value).encode()),
+    arbitrary_bodies.map(lambda value: json.dumps(value).encode()),
 )
 
 
@@ -71,87 +82,89 @@
     return MetadataStore("10.0.0.1:1", session, on_unreadable)
 
 
-def take(state: FleetState, store: MetadataStore, *items: StoredItem) -> None:
+def apply_items(state: FleetState, store: MetadataStore, *items: StoredItem) -> None:
     for change in store.read_items(items):
         if change.event is not None:
             state.apply(change.event, 10.0)
 
 
 def entry(revision: int, runner_id: str = "i-1", **changes: Any) -> StoredItem:
-    body = {name: value for name, value in (GOOD | changes).items() if value is not ...}
+    body = {name: value for name, value in (VALID_ENTRY | changes).items() if value is not ...}
     return StoredItem(names.RUNNERS_PREFIX + runner_id, rev(revision), json.dumps(body).encode())
 
 
-def usable(state: FleetState) -> list[str]:
+def accepting_runners(state: FleetState) -> list[str]:
     return [runner.entry.directory_name for runner in state.pool.accepting(ENGINES, 10.0)]
 
 
 @pytest.mark.parametrize("field", ["service", "address", "zone", "slots", "state"])
-def test_an_entry_without_a_field_names_no_runner(field: str) -> None:
+def test_entry_without_a_required_field_lists_no_runner(field: str) -> None:
     state, store = make_state(make_table(make_route())), make_store()
-    take(state, store, entry(10), entry(11, "i-2"))
+    apply_items(state, store, entry(10), entry(11, "i-2"))
     without: dict[str, Any] = {field: ...}
-    take(state, store, entry(12, **without), entry(13, "i-3"))
-    assert usable(state) == ["i-2", "i-3"]
-    take(state, store, entry(14))
-    assert usable(state) == ["i-2", "i-3", "i-1"]
+    apply_items(state, store, entry(12, **without), entry(13, "i-3"))
+    assert accepting_runners(state) == ["i-2", "i-3"]
+    apply_items(state, store, entry(14))
+    assert accepting_runners(state) == ["i-2", "i-3", "i-1"]
 
 
 @pytest.mark.parametrize("field", ["service", "address", "zone", "slots", "state", "born"])
 @pytest.mark.parametrize("value", WRONG_VALUES)
-def test_an_entry_with_a_field_of_another_kind_names_no_runner(field: str, value: Any) -> None:
+def test_entry_with_a_field_of_a_wrong_type_lists_no_runner(field: str, value: Any) -> None:
     state, store = make_state(make_table(make_route())), make_store()
-    take(state, store, entry(10), entry(11, "i-2"))
+    apply_items(state, store, entry(10), entry(11, "i-2"))
     is_empty_text = field in ("service", "zone") and isinstance(value, str)
-    take(state, store, entry(12, **{field: value}))
-    expected = ["i-2"] if not is_empty_text else usable(state)
-    assert usable(state) == expected
+    apply_items(state, store, entry(12, **{field: value}))
+    expected = ["i-2"] if not is_empty_text else accepting_runners(state)
+    assert accepting_runners(state) == expected
 
 
 @pytest.mark.parametrize(
     "value", [b"", b"\xff\xfe", b"{", b"null", b"[]", b'"ready"', b"\x00" * 4_096]
 )
-def test_an_entry_of_unreadable_bytes_counts_as_removed_until_a_good_one_comes(
+def test_undecodable_entry_counts_as_removed_until_a_valid_one_follows(
     value: bytes,
 ) -> None:
     state, store = make_state(make_table(make_route())), make_store()
-    take(state, store, entry(10), entry(11, "i-2"))
-    take(state, store, StoredItem(names.RUNNERS_PREFIX + "i-1", rev(12), value))
-    assert usable(state) == ["i-2"]
-    # One that was written before the entry that is known changes nothing.
-    take(state, store, StoredItem(names.RUNNERS_PREFIX + "i-2", rev(5), value))
-    assert usable(state) == ["i-2"]
-    take(state, store, entry(13))
-    assert usable(state) == ["i-2", "i-1"]
+    apply_items(state, store, entry(10), entry(11, "i-2"))
+    apply_items(state, store, StoredItem(names.RUNNERS_PREFIX + "i-1", rev(12), value))
+    assert accepting_runners(state) == ["i-2"]
+    # An unreadable item that is older than the known entry has no effect.
+    apply_items(state, store, StoredItem(names.RUNNERS_PREFIX + "i-2", rev(5), value))
+    assert accepting_runners(state) == ["i-2"]
+    apply_items(state, store, entry(13))
+    assert accepting_runners(state) == ["i-2", "i-1"]
 
 
 @pytest.mark.parametrize("state_name", ["draining", "leaving", "READY", "starting"])
-def test_a_state_that_is_not_known_names_no_runner(state_name: str) -> None:
+def test_entry_that_is_not_ready_accepts_no_requests(state_name: str) -> None:
     state, store = make_state(make_table(make_route())), make_store()
-    take(state, store, entry(10))
-    take(state, store, entry(11, state=state_name))
-    assert usable(state) == []
+    apply_items(state, store, entry(10))
+    apply_items(state, store, entry(11, state=state_name))
+    assert accepting_runners(state) == []
     assert (len(state.pool.all()) == 1) == (state_name == "draining")
 
 
-def test_a_value_that_is_not_base64_names_no_runner() -> None:
+def test_value_that_is_not_base64_lists_no_runner() -> None:
     state, store = make_state(make_table(make_route())), make_store()
-    take(state, store, entry(10))
+    apply_items(state, store, entry(10))
     for text in ("%%%", "abc", "é", "YQ"):
-        take(state, store, _to_stored_item(StoreItem(names.RUNNERS_PREFIX + "i-1", 12, text), 0))
-        assert usable(state) == []
+        apply_items(
+            state, store, _to_stored_item(StoreItem(names.RUNNERS_PREFIX + "i-1", 12, text), 0)
+        )
+        assert accepting_runners(state) == []
 
 
-def test_a_wrong_configuration_leaves_the_last_good_one_in_force() -> None:
+def test_invalid_configuration_leaves_the_last_valid_one_in_force() -> None:
     state, store = make_state(make_table(make_route(), version=7)), make_store()
     for value in (b"", b"{}", b'{"version":"8"}', b'{"version":8,"routes":[{}]}'):
         item = StoredItem(names.CONFIGURATION_KEY, rev(20), value)
-        take(state, store, item, entry(21))
+        apply_items(state, store, item, entry(21))
         assert state.table is not None and state.table.version == 7
-        assert usable(state) == ["i-1"]
+        assert accepting_runners(state) == ["i-1"]
 
 
-def test_each_unreadable_item_is_told_once_and_never_in_full(
+def test_unreadable_item_is_logged_once_per_revision_and_shortened(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     counted: list[int] = []
@@ -161,36 +174,38 @@
     for _ in range(3):
         store.read_items([StoredItem(key, rev(12), long), StoredItem(key + "2", rev(12), b"")])
     store.read_items([StoredItem(key, rev(13), long)])
-    told = [vars(each) for each in caplog.records if each.levelno == logging.ERROR]
-    assert len(told) == len(counted) == 3
-    assert all(len(str(fields["error"])) <= 200 for fields in told)
+    logged = [vars(each) for each in caplog.records if each.levelno == logging.ERROR]
+    assert len(logged) == len(counted) == 3
+    assert all(len(str(fields["error"])) <= 200 for fields in logged)
 
 
 @given(st.lists(st.tuples(st.sampled_from(KINDS), values), max_size=8))
-def test_no_item_ends_the_reading_or_drops_another_one(found: list[tuple[str, bytes]]) -> None:
+def test_no_item_stops_reading_or_affects_another_item(contents: list[tuple[str, bytes]]) -> None:
     state, store = make_state(make_table(make_route())), make_store()
-    items = [StoredItem(key, rev(20 + number), value) for number, (key, value) in enumerate(found)]
-    take(state, store, entry(10), *items, entry(40, "i-2"))
-    assert {"i-1", "i-2"} <= set(usable(state))
+    items = [
+        StoredItem(key, rev(20 + number), value) for number, (key, value) in enumerate(contents)
+    ]
+    apply_items(state, store, entry(10), *items, entry(40, "i-2"))
+    assert {"i-1", "i-2"} <= set(accepting_runners(state))
 
 
 @given(st.text(max_size=300), st.text(max_size=100), values)
-def test_no_key_ends_the_reading(prefix: str, rest: str, value: bytes) -> None:
+def test_no_key_stops_reading(prefix: str, rest: str, value: bytes) -> None:
     state, store = make_state(make_table(make_route())), make_store()
-    take(state, store, entry(10), StoredItem(prefix + rest, rev(11), value))
+    apply_items(state, store, entry(10), StoredItem(prefix + rest, rev(11), value))
     store.listed([prefix + rest, names.RUNNERS_PREFIX, names.NODES_PREFIX + rest])
-    assert "i-1" in usable(state)
+    assert "i-1" in accepting_runners(state)
 
 
 @given(st.text(max_size=40))
-def test_no_text_of_a_value_ends_the_reading(text: str) -> None:
+def test_no_value_text_stops_reading(text: str) -> None:
     item = _to_stored_item(StoreItem(names.RUNNERS_PREFIX + "i-1", 12, text), 0)
     assert make_store().read_items([item])[0].item is item
 
 
-def test_what_the_runner_writes_is_read_whole() -> None:
+def test_all_fields_of_a_valid_entry_are_read() -> None:
     state, store = make_state(make_table(make_route())), make_store()
-    take(state, store, entry(10))
+    apply_items(state, store, entry(10))
     runner = state.pool.listed_as("i-1")
     assert runner is not None
     known = runner.entry
@@ -201,4 +216,4 @@
         8,
     )
     assert (known.started_ms, known.software, known.weights) == (1_000, "v1", {MODEL: 1})
-    assert msgspec.json.decode(msgspec.json.encode(GOOD)) == GOOD
+    assert msgspec.json.decode(msgspec.json.encode(VALID_ENTRY)) == VALID_ENTRY
