--- a/src/hillstack/platform/bodies.py
+++ b/src/hillstack/platform/bodies.py
@@ -134,7 +134,7 @@
     """The operator's order to move a service to a version of its software.
 
     Attributes:
-        over_s: Seconds within which the rollout should be completed or reverted.
+        over_s: Seconds from the order within which the rollout should be decided.
     """
 
     service: str
--- a/src/hillstack/platform/formats.py
+++ b/src/hillstack/platform/formats.py
@@ -96,7 +96,9 @@
             return NodeUnlisted(node_id)
         node = _decode(item, value, NodeBody)
         if not node_id or not _is_address(node.address):
-            raise PlatformError(f"address {node.address!r}", step="read node", peer=item.key)
+            raise PlatformError(
+                f"invalid address {node.address!r}", step="read node", peer=item.key
+            )
         return NodeListed(node_id, node.address, node.zone, item.revision, node.link_megabits)
     if key.startswith(names.ROLLOUTS_PREFIX):
         service = key[len(names.ROLLOUTS_PREFIX) :]
@@ -180,7 +182,7 @@
 def _runner_listed(instance: str, item: StoredItem, value: bytes) -> RunnerListed:
     body = _decode(item, value, RunnerBody)
     if body.state not in RUNNER_STATES:
-        raise PlatformError(f"state {body.state!r}", step="read runner", peer=item.key)
+        raise PlatformError(f"unknown state {body.state!r}", step="read runner", peer=item.key)
     is_in_range = 0 <= body.slots <= MAX_SLOTS and 0 <= body.born <= MAX_START_MS
     if not instance or not _is_address(body.address) or not is_in_range:
         text = f"address {body.address!r}, slots {body.slots}, born {body.born}"
--- a/src/hillstack/platform/ingress.py
+++ b/src/hillstack/platform/ingress.py
@@ -53,19 +53,19 @@
 
     Args:
         send: The ASGI ``send`` callable.
-        closing: Returns whether the connection should be closed after the answer.
+        should_close: Returns whether the connection should be closed after the answer.
     """
 
-    def __init__(self, send: Send, closing: Callable[[], bool]) -> None:
+    def __init__(self, send: Send, should_close: Callable[[], bool]) -> None:
         self._send = send
-        self._closing = closing
+        self._should_close = should_close
         self.started = False
 
     async def start(self, status: int, headers: HeaderList) -> None:
         """Send the status and the headers."""
         self.started = True
         headers = [(name.lower(), value) for name, value in headers]
-        if self._closing():
+        if self._should_close():
             headers.append(CLOSE_HEADER)
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
@@ -83,10 +83,10 @@
 
     Args:
         serving: Serves requests.
-        clock: Monotonic seconds.
+        clock: Returns monotonic time in seconds.
         max_body_bytes: Returns the size limit of a request body.
-        closing: Returns whether connections should be closed after an answer, so that callers move
-            to another node.
+        should_close: Returns whether connections should be closed after an answer, so that callers
+            move to another node.
         is_behind: Returns whether the event loop reads requests late, in which case their callers
             may already have disconnected.
     """
@@ -96,21 +96,21 @@
         serving: Serving,
         clock: Callable[[], float],
         max_body_bytes: Callable[[], int],
-        closing: Callable[[], bool],
+        should_close: Callable[[], bool],
         is_behind: Callable[[], bool],
     ) -> None:
         self._is_behind = is_behind
         self._serving = serving
         self._clock = clock
         self._max_body_bytes = max_body_bytes
-        self._closing = closing
+        self._should_close = should_close
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request."""
         if scope["type"] != "http":
             return
         arrived_at = self._clock()
-        sink = AsgiSink(send, self._closing)
+        sink = AsgiSink(send, self._should_close)
         try:
             body = await self._read_body(receive)
         except CallerDisconnectedError:
@@ -128,9 +128,9 @@
         self, request: ServingRequest, receive: Receive, sink: AsgiSink, scope: Scope
     ) -> None:
         """Serve a request, and cancel it as soon as the caller disconnects."""
-        serving = asyncio.current_task()
-        assert serving is not None
-        watcher = asyncio.create_task(_cancel_on_disconnect(receive, serving))
+        serving_task = asyncio.current_task()
+        assert serving_task is not None
+        watcher = asyncio.create_task(_cancel_on_disconnect(receive, serving_task))
         try:
             if self._is_behind():
                 await _yield_until_close_is_read()
@@ -186,11 +186,11 @@
     """The ASGI application that answers whether new connections should be sent to this node.
 
     Args:
-        ready: Returns whether the node accepts new connections.
+        is_ready: Returns whether the node accepts new connections.
     """
 
-    def __init__(self, ready: Callable[[], bool]) -> None:
-        self._ready = ready
+    def __init__(self, is_ready: Callable[[], bool]) -> None:
+        self._is_ready = is_ready
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one readiness check."""
@@ -198,7 +198,7 @@
             return
         status = 404
         if scope["path"] == names.READY_PATH:
-            status = 200 if self._ready() else 503
+            status = 200 if self._is_ready() else 503
         headers = [(b"content-length", b"0")]
         await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": b""})
@@ -215,11 +215,11 @@
         await asyncio.sleep(0)
 
 
-async def _cancel_on_disconnect(receive: Receive, serving: asyncio.Task[Any]) -> None:
+async def _cancel_on_disconnect(receive: Receive, serving_task: asyncio.Task[Any]) -> None:
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            serving.cancel()
+            serving_task.cancel()
             return
 
 
--- a/src/hillstack/platform/names.py
+++ b/src/hillstack/platform/names.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+# Headers of requests to this router or to runners, and of their answers.
 REQUEST_ID = "Request-Id"
 DEADLINE = "Deadline-Ms"
 API_KEY = "X-Api-Key"
@@ -30,16 +31,22 @@
 PIN = "Pin-Ms"
 HOLD = "Hold"
 
+# The highest value of ``PRIORITY``.
 MAX_PRIORITY = 9
 
+# Path of a node's readiness check.
 READY_PATH = "/readyz"
+
+# Paths of calls to runners and KV cache stores.
 REPORT_PATH = "/report"
 ORDER_PATH = "/order"
 CACHE_EVENTS_PATH = "/kv-events"
 CACHE_LIST_PATH = "/kv-list"
+# Query parameter and header of a call to ``CACHE_EVENTS_PATH``.
 SINCE_PARAMETER = "since"
 WAIT_HEADER = "Wait-Ms"
 
+# Paths of calls to the metadata store.
 RANGE_PATH = "/kv-range"
 KEY_PATH = "/kv-key"
 WATCH_PATH = "/kv-watch"
@@ -48,25 +55,31 @@
 KEEP_PATH = "/kv-keep"
 LEASE_END_PATH = "/kv-lease-end"
 
+# Query parameters of calls to the metadata store.
 PREFIX_PARAMETER = "path_prefix"
 # Allows the store to answer with data that is some seconds old, at a tenth of the cost.
 STALE_PARAMETER = "stale"
+# Header of the store's answers. The era rises each time the store is restored from an older copy.
 ERA_HEADER = "Store-Era"
 AFTER_PARAMETER = "after"
 WAIT_PARAMETER = "wait_ms"
 KEY_PARAMETER = "key"
 
+# The operation of an order to load weights, and its modes: what the runner does with the requests
+# that are running.
 WEIGHTS_OPERATION = "version"
-FINISH_RUNS = "block"
-RESET_RUNS = "abort"
-CONTINUE_RUNS = "retain"
+FINISH_MODE = "block"
+RESET_MODE = "abort"
+CONTINUE_MODE = "retain"
 
+# Keys that the platform writes, and the operator's statuses, which hillstack writes.
 CONFIGURATION_KEY = "op/config"
 WEIGHTS_PREFIX = "op/version/"
 RUNNERS_PREFIX = "servers/"
 ROLLOUTS_PREFIX = "op/rollout/"
 ROLLOUT_STATUS_PREFIX = "status/rollout/"
 
+# Keys that only hillstack uses.
 NODES_PREFIX = "hillstack/nodes/"
 DUTY_KEY = "hillstack/duties/weights"
 ROLLOUT_DUTY_PREFIX = "hillstack/duties/rollout/"
--- a/src/hillstack/platform/runners.py
+++ b/src/hillstack/platform/runners.py
@@ -47,9 +47,9 @@
 # whether the runner accepted the order.
 ORDER_LIMIT_SECONDS = 0.25
 ORDER_MODES = {
-    RunningRequests.FINISH: names.FINISH_RUNS,
-    RunningRequests.RESET: names.RESET_RUNS,
-    RunningRequests.CONTINUE: names.CONTINUE_RUNS,
+    RunningRequests.FINISH: names.FINISH_MODE,
+    RunningRequests.RESET: names.RESET_MODE,
+    RunningRequests.CONTINUE: names.CONTINUE_MODE,
 }
 ORDER_OUTCOMES = {
     200: OrderOutcome.DONE,
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -584,7 +584,7 @@
     Mutation(
         "callers that leave are not noticed",
         "platform/ingress.py",
-        "            serving.cancel()\n            return",
+        "            serving_task.cancel()\n            return",
         "            return",
     ),
     Mutation(
