--- a/src/hillstack/platform/connections.py
+++ b/src/hillstack/platform/connections.py
@@ -148,7 +148,7 @@
         payload.set_exception(error)
 
     def close(self) -> None:
-        """Close the connection; a silent peer is recorded before the next request selects one."""
+        """Close the connection, recording a silent peer before another request can reuse one."""
         self._record_if_silent(None)
         super().close()
 
@@ -258,7 +258,7 @@
 
 
 def resting_connections(session: aiohttp.ClientSession) -> Mapping[str, float]:
-    """Return a live mapping of ``IP:PORT`` to when its idle connection ceases to be reusable."""
+    """Return until when an idle connection to each ``IP:PORT`` may be reused; updated live."""
     assert isinstance(session.connector, WatchedConnector)
     return session.connector.resting
 
