--- a/src/hillstack/backends/__init__.py
+++ b/src/hillstack/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the back ends: requests, cache events and load."""
+"""Clients that send requests to back ends and read their cache events, status and load."""
--- a/src/hillstack/backends/cache_events.py
+++ b/src/hillstack/backends/cache_events.py
@@ -1,7 +1,8 @@
-"""Subscriber to an engine's cache events, published as vLLM does over ZeroMQ.
+"""Subscribes to the cache events that engines publish over ZeroMQ in the format of vLLM.
 
-A gap in the sequence numbers marks the engine's beliefs as untrusted and asks for a replay. If
-the replay does not reach back far enough, the beliefs are dropped; later events build them anew.
+On a gap in the sequence numbers, the subscriber marks the engine's cache estimate as untrusted and
+requests a replay of the missing events. If the engine no longer holds all of them, the subscriber
+drops the estimate, and later events rebuild it.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 
 
 class CacheEventSubscriber:
-    """Feeds one engine's events into the cache index.
+    """Applies the cache events of one engine to the cache index.
 
     Args:
         engine_id: Identifier of the engine.
-        incarnation: Incarnation that the events belong to.
+        incarnation: Incarnation of the engine that publishes the events.
         events_address: ``IP:PORT`` of the publishing socket.
         replay_address: ``IP:PORT`` of the replay socket.
-        index: Where the beliefs are kept.
+        index: Index that stores the estimate of the engine's cache.
         context: ZeroMQ context shared by all subscribers.
     """
 
@@ -53,14 +54,14 @@
         self._context = context
 
     async def run(self) -> None:
-        """Receive until cancelled."""
+        """Receive and apply events until cancelled."""
         socket = self._context.socket(zmq.SUB)
         socket.setsockopt(zmq.LINGER, 0)
         socket.setsockopt(zmq.RCVHWM, RECEIVE_QUEUE_BATCHES)
         socket.setsockopt(zmq.SUBSCRIBE, b"")
         socket.connect(f"tcp://{self._events_address}")
         try:
-            # What was stored before the subscription stood is fetched by replay from the start.
+            # Events published before the subscription took effect are fetched by a full replay.
             await self._replay(SequenceGap(self._engine_id, 0, 0))
             while True:
                 frames = await socket.recv_multipart()
@@ -95,12 +96,12 @@
             return
         self._index.reset(self._engine_id)
         fields = {"peer": self._replay_address, "step": "replay events"}
-        logger.info("beliefs dropped, events cannot be replayed", extra=fields)
+        logger.info("cache estimate dropped: events cannot be replayed", extra=fields)
 
     async def _fetch(self, gap: SequenceGap) -> bool:
-        """Apply the missing batches and return whether all of them came.
+        """Fetch and apply the missing batches; return whether all of them were received.
 
-        ``gap.end == 0`` asks for all there is.
+        With ``gap.end == 0``, all batches that the engine still holds are requested.
         """
         socket = self._context.socket(zmq.DEALER)
         socket.setsockopt(zmq.LINGER, 0)
@@ -134,10 +135,10 @@
 
 
 class CacheEventFeeds:
-    """Subscriptions to the events of many engines.
+    """Subscriptions to the cache events of all engines, over one ZeroMQ context.
 
     Args:
-        index: Where the beliefs are kept.
+        index: Index that stores the estimates of the engines' caches.
     """
 
     def __init__(self, index: CacheIndex) -> None:
@@ -145,7 +146,7 @@
         self._context = zmq.asyncio.Context()
 
     async def follow(self, machine: Machine, incarnation: str) -> None:
-        """Feed an engine's events into the index until cancelled."""
+        """Apply an engine's events to the index until cancelled."""
         subscriber = CacheEventSubscriber(
             machine.machine_id,
             incarnation,
@@ -164,7 +165,7 @@
 def apply_events(
     index: CacheIndex, engine_id: str, incarnation: str, events: Iterable[list[Any]]
 ) -> None:
-    """Apply decoded events, each an array that starts with its name."""
+    """Apply decoded events to the index; each event is an array with the event name first."""
     for event in events:
         kind = event[0]
         if kind == "BlockStored":
--- a/src/hillstack/backends/http_client.py
+++ b/src/hillstack/backends/http_client.py
@@ -1,7 +1,8 @@
-"""HTTP to back ends, with an account of how far each attempt got.
+"""HTTP client for back ends that records how far each attempt progressed.
 
-An attempt counts as ``BYTES_MAY_HAVE_LEFT`` from the moment it has a connection: from then on the
-request may be in the kernel's hands. Until then it provably did not reach the back end.
+An attempt is in the state ``BYTES_MAY_HAVE_LEFT`` as soon as it has a connection, because the
+kernel may send the request from that moment on. Before that, the request has provably not reached
+the back end.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 from hillstack.errors import BackendBrokenError, BackendError, BackendRefusedError
 
 MAX_KEEP_ALIVE_SECONDS = 15.0
-PAGE_TIMEOUT_SECONDS = 2.0
-CHECKS_PER_SILENCE = 2
+POLL_TIMEOUT_SECONDS = 2.0
+CHECKS_PER_READ_TIMEOUT = 2
 LOAD_TIMEOUT_SECONDS = 600.0
 CONFLICT = 409
 
@@ -29,29 +30,29 @@
 class BackendClient:
     """Sends requests to back ends.
 
-    Engines are reached over kept connections. Applications get a new connection for each
-    request: a kept one may be closed by the other side just as the request leaves, which would
-    make the outcome of a non-repeatable request unknown for no reason.
+    Requests to engines use a pool of persistent connections. Each request to an application opens a
+    new connection: the application may close a persistent connection at the moment the request is
+    sent, and the outcome of a non-repeatable request would then be needlessly unknown.
 
     Args:
-        connect_timeout: Limit for a TCP connection in seconds.
-        silence_timeout: Longest wait for the next piece of an answer in seconds.
+        connect_timeout: Time limit for opening a TCP connection, in seconds.
+        read_timeout: Longest wait for the next chunk of a response, in seconds.
     """
 
-    def __init__(self, connect_timeout: float, silence_timeout: float) -> None:
+    def __init__(self, connect_timeout: float, read_timeout: float) -> None:
         self._connect_timeout = connect_timeout
-        self._silence_timeout = silence_timeout
-        self._kept = self._session(force_close=False)
+        self._read_timeout = read_timeout
+        self._pooled = self._session(force_close=False)
         self._single_use = self._session(force_close=True)
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """The session with kept connections, for status and load pages."""
-        return self._kept
+        """The session with persistent connections, for reading status and load."""
+        return self._pooled
 
     async def close(self) -> None:
         """Close all connections."""
-        await self._kept.close()
+        await self._pooled.close()
         await self._single_use.close()
 
     @contextlib.asynccontextmanager
@@ -66,67 +67,67 @@
         single_use: bool = False,
         timeout: float | None = None,
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Send a request and yield its response once the headers are in.
+        """Send a request and yield its response once the headers have been received.
 
-        The connection is closed, not reused, unless the body was read to its end.
+        The connection is reused only if the body was read to the end; otherwise it is closed.
 
         Raises:
-            BackendRefusedError: No connection; the request did not leave.
-            BackendBrokenError: The connection broke or fell silent.
+            BackendRefusedError: No connection was opened, so the request was not sent.
+            BackendBrokenError: The connection broke or timed out.
         """
-        session = self._single_use if single_use else self._kept
+        session = self._single_use if single_use else self._pooled
         attempt.advance(AttemptState.CONNECTING)
-        limits = aiohttp.ClientTimeout(total=timeout, sock_connect=self._connect_timeout)
+        timeouts = aiohttp.ClientTimeout(total=timeout, sock_connect=self._connect_timeout)
         try:
-            async with asyncio.timeout(self._connect_timeout + self._silence_timeout):
+            async with asyncio.timeout(self._connect_timeout + self._read_timeout):
                 response = await session.request(
                     method,
                     url,
                     data=body,
                     headers=headers,
-                    timeout=limits,
+                    timeout=timeouts,
                     allow_redirects=False,
                     trace_request_ctx=attempt,
                 )
             async with response:
-                guard = _SilenceGuard(response, self._silence_timeout)
+                guard = _ReadTimeoutGuard(response, self._read_timeout)
                 try:
                     yield response
                 finally:
                     guard.stop()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise _translate(error, attempt, url) from error
+            raise _backend_error(error, attempt, url) from error
 
     async def fetch_status(self, address: str) -> BackendStatus:
-        """Return a back end's status.
+        """Return the status of a back end.
 
         Raises:
-            BackendError: It could not be read.
+            BackendError: The status could not be read.
         """
-        return await fetch_status(self._kept, address, PAGE_TIMEOUT_SECONDS)
+        return await fetch_status(self._pooled, address, POLL_TIMEOUT_SECONDS)
 
     async def fetch_load(self, address: str) -> LoadReport:
-        """Return an engine's load.
+        """Return the load of an engine.
 
         Raises:
-            BackendError: It could not be read.
+            BackendError: The load could not be read.
         """
-        return await fetch_load(self._kept, address, PAGE_TIMEOUT_SECONDS)
+        return await fetch_load(self._pooled, address, POLL_TIMEOUT_SECONDS)
 
     async def order_load(self, address: str, fence: int, weights_version: int) -> bool:
-        """Order an engine to load weights and wait until it has.
+        """Order an engine to load weights and wait until they are loaded.
 
         Returns:
-            False when the engine has taken an order with a higher fence.
+            False if the engine has already accepted an order with a higher fence.
 
         Raises:
-            BackendError: The engine failed.
+            BackendError: The engine answered with an error or could not be reached.
         """
         order = {"fence": fence, "weights_version": weights_version}
-        limits = aiohttp.ClientTimeout(total=LOAD_TIMEOUT_SECONDS)
+        timeouts = aiohttp.ClientTimeout(total=LOAD_TIMEOUT_SECONDS)
         url = f"http://{address}/orders/load"
         try:
-            async with self._kept.post(url, json=order, timeout=limits) as response:
+            async with self._pooled.post(url, json=order, timeout=timeouts) as response:
                 if response.status == CONFLICT:
                     return False
                 response.raise_for_status()
@@ -136,8 +137,8 @@
 
     def _session(self, *, force_close: bool) -> aiohttp.ClientSession:
         trace = aiohttp.TraceConfig()
-        trace.on_connection_create_end.append(_on_connection)
-        trace.on_connection_reuseconn.append(_on_connection)
+        trace.on_connection_create_end.append(_on_connection_ready)
+        trace.on_connection_reuseconn.append(_on_connection_ready)
         if force_close:
             connector = aiohttp.TCPConnector(limit=0, force_close=True)
         else:
@@ -151,42 +152,44 @@
         )
 
 
-class _SilenceGuard:
-    """Breaks a response off when no byte comes for a while.
+class _ReadTimeoutGuard:
+    """Aborts a response when no bytes arrive within the read timeout.
 
-    The HTTP library's own read limit sets a timer for each piece, which costs a tenth of the
-    relay's time; this one looks now and then whether bytes came.
+    The read timeout of aiohttp sets a timer for each chunk, which takes a tenth of the time spent
+    on relaying a response. This class instead checks periodically whether bytes have arrived.
 
     Args:
-        limit: Seconds of silence after which the response is broken off, plus up to half as many.
+        response: Response to watch.
+        timeout: Seconds without bytes after which the response is aborted; the abort can come up
+            to half as many seconds later.
     """
 
-    def __init__(self, response: aiohttp.ClientResponse, limit: float) -> None:
+    def __init__(self, response: aiohttp.ClientResponse, timeout: float) -> None:
         self._response = response
-        self._interval = limit / CHECKS_PER_SILENCE
-        self._silent_checks = 0
-        self._seen = response.content.total_bytes
+        self._interval = timeout / CHECKS_PER_READ_TIMEOUT
+        self._idle_checks = 0
+        self._last_total = response.content.total_bytes
         self._loop = asyncio.get_running_loop()
         self._handle = self._loop.call_later(self._interval, self._check)
 
     def stop(self) -> None:
-        """Stop watching."""
+        """Stop checking the response."""
         self._handle.cancel()
 
     def _check(self) -> None:
         total = self._response.content.total_bytes
-        self._silent_checks = self._silent_checks + 1 if total == self._seen else 0
-        self._seen = total
-        if self._silent_checks >= CHECKS_PER_SILENCE and not self._is_held_back():
+        self._idle_checks = self._idle_checks + 1 if total == self._last_total else 0
+        self._last_total = total
+        if self._idle_checks >= CHECKS_PER_READ_TIMEOUT and not self._is_reading_paused():
             self._response.content.set_exception(TimeoutError("the answer fell silent"))
             self._response.close()
             return
         self._handle = self._loop.call_later(self._interval, self._check)
 
-    def _is_held_back(self) -> bool:
-        """Return whether the silence is ours: a slow caller has not taken what came.
+    def _is_reading_paused(self) -> bool:
+        """Return whether reading is paused on this side because the caller reads too slowly.
 
-        The library stops reading from the connection while its buffer is full.
+        aiohttp stops reading from the connection while its receive buffer is full.
         """
         if self._response.content.is_eof():
             return True
@@ -195,7 +198,7 @@
         return isinstance(transport, asyncio.Transport) and not transport.is_reading()
 
 
-async def _on_connection(
+async def _on_connection_ready(
     session: aiohttp.ClientSession, context: SimpleNamespace, params: object
 ) -> None:
     attempt = context.trace_request_ctx
@@ -203,7 +206,7 @@
         attempt.advance(AttemptState.BYTES_MAY_HAVE_LEFT)
 
 
-def _translate(
+def _backend_error(
     error: Exception, attempt: Attempt, url: str
 ) -> BackendRefusedError | BackendBrokenError:
     if attempt.state < AttemptState.BYTES_MAY_HAVE_LEFT:
--- a/src/hillstack/backends/status.py
+++ b/src/hillstack/backends/status.py
@@ -1,4 +1,4 @@
-"""Status and load pages of back ends."""
+"""Reads the status of back ends and the load of engines over HTTP."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from hillstack.daemon.ports import BackendStatus
 from hillstack.errors import BackendError
 
-RUNNING = "vllm:num_requests_running"
-WAITING = "vllm:num_requests_waiting"
-CACHE_USAGE = "vllm:kv_cache_usage_perc"
-WAITING_TOKENS = "emulator:waiting_prompt_tokens"
+RUNNING_METRIC = "vllm:num_requests_running"
+WAITING_METRIC = "vllm:num_requests_waiting"
+CACHE_USAGE_METRIC = "vllm:kv_cache_usage_perc"
+WAITING_TOKENS_METRIC = "emulator:waiting_prompt_tokens"
 
 
 async def fetch_status(
     session: aiohttp.ClientSession, address: str, timeout: float
 ) -> BackendStatus:
-    """Return a back end's status.
+    """Return the status of a back end.
 
     Raises:
-        BackendError: It could not be read.
+        BackendError: The status could not be read.
     """
-    limits = aiohttp.ClientTimeout(total=timeout)
+    timeouts = aiohttp.ClientTimeout(total=timeout)
     try:
-        async with session.get(f"http://{address}/status", timeout=limits) as response:
+        async with session.get(f"http://{address}/status", timeout=timeouts) as response:
             response.raise_for_status()
             content = await response.json()
         return BackendStatus(
@@ -38,14 +38,14 @@
 
 
 async def fetch_load(session: aiohttp.ClientSession, address: str, timeout: float) -> LoadReport:
-    """Return an engine's load from its Prometheus page.
+    """Return the load of an engine, read from its Prometheus metrics.
 
     Raises:
-        BackendError: The page could not be read or lacks a value.
+        BackendError: The metrics could not be read or lack a required value.
     """
-    limits = aiohttp.ClientTimeout(total=timeout)
+    timeouts = aiohttp.ClientTimeout(total=timeout)
     try:
-        async with session.get(f"http://{address}/metrics", timeout=limits) as response:
+        async with session.get(f"http://{address}/metrics", timeout=timeouts) as response:
             response.raise_for_status()
             page = await response.text()
         return parse_load(page)
@@ -54,19 +54,19 @@
 
 
 def parse_load(page: str) -> LoadReport:
-    """Parse a Prometheus page.
+    """Parse the load of an engine from metrics in the Prometheus text format.
 
     Raises:
-        KeyError: A value is missing.
-        ValueError: The page is malformed.
+        KeyError: A required value is missing.
+        ValueError: The metrics are malformed.
     """
     values: dict[str, float] = {}
     for family in text_string_to_metric_families(page):
         for sample in family.samples:
             values[sample.name] = values.get(sample.name, 0.0) + sample.value
     return LoadReport(
-        running=int(values[RUNNING]),
-        waiting=int(values[WAITING]),
-        cache_usage=values[CACHE_USAGE],
-        waiting_tokens=values.get(WAITING_TOKENS),
+        running=int(values[RUNNING_METRIC]),
+        waiting=int(values[WAITING_METRIC]),
+        cache_usage=values[CACHE_USAGE_METRIC],
+        waiting_tokens=values.get(WAITING_TOKENS_METRIC),
     )
--- a/tests/unit/test_http_client.py
+++ b/tests/unit/test_http_client.py
@@ -1,4 +1,4 @@
-"""The client of the back ends against small servers: silence, slow readers, refused connections."""
+"""Tests the back end client for read timeouts, slow readers and refused connections."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hillstack.errors import BackendBrokenError, BackendRefusedError
 from hillstack.gateway.answers import read_whole
 
-SILENCE_SECONDS = 0.2
+READ_TIMEOUT_SECONDS = 0.2
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: 300000\r\n\r\n"
 BODY = b"x" * 300_000
 
@@ -24,7 +24,7 @@
     async def main() -> Attempt:
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        client = BackendClient(connect_timeout=5.0, silence_timeout=SILENCE_SECONDS)
+        client = BackendClient(connect_timeout=5.0, read_timeout=READ_TIMEOUT_SECONDS)
         attempt = Attempt("r-1", "backend")
         try:
             await use(client, attempt, f"http://127.0.0.1:{port}/")
@@ -49,19 +49,19 @@
     await reader.read()
 
 
-def test_a_slow_reader_gets_the_whole_answer() -> None:
+def test_a_slow_reader_gets_the_whole_response() -> None:
     async def read_slowly(client: BackendClient, attempt: Attempt, url: str) -> None:
         received = 0
         async with client.send(attempt, "POST", url, b"", {}) as answer:
             async for piece in answer.content.iter_any():
                 received += len(piece)
-                await asyncio.sleep(3 * SILENCE_SECONDS)
+                await asyncio.sleep(3 * READ_TIMEOUT_SECONDS)
         assert received == len(BODY)
 
     run_against(answer_in_full, read_slowly)
 
 
-def test_a_silent_back_end_is_broken_off() -> None:
+def test_a_response_without_bytes_times_out() -> None:
     async def read_all(client: BackendClient, attempt: Attempt, url: str) -> None:
         async with client.send(attempt, "POST", url, b"", {}) as answer:
             await answer.content.read()
@@ -72,7 +72,7 @@
     assert caught.value.peer
 
 
-def test_an_answer_over_the_limit_is_broken_off() -> None:
+def test_a_response_over_the_size_limit_is_aborted() -> None:
     async def read_limited(client: BackendClient, attempt: Attempt, url: str) -> None:
         async with client.send(attempt, "POST", url, b"", {}) as answer:
             await read_whole(answer, len(BODY) - 1, "backend")
@@ -81,11 +81,11 @@
         run_against(answer_in_full, read_limited)
 
 
-def test_a_refused_connection_leaves_the_attempt_before_any_byte() -> None:
+def test_a_refused_connection_leaves_the_attempt_in_the_connecting_state() -> None:
     attempt = Attempt("r-1", "backend")
 
     async def main() -> None:
-        client = BackendClient(connect_timeout=5.0, silence_timeout=SILENCE_SECONDS)
+        client = BackendClient(connect_timeout=5.0, read_timeout=READ_TIMEOUT_SECONDS)
         try:
             async with client.send(attempt, "POST", "http://127.0.0.1:1/", b"", {}):
                 pass
