--- a/src/hillstack/etcd/__init__.py
+++ b/src/hillstack/etcd/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform: key-value service and machine list."""
+"""Clients of the platform's key-value service and machine list."""
--- a/src/hillstack/etcd/bundle_store.py
+++ b/src/hillstack/etcd/bundle_store.py
@@ -1,8 +1,8 @@
-"""Bundles in the key-value service: the head and the history.
+"""Stores bundles in the key-value service: a head and the history of accepted bundles.
 
-The head names version and digest of the accepted bundle. A roll-out writes head and bundle in one
-transaction that holds only while the head is still the parent, so that it happens wholly or not
-at all, and one of several racing roll-outs wins.
+The head holds the version and the digest of the latest accepted bundle. A roll-out writes the new
+head and the new bundle in one transaction, conditional on the head still being the parent of the
+new bundle. The roll-out is therefore atomic, and only one of several concurrent roll-outs succeeds.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 
 HEAD_KEY = "/hillstack/head"
 BUNDLE_PREFIX = "/hillstack/bundles/"
-SETTLE_TRIES = 5
+OUTCOME_READ_ATTEMPTS = 5
 
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The accepted bundle's version and digest."""
+    """Version and digest of the latest accepted bundle."""
 
     version: int
     digest: str
 
     def to_json(self) -> bytes:
-        """Return the stored form."""
+        """Return the head as JSON, as stored in the key-value service."""
         return json.dumps({"version": self.version, "digest": self.digest}).encode()
 
 
@@ -41,7 +41,7 @@
     """Parse a stored head.
 
     Raises:
-        BundleError: It is malformed.
+        BundleError: The head is malformed.
     """
     try:
         content = json.loads(value)
@@ -51,7 +51,7 @@
 
 
 class BundleStore:
-    """Reads and rolls out bundles."""
+    """Reads bundles from the key-value service and rolls out new ones."""
 
     def __init__(self, client: KeyValue) -> None:
         self._client = client
@@ -62,12 +62,12 @@
         return parse_head(entry.value) if entry else None
 
     async def bundle(self, version: int) -> SignedBundle | None:
-        """Return an accepted bundle by version."""
+        """Return the accepted bundle with the given version, or None if there is none."""
         entry = await self._client.get(bundle_key(version))
         return parse_signed_bundle(entry.value, entry.key) if entry else None
 
     async def latest(self) -> SignedBundle | None:
-        """Return the accepted bundle that the head names."""
+        """Return the accepted bundle that the head refers to, or None before the first roll-out."""
         head = await self.head()
         return await self.bundle(head.version) if head else None
 
@@ -77,14 +77,15 @@
         return [parse_signed_bundle(entry.value, entry.key) for entry in entries]
 
     async def roll_out(self, signed: SignedBundle, bundle: Bundle) -> None:
-        """Make a bundle the head, if its parent still is.
+        """Make a bundle the head if its parent is the current head.
 
-        A lost answer is settled by reading back which digest stands at the bundle's version.
+        If the answer to the transaction is lost, the outcome is determined by reading the digest
+        that is stored for the bundle's version.
 
         Raises:
-            RolloutConflictError: Another bundle is the head; the message names it.
-            PlatformOutcomeUnknownError: It could not be settled whether it took effect.
-            PlatformError: It did not take effect.
+            RolloutConflictError: Another bundle is the head; the message names that bundle.
+            PlatformOutcomeUnknownError: It is unknown whether the roll-out took effect.
+            PlatformError: The roll-out did not take effect.
         """
         head = Head(bundle.version, bundle.digest())
         conditions = [ValueIs(HEAD_KEY, _parent_head(bundle))]
@@ -97,26 +98,26 @@
         except PlatformOutcomeUnknownError:
             revision = None
         if revision is None:
-            await self._settle(head)
+            await self._resolve_outcome(head)
 
-    async def _settle(self, own: Head) -> None:
-        """Return if the own bundle was accepted; raise naming the winner otherwise."""
+    async def _resolve_outcome(self, proposed: Head) -> None:
+        """Return if the proposed bundle was accepted; otherwise raise an error with the head."""
         error: PlatformOutcomeUnknownError | None = None
-        for _ in range(SETTLE_TRIES):
+        for _ in range(OUTCOME_READ_ATTEMPTS):
             try:
-                accepted = await self.bundle(own.version)
+                accepted = await self.bundle(proposed.version)
                 current = await self.head()
-            except PlatformOutcomeUnknownError as lost:
-                error = lost
+            except PlatformOutcomeUnknownError as caught:
+                error = caught
                 continue
-            if accepted is not None and accepted.bundle().digest() == own.digest:
+            if accepted is not None and accepted.bundle().digest() == proposed.digest:
                 return
-            raise RolloutConflictError(_conflict_text(own, current), step="roll out")
-        raise error or PlatformOutcomeUnknownError("not settled", step="roll out")
+            raise RolloutConflictError(_conflict_text(proposed, current), step="roll out")
+        raise error or PlatformOutcomeUnknownError("outcome not determined", step="roll out")
 
 
 def bundle_key(version: int) -> str:
-    """Return the key of an accepted bundle."""
+    """Return the key under which the accepted bundle of a version is stored."""
     return f"{BUNDLE_PREFIX}{version:012d}"
 
 
@@ -126,10 +127,10 @@
     return Head(bundle.version - 1, bundle.parent_digest).to_json()
 
 
-def _conflict_text(own: Head, current: Head | None) -> str:
+def _conflict_text(proposed: Head, current: Head | None) -> str:
     if current is None:
-        return f"version {own.version} has no parent in force"
+        return f"version {proposed.version} has no parent in force"
     return (
-        f"version {own.version} ({own.digest[:12]}) was not accepted: "
+        f"version {proposed.version} ({proposed.digest[:12]}) was not accepted: "
         f"the head is version {current.version} ({current.digest[:12]})"
     )
--- a/src/hillstack/etcd/key_value.py
+++ b/src/hillstack/etcd/key_value.py
@@ -1,9 +1,9 @@
 """Client of the key-value service over the etcd v3 JSON gateway.
 
-Errors keep apart what matters for a write: a refusal or a failed connection means that it did not
-take effect; a lost answer means that it may have.
+Errors distinguish the possible outcomes of a write: after a rejection or a failed connection the
+write did not take effect; after a lost answer it may have taken effect.
 
-A cluster that was restored from a snapshot says so by nothing but its revision, which has fallen.
+The only sign that a cluster was restored from a snapshot is that its revision has decreased.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 
 logger = logging.getLogger(__name__)
 
-REFUSED_STATUSES = frozenset({429, 503})
+REJECTED_STATUSES = frozenset({429, 503})
 WATCH_LINE_LIMIT_BYTES = 64 * 1024 * 1024
 
 
 class KeyValueClient:
-    """Talks to one of several endpoints, and to the next when one fails to connect.
+    """Sends requests to one of several endpoints, and to the next if an endpoint is unavailable.
 
     Args:
         endpoints: ``IP:PORT`` of each endpoint.
-        session: HTTP session; not closed here.
-        timeout: Limit of one call in seconds.
+        session: HTTP session; the client does not close it.
+        timeout: Time limit for one call to an endpoint, in seconds.
     """
 
     def __init__(
@@ -41,21 +41,26 @@
         self._endpoints = list(endpoints)
         self._session = session
         self._timeout = aiohttp.ClientTimeout(total=timeout, sock_connect=timeout / 2)
-        self._latest = StoreRevision(0, 0)
+        self._latest_revision = StoreRevision(0, 0)
 
     @property
     def era(self) -> int:
-        """How often the cluster's revision has fallen, as far as this client has seen."""
-        return self._latest.era
+        """Number of times that this client has seen the cluster's revision decrease."""
+        return self._latest_revision.era
 
     async def get(self, key: str) -> Entry | None:
-        """Return a key's entry, or None."""
+        """Return the entry of a key, or None if the key does not exist."""
         answer = await self._call("/v3/kv/range", {"key": _encode(key)}, "read key")
         entries = [self._entry(item) for item in answer.get("kvs", [])]
         return entries[0] if entries else None
 
     async def list_prefix(self, prefix: str, limit: int = 0) -> list[Entry]:
-        """Return the entries below a prefix in descending key order."""
+        """Return the entries whose keys start with a prefix, in descending order of keys.
+
+        Args:
+            prefix: Prefix of the keys.
+            limit: Maximum number of entries; 0 for all.
+        """
         body = {
             "key": _encode(prefix),
             "range_end": _encode(prefix_end(prefix)),
@@ -69,14 +74,14 @@
     async def transact(
         self, conditions: Sequence[Condition], puts: Sequence[Put]
     ) -> StoreRevision | None:
-        """Write all keys if all conditions hold.
+        """Write all keys in one transaction if all conditions hold.
 
         Returns:
-            The revision of the write, or None when a condition did not hold.
+            The revision of the write, or None if a condition did not hold.
 
         Raises:
-            PlatformUnavailableError: It did not take effect.
-            PlatformOutcomeUnknownError: The answer was lost; it may have taken effect.
+            PlatformUnavailableError: The transaction did not take effect.
+            PlatformOutcomeUnknownError: The answer was lost; the transaction may have taken effect.
         """
         body = {
             "compare": [_condition(condition) for condition in conditions],
@@ -88,24 +93,24 @@
         return StoreRevision(self.era, int(answer["header"]["revision"]))
 
     async def grant_lease(self, ttl_seconds: float) -> int:
-        """Make a lease and return its identifier."""
+        """Create a lease and return its identifier."""
         answer = await self._call("/v3/lease/grant", {"TTL": str(int(ttl_seconds))}, "grant lease")
         return int(answer["ID"])
 
     async def keep_alive(self, lease_id: int) -> bool:
-        """Renew a lease and return whether it still existed."""
+        """Renew a lease; return False if the lease has expired."""
         answer = await self._call("/v3/lease/keepalive", {"ID": str(lease_id)}, "renew lease")
         return int(answer.get("result", {}).get("TTL", 0)) > 0
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease; its keys are deleted."""
+        """Revoke a lease, which also deletes the keys attached to the lease."""
         await self._call("/v3/lease/revoke", {"ID": str(lease_id)}, "revoke lease")
 
     async def watch(self, key: str) -> AsyncIterator[bytes]:
         """Yield each new value of a key until the stream breaks.
 
         Raises:
-            PlatformError: The watch could not be made or broke.
+            PlatformError: The watch could not be created, or its stream broke.
         """
         body = {"create_request": {"key": _encode(key)}}
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=self._timeout.sock_connect)
@@ -133,48 +138,50 @@
             except PlatformUnavailableError as error:
                 last = error
                 self._endpoints.append(self._endpoints.pop(0))
-        raise last or PlatformUnavailableError("no endpoints", step=step)
+        raise last or PlatformUnavailableError("no endpoints configured", step=step)
 
     async def _call_endpoint(
         self, endpoint: str, path: str, body: dict[str, Any], step: str
     ) -> dict[str, Any]:
         url = f"http://{endpoint}{path}"
-        known = self._latest
+        revision_at_send = self._latest_revision
         try:
             async with self._session.post(url, json=body, timeout=self._timeout) as response:
-                if response.status in REFUSED_STATUSES:
+                if response.status in REJECTED_STATUSES:
                     text = f"status {response.status}"
                     raise PlatformUnavailableError(text, step=step, peer=endpoint)
                 answer: dict[str, Any] = await response.json()
                 if response.status != 200:
                     text = f"status {response.status}: {answer.get('error')}"
                     raise PlatformError(text, step=step, peer=endpoint)
-                self._note_revision(answer, known, endpoint)
+                self._note_revision(answer, revision_at_send, endpoint)
                 return answer
         except aiohttp.ClientConnectorError as error:
             raise PlatformUnavailableError(str(error), step=step, peer=endpoint) from error
         except (aiohttp.ClientError, TimeoutError, ValueError) as error:
             raise PlatformOutcomeUnknownError(repr(error), step=step, peer=endpoint) from error
 
-    def _note_revision(self, answer: dict[str, Any], known: StoreRevision, endpoint: str) -> None:
-        """Note the cluster's revision, and a new era where it has fallen.
+    def _note_revision(
+        self, answer: dict[str, Any], revision_at_send: StoreRevision, endpoint: str
+    ) -> None:
+        """Record the cluster's revision; start a new era if the revision has decreased.
 
         Args:
-            answer: The answer that tells it.
-            known: The latest one that was known when the question was sent: an answer may be older
-                than one that overtook it.
-            endpoint: Who answered.
+            answer: Answer that contains the revision.
+            revision_at_send: Latest revision that was recorded when the request was sent. The
+                answer is compared with this revision because answers can arrive out of order.
+            endpoint: Endpoint that sent the answer.
         """
-        told = answer.get("header", {}).get("revision")
-        if told is None:
+        reported = answer.get("header", {}).get("revision")
+        if reported is None:
             return
-        number = int(told)
-        if number < known.number and known.era == self._latest.era:
-            fields = {"before": known.number, "revision": number, "peer": endpoint}
-            logger.warning("key-value service restored", extra=fields)
-            self._latest = StoreRevision(self._latest.era + 1, number)
-        elif number > self._latest.number:
-            self._latest = StoreRevision(self._latest.era, number)
+        number = int(reported)
+        if number < revision_at_send.number and revision_at_send.era == self._latest_revision.era:
+            fields = {"before": revision_at_send.number, "revision": number, "peer": endpoint}
+            logger.warning("key-value service was restored: revision decreased", extra=fields)
+            self._latest_revision = StoreRevision(self._latest_revision.era + 1, number)
+        elif number > self._latest_revision.number:
+            self._latest_revision = StoreRevision(self._latest_revision.era, number)
 
     def _entry(self, item: dict[str, Any]) -> Entry:
         return Entry(
@@ -185,7 +192,7 @@
 
 
 def prefix_end(prefix: str) -> str:
-    """Return the end of the range of all keys that start with an ASCII prefix."""
+    """Return the exclusive end of the key range of all keys that start with an ASCII prefix."""
     return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
 
--- a/src/hillstack/etcd/machine_list.py
+++ b/src/hillstack/etcd/machine_list.py
@@ -1,4 +1,4 @@
-"""Client of the machine list."""
+"""Client of the platform's machine list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MachineEntry(BaseModel):
-    """An entry as the platform lists it."""
+    """An entry of the machine list, in the format of the platform."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -28,7 +28,7 @@
     state: Literal["live", "leaving"] = "live"
 
     def machine(self) -> Machine:
-        """Return the entry as routing sees it."""
+        """Return the entry in the form that routing uses."""
         return Machine(
             machine_id=self.id,
             kind=BackendKind(self.kind),
@@ -45,10 +45,10 @@
 
 
 async def fetch_machines(session: aiohttp.ClientSession, address: str) -> list[Machine]:
-    """Return the machines listed.
+    """Fetch the machine list from the platform.
 
     Raises:
-        PlatformError: The list could not be read.
+        PlatformError: The list could not be read or is malformed.
     """
     timeout = aiohttp.ClientTimeout(total=LIST_TIMEOUT_SECONDS)
     try:
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -66,7 +66,7 @@
     return now >= self.suspect_until
 
 
-async def _believe_lost_answers(self: BundleStore, own: Any) -> None:
+async def _believe_lost_answers(self: BundleStore, proposed: Any) -> None:
     return None
 
 
@@ -144,7 +144,7 @@
         "lost answers are taken for success",
         "accepted_bundles_stand",
         BundleStore,
-        "_settle",
+        "_resolve_outcome",
         _believe_lost_answers,
     ),
     Mutation(
