--- a/tests/fleet/test_earlier_messages.py
+++ b/tests/fleet/test_earlier_messages.py
@@ -1,9 +1,9 @@
-"""Messages between nodes and records in the store, as builds that were landed wrote them.
+"""Tests the compatibility with messages and store records of earlier builds.
 
-Today's code must read what they wrote, and write what they read: fields come at the end, with
-defaults that an earlier sender's silence may mean, and none changes its place or its meaning
-(``docs/design/builds-side-by-side.md``). The samples were written by each commit's own code
-(``tools/record_messages.py``); they never change.
+The current code must read the samples of earlier builds and write data that those builds can read.
+New fields are therefore appended with a default that is also right for an earlier sender, and no
+field changes its position or its meaning (``docs/design/builds-side-by-side.md``). Each sample was
+written by the code of its commit (``tools/record_messages.py``). Samples never change.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 SAME_PROTOCOL = {c: r for c, r in FILES.items() if r["protocol"] == PROTOCOL_VERSION}
 MESSAGES = [(c, name) for c, recorded in SAME_PROTOCOL.items() for name in recorded["messages"]]
 RECORDS = [(commit, name) for commit, recorded in FILES.items() for name in recorded["records"]]
-# Messages that come only inside of others, and the common part of all.
-PARTS = {
+# Structs that are sent only as part of a message, and the base class of all messages.
+EMBEDDED_STRUCTS = {
     "limit_messages.TenantGrant",
     "limit_messages.TokenNeed",
     "packing.PackedMessage",
@@ -41,19 +41,19 @@
     "runner_ends.RequestAtEnd",
     "store_changes.NamedWeights",
 }
-# Samples of numbers are 3, also that of a protocol version.
+# All integers in the samples are 3, including the protocol version.
 SAMPLE_PROTOCOL = 3
 
 
 def kind_of(package: str, name: str) -> type[msgspec.Struct]:
-    """Return today's struct of a recorded name: module and class."""
+    """Return the current struct for a recorded name of the form ``module.Class``."""
     module, _, struct = name.partition(".")
     found: type[msgspec.Struct] = getattr(importlib.import_module(f"{package}.{module}"), struct)
     return found
 
 
 def starts_with(later: Any, earlier: Any) -> bool:
-    """Return whether a value has all of an earlier one in its place, and perhaps more behind it."""
+    """Return whether a value equals an earlier value except for fields that were appended."""
     if isinstance(earlier, list):
         return (
             isinstance(later, list)
@@ -92,31 +92,36 @@
 
 
 @pytest.mark.parametrize(("commit", "name"), MESSAGES)
-def test_what_is_new_in_a_message_has_a_default(commit: str, name: str) -> None:
-    """The fields that an earlier sender did not know are left out of its bytes."""
+def test_new_fields_of_a_message_have_a_default(commit: str, name: str) -> None:
+    """Messages of an earlier sender do not contain fields that were added later."""
     count = len(msgspec.msgpack.decode(bytes.fromhex(FILES[commit]["messages"][name])))
     fields = msgspec.structs.fields(kind_of("hillstack.messages", name))
     assert not any(field.required for field in fields[count:])
 
 
 @pytest.mark.parametrize("commit", [c for c in FILES if c not in SAME_PROTOCOL])
-def test_a_notice_of_another_protocol_version_is_dropped_whole(commit: str) -> None:
-    """Its fields have other places: each half of the nodes then lives by the store alone."""
+def test_a_notice_of_another_protocol_version_is_rejected(commit: str) -> None:
+    """Positions of fields differ between protocol versions.
+
+    Nodes with different protocol versions exchange data only through the store.
+    """
     sample = bytes.fromhex(FILES[commit]["messages"]["peer_notices.NodeNotice"])
     assert msgspec.msgpack.decode(sample)[0] == SAMPLE_PROTOCOL
     with pytest.raises(CodecError):
         peer_notices.decode(sample, "10.0.0.1")
 
 
-def test_the_page_names_each_message_that_goes_by_itself() -> None:
+def test_the_design_page_lists_each_top_level_message() -> None:
     page = (Path(__file__).parents[2] / "docs" / "design" / "builds-side-by-side.md").read_text()
-    alone = {name for recorded in FILES.values() for name in recorded["messages"]} - PARTS
-    assert alone
-    for name in alone:
+    top_level = {
+        name for recorded in FILES.values() for name in recorded["messages"]
+    } - EMBEDDED_STRUCTS
+    assert top_level
+    for name in top_level:
         assert f"`{name.partition('.')[2]}`" in page, name
 
 
-def test_the_comparison_finds_what_breaks() -> None:
+def test_the_comparison_detects_incompatible_changes() -> None:
     assert starts_with([1, [2, 3, 9], {"a": 1, "b": 2}, 4], [1, [2, 3], {"a": 1}])
     for later in ([1], [1, [3, 2], {"a": 1}], [1, [2, 3], {"b": 1}], [1, [2], {"a": 1}], [0, 1, 2]):
         assert not starts_with(later, [1, [2, 3], {"a": 1}])
--- a/tests/fleet/test_lost_connections.py
+++ b/tests/fleet/test_lost_connections.py
@@ -1,7 +1,8 @@
-"""Which broken answers may mean that their runner's process has ended, over sockets.
+"""Tests, over sockets, which broken answers may indicate that the runner's process has ended.
 
-A process that ends closes or resets its connections. A machine that falls silent, bytes that make
-no answer, and a refusal without a promise are no such sign.
+A process that ends closes or resets its connections. A machine that stops answering, malformed
+bytes, and a rejection without the promise that the request was not executed do not indicate that
+the process has ended.
 """
 
 from __future__ import annotations
@@ -22,16 +23,21 @@
 
 
 def error_of(first: bytes, *, by_reset: bool) -> BackendBrokenError:
-    """Return the error of an answer that ends after some bytes."""
+    """Return the error that is raised when the connection ends after the given bytes.
+
+    Args:
+        first: Bytes that the runner sends before the connection ends.
+        by_reset: Whether the runner resets the connection instead of closing it.
+    """
     errors: list[BackendBrokenError] = []
-    taken = asyncio.Event()
+    received = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(first)
         await writer.drain()
         if first:
-            await taken.wait()
+            await received.wait()
         if by_reset:
             reset(writer)
         else:
@@ -41,7 +47,7 @@
         with pytest.raises(BackendBrokenError) as raised:
             answer = await client.send(request(), dispatch)
             assert await answer.next_piece()
-            taken.set()
+            received.set()
             while await answer.next_piece():
                 pass
         errors.append(raised.value)
@@ -51,18 +57,20 @@
 
 
 @pytest.mark.parametrize("by_reset", [False, True])
-def test_a_connection_that_ends_before_the_head_is_lost(by_reset: bool) -> None:
+def test_a_connection_that_ends_before_the_headers_is_reported_as_lost(by_reset: bool) -> None:
     assert isinstance(error_of(b"", by_reset=by_reset), ConnectionLostError)
 
 
 @pytest.mark.parametrize("by_reset", [False, True])
 @pytest.mark.parametrize("framing", ["Content-Length: 100", CHUNKED])
-def test_a_connection_that_ends_inside_an_answer_is_lost(framing: str, by_reset: bool) -> None:
+def test_a_connection_that_ends_within_an_answer_is_reported_as_lost(
+    framing: str, by_reset: bool
+) -> None:
     error = error_of(head("r-1", framing) + CHUNK, by_reset=by_reset)
     assert isinstance(error, ConnectionLostError)
 
 
-def test_an_unframed_answer_that_is_reset_is_lost() -> None:
+def test_a_reset_during_an_answer_without_framing_is_reported_as_lost() -> None:
     assert isinstance(error_of(head("r-1") + b"half", by_reset=True), ConnectionLostError)
 
 
@@ -74,7 +82,7 @@
 
 @pytest.mark.parametrize("is_waiting", [False, True])
 @pytest.mark.parametrize("framing", ["Content-Length: 100", CHUNKED, "X-None: 1"])
-def test_a_connection_that_the_system_gives_up_in_silence_is_not_lost(
+def test_a_connection_that_times_out_in_the_kernel_is_not_reported_as_lost(
     framing: str, is_waiting: bool
 ) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -85,12 +93,12 @@
     async def use(client: HttpRunnerClient, dispatch: Dispatch) -> None:
         answer = await client.send(request(), dispatch)
         assert await answer.next_piece()
-        silence = TimeoutError(errno.ETIMEDOUT, "timed out")
+        timed_out = TimeoutError(errno.ETIMEDOUT, "timed out")
         protocol = protocol_of(answer)
         if is_waiting:
-            asyncio.get_running_loop().call_later(0.02, protocol.connection_lost, silence)
+            asyncio.get_running_loop().call_later(0.02, protocol.connection_lost, timed_out)
         else:
-            protocol.connection_lost(silence)
+            protocol.connection_lost(timed_out)
         with pytest.raises(BackendBrokenError) as raised:
             await answer.next_piece()
         assert not isinstance(raised.value, ConnectionLostError)
@@ -98,7 +106,7 @@
     run_against(serve, use)
 
 
-def test_bytes_that_make_no_answer_are_no_lost_connection() -> None:
+def test_malformed_bytes_are_not_reported_as_a_lost_connection() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(head("r-1", CHUNKED) + CHUNK + b"zz\r\nno chunk\r\n")
@@ -112,7 +120,7 @@
     run_against(serve, use)
 
 
-def test_a_refusal_without_a_promise_is_no_lost_connection() -> None:
+def test_a_rejection_without_a_promise_is_not_reported_as_a_lost_connection() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(head("r-1", "Content-Length: 0", status="503 Busy"))
--- a/tests/fleet/test_resting_connections.py
+++ b/tests/fleet/test_resting_connections.py
@@ -1,8 +1,9 @@
-"""Connections that rest are used again, for as long as their runners announce.
+"""Tests that idle connections are reused within the keep-alive time announced by the runner.
 
-Seen: 64 nodes before 48 runners opened a new connection for two requests of three. Each pair of
-them has a request in 15 s, connections rested for 4 s though the runners announced 10, and where
-runners were about equal nobody asked to which of them a connection was open.
+The tests guard against needless new connections: with 64 nodes and 48 runners, two of three
+requests opened one. Each pair of node and runner had one request in 15 s, idle connections were
+closed after 4 s although the runners announced 10 s, and the placement did not prefer a runner with
+an open connection among runners with about equal delay.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 RATE = 40_000.0
 SALT = "shared|m|1"
-# Cached parts are read again sooner than moved.
+# With a link this slow, prefilling cached parts again takes less time than transferring them.
 SLOW_LINK_ENGINE = replace(ENGINE, link_megabits=1_000.0)
 SHORT = PromptShape((PromptPart("shared", 200), PromptPart("own", 600)), 50)
 LONG = PromptShape((PromptPart("shared", 6_000), PromptPart("own", 600)), 10)
@@ -50,14 +51,19 @@
         (None, DEFAULT_REST_SECONDS),
     ],
 )
-def test_the_time_that_an_answer_announces_is_used_in_part(
+def test_a_connection_stays_idle_for_a_share_of_the_announced_keep_alive_time(
     announced: str | None, expected: float
 ) -> None:
     assert rest_seconds(announced) == expected
 
 
 def connections_opened(announced: str) -> tuple[int, dict[str, float], str]:
-    """Send two requests one after the other; return what they opened and what rests."""
+    """Send two requests in sequence.
+
+    Returns:
+        The number of connections opened, the idle connections with their expiry, by address, and
+        the address of the server.
+    """
     opened = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -90,41 +96,41 @@
     return opened, resting, address
 
 
-def test_a_connection_that_may_rest_is_used_again_and_known() -> None:
-    opened, resting, address = connections_opened("Keep-Alive: timeout=20")
+def test_an_idle_connection_is_reused_and_listed_with_its_expiry() -> None:
+    opened, idle, address = connections_opened("Keep-Alive: timeout=20")
     assert opened == 1
-    assert resting[address] > time.monotonic()
+    assert idle[address] > time.monotonic()
 
 
-def test_a_connection_is_not_used_again_once_its_time_is_over() -> None:
-    opened, resting, address = connections_opened("Keep-Alive: timeout=0")
+def test_an_expired_connection_is_not_reused() -> None:
+    opened, idle, address = connections_opened("Keep-Alive: timeout=0")
     assert opened == 2
-    assert resting.get(address, 0.0) <= time.monotonic()
+    assert idle.get(address, 0.0) <= time.monotonic()
 
 
-def choose(shape: PromptShape, index: PartIndex, resting: dict[str, float]) -> str:
+def choose(shape: PromptShape, index: PartIndex, idle: dict[str, float]) -> str:
     near, other = (Runner(make_entry(name, ENGINES, weights=1)) for name in ("i-1", "i-22"))
-    around = Surroundings("zone-a", SLOW_LINK_ENGINE, RATE, (), 10.0, 0.6, 0.5, resting)
+    surroundings = Surroundings("zone-a", SLOW_LINK_ENGINE, RATE, (), 10.0, 0.6, 0.5, idle)
     candidates = [Candidate(runner, SALT, 1) for runner in (near, other)]
-    choice = ExpectedDelayPlacement(index).choose(shape, candidates, around, [near, other])
+    choice = ExpectedDelayPlacement(index).choose(shape, candidates, surroundings, [near, other])
     assert choice is not None
     return choice.candidate.runner.runner_id
 
 
 @pytest.mark.parametrize("name", ["i-1", "i-22"])
-def test_of_runners_about_equal_the_one_with_a_resting_connection_is_chosen(name: str) -> None:
+def test_among_about_equal_runners_the_one_with_an_idle_connection_is_chosen(name: str) -> None:
     address = make_entry(name, ENGINES).address
     assert choose(SHORT, PartIndex(), {address: 11.0}) == name
 
 
-def test_a_connection_whose_time_is_over_does_not_count() -> None:
+def test_an_expired_connection_does_not_affect_the_placement() -> None:
     index = PartIndex()
     expected = choose(SHORT, index, {})
     for name in ("i-1", "i-22"):
         assert choose(SHORT, index, {make_entry(name, ENGINES).address: 9.0}) == expected
 
 
-def test_a_long_shared_part_counts_more_than_a_connection() -> None:
+def test_a_long_cached_part_outweighs_an_idle_connection() -> None:
     index = PartIndex()
     index.set_capacity("i-22", 100_000)
     index.note("i-22", SALT, LONG.shared)
