--- a/src/hillstack/backends/http_client.py
+++ b/src/hillstack/backends/http_client.py
@@ -47,7 +47,7 @@
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """The session with persistent connections, for reading status and load."""
+        """The session with persistent connections, which other clients of this node share."""
         return self._pooled
 
     async def close(self) -> None:
--- a/src/hillstack/messages/peer_notices.py
+++ b/src/hillstack/messages/peer_notices.py
@@ -22,7 +22,7 @@
 
 
 class PlacementNotice(msgspec.Struct, array_like=True, frozen=True):
-    """The sender sent a request to a runner that must prefill much of the prompt or shared parts.
+    """A request was sent to a runner that has to prefill a large or shared part of the prompt.
 
     Attributes:
         salt: Cache salt of the parts.
@@ -124,7 +124,7 @@
 
 
 class LimitNotice(msgspec.Struct, array_like=True, frozen=True):
-    """The limit on requests per second from all nodes that a runner returned to the sender.
+    """The limit that a runner sets, and returned to the sender, for the requests of all nodes.
 
     Attributes:
         rate: Limit in requests per second; ``NO_LIMIT`` if the runner's latest answer contains no
@@ -151,10 +151,10 @@
         cache: Changes in the parts cached by the holders that the sender watches.
         unavailable: KV cache stores that do not answer.
         reads: Numbers of the sender's placements whose prompts have been prefilled.
-        runner_ends: Crashes of runners that were processing requests of the sender.
+        runner_ends: Notices about runner crashes and about suspect requests.
         rollouts: The sender's observations of the current software rollouts.
-        restarted: Runners whose process has ended, as shown by an answer from a later process of
-            the same name.
+        restarted: Runners whose process has ended, because a later process of the same name has
+            answered.
         leaving: Runners that have announced their shutdown to the sender; the directory may not
             list them as leaving yet.
         limits: Limits that runners have returned to the sender.
@@ -186,9 +186,9 @@
         return bool(self.placements or self.reads or self.cache) or self.is_control()
 
     def is_control(self) -> bool:
-        """Return whether the notice contains changes for every node.
+        """Return whether the notice contains changes that every node needs.
 
-        Placements, prefilled prompts and cached parts are only for the nodes that use the runner.
+        Fields about single prompts or parts (placements, reads and cached parts) do not count.
         """
         control = self.announcements or self.rollouts or self.leaving or self.limits
         return bool(control) or self.store_era is not None or self.is_urgent()
--- a/src/hillstack/messages/relay_batches.py
+++ b/src/hillstack/messages/relay_batches.py
@@ -20,8 +20,8 @@
         loads: The sender's loads that have changed; the relay adds them up and does not forward
             them individually.
         notice: An encoded ``NodeNotice`` without loads.
-        is_news: Whether the notice contains more than a heartbeat.
-        is_urgent: Whether the relay must forward the notice at once.
+        is_news: Whether ``notice`` contains more than a heartbeat.
+        is_urgent: Whether the relay must forward ``notice`` at once.
     """
 
     node_id: str
@@ -45,7 +45,8 @@
     Attributes:
         zone: Zone of the relay.
         loads: Changed loads, by zone.
-        notices: Encoded ``NodeNotice`` messages of several nodes, possibly including the receiver.
+        notices: Encoded ``NodeNotice`` messages of several nodes; a notice that the receiver itself
+            has sent can be among them.
         region: For a cross-region batch, the region in which the batch originated; empty for a
             batch within the relay's region. A receiver does not send a cross-region batch to other
             regions again.
--- a/src/hillstack/messages/rollout_reports.py
+++ b/src/hillstack/messages/rollout_reports.py
@@ -15,8 +15,8 @@
         busy: Whether at least half of the runners' slots were in use.
         answered: Attempts whose success or failure is attributable to the runner.
         failed: The failed attempts among ``answered``.
-        delays: Histogram of the time to the first bytes, with bucket widths of a factor of the
-            square root of two: entry ``i`` counts the successful answers that took about
+        delays: Histogram of the time to the first bytes, whose bucket bounds increase by a factor
+            of the square root of two: entry ``i`` counts the successful answers that took about
             ``2 ** (i / 2 - 2)`` times the expected time.
     """
 
--- a/src/hillstack/messages/runner_ends.py
+++ b/src/hillstack/messages/runner_ends.py
@@ -1,4 +1,4 @@
-"""Notices about runners that crashed while they were processing requests."""
+"""Notices about runner crashes and about the requests that may have caused the crashes."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
         running: Estimated number of requests that all nodes together had at the runner.
         cleared: Fingerprints of requests that were running at a crash and have since been answered
             in another run.
-        taken_back: Whether the runner has sent data after the reported crash, so that it did not
-            crash.
+        taken_back: Whether an earlier notice of a crash is withdrawn because the runner has sent
+            data since then.
         probation_ms: Maximum time for which the sender runs a suspect request at the runner, which
             has not crashed; 0 when the suspect request is over. None for all other notices.
         succeeded: Hashes of requests that a runner has since processed successfully. Earlier builds
--- a/src/hillstack/messages/store_changes.py
+++ b/src/hillstack/messages/store_changes.py
@@ -31,7 +31,11 @@
 
 
 class NamedWeights(msgspec.Struct, array_like=True, frozen=True):
-    """A version of a model's weights published in the store; ``age_ms`` is its maximum age."""
+    """A version of a model's weights that was published in the store.
+
+    Attributes:
+        age_ms: Upper bound of the time since the publication, rounded up.
+    """
 
     model: str
     version: int
