--- a/src/hillstack/backends/cache_events.py
+++ b/src/hillstack/backends/cache_events.py
@@ -1,8 +1,8 @@
 """Subscribes to the cache events that engines publish over ZeroMQ in the format of vLLM.
 
 On a gap in the sequence numbers, the subscriber marks the engine's cache estimate as untrusted and
-requests a replay of the missing events. If the engine no longer holds all of them, the subscriber
-drops the estimate, and later events rebuild it.
+requests a replay of the missing events. If the engine no longer holds all of them or the replay
+times out, the subscriber drops the estimate, and later events rebuild it.
 """
 
 from __future__ import annotations
