--- a/src/hillstack/backends/cache_events.py
+++ b/src/hillstack/backends/cache_events.py
@@ -96,7 +96,7 @@
             return
         self._index.reset(self._engine_id)
         fields = {"peer": self._replay_address, "step": "replay events"}
-        logger.info("cache estimate dropped: events cannot be replayed", extra=fields)
+        logger.info("beliefs dropped, events cannot be replayed", extra=fields)
 
     async def _fetch(self, gap: SequenceGap) -> bool:
         """Fetch and apply the missing batches; return whether all of them were received.
