--- a/src/hillstack/cli/bundle.py
+++ b/src/hillstack/cli/bundle.py
@@ -1,4 +1,4 @@
-"""``hillstack bundle``: the operator's side of bundles."""
+"""``hillstack bundle``: commands that create, sign, roll out and inspect bundles."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 Platform = Annotated[
     list[str], typer.Option("--platform", help="Key-value service, IP:PORT. May stand often.")
 ]
-FORCE_POLL_SECONDS = 0.1
+IN_FORCE_POLL_SECONDS = 0.1
 
 
 @app.command()
@@ -160,12 +160,14 @@
     with errors_to_exit_codes():
         bundle = read_bundle(path)
         payload = bundle.canonical().decode()
-        known = read_signed(signed_path) if signed_path.exists() else SignedBundle(payload=payload)
-        if known.payload != payload:
+        existing = (
+            read_signed(signed_path) if signed_path.exists() else SignedBundle(payload=payload)
+        )
+        if existing.payload != payload:
             raise BundleError("is of another bundle", step="sign", peer=str(signed_path))
-        signature = sign(known.signed_bytes(), partner, _read(private).strip())
-        others = tuple(entry for entry in known.signatures if entry.partner != partner)
-        chain = _read_keysets(keysets) if keysets else known.keysets
+        signature = sign(existing.signed_bytes(), partner, _read(private).strip())
+        others = tuple(entry for entry in existing.signatures if entry.partner != partner)
+        chain = _read_keysets(keysets) if keysets else existing.keysets
         signed = SignedBundle(payload=payload, signatures=(*others, signature), keysets=chain)
         signed_path.write_text(signed.model_dump_json() + "\n")
     signers = [entry.partner for entry in signed.signatures]
@@ -188,7 +190,7 @@
     with errors_to_exit_codes():
         signed = read_signed(path)
         bundle = verify_bundle(signed, read_keyset(keyset))
-        asyncio.run(_with_store(platform, lambda store: store.roll_out(signed, bundle)))
+        asyncio.run(_run_with_store(platform, lambda store: store.roll_out(signed, bundle)))
         behind = asyncio.run(_wait_in_force(router, bundle.version, wait)) if router else []
     fields = {
         "version": bundle.version,
@@ -209,7 +211,7 @@
 def status(platform: Platform, output: OutputOption = Output.TEXT) -> None:
     """Show the accepted version."""
     with errors_to_exit_codes():
-        head = asyncio.run(_with_store(platform, lambda store: store.head()))
+        head = asyncio.run(_run_with_store(platform, lambda store: store.head()))
     fields = {"version": head.version if head else 0, "digest": head.digest if head else ""}
     emit(output, fields, f"accepted: version {fields['version']} ({str(fields['digest'])[:12]})")
 
@@ -222,7 +224,7 @@
 ) -> None:
     """Write the accepted bundle to a file."""
     with errors_to_exit_codes():
-        signed = asyncio.run(_with_store(platform, lambda store: store.latest()))
+        signed = asyncio.run(_run_with_store(platform, lambda store: store.latest()))
         if signed is None:
             raise BundleError("no bundle was accepted yet", step="fetch")
         bundle = signed.bundle()
@@ -239,7 +241,7 @@
 ) -> None:
     """Show the accepted versions, newest first."""
     with errors_to_exit_codes():
-        entries = asyncio.run(_with_store(platform, lambda store: store.history(limit)))
+        entries = asyncio.run(_run_with_store(platform, lambda store: store.history(limit)))
     rows = []
     for signed in entries:
         bundle = signed.bundle()
@@ -256,7 +258,7 @@
     """Read and check a bundle file.
 
     Raises:
-        BundleError: It can't be read or is invalid.
+        BundleError: The file can't be read or the bundle is invalid.
     """
     return parse_bundle(_read(path), str(path))
 
@@ -265,7 +267,7 @@
     """Read a signed bundle file.
 
     Raises:
-        BundleError: It can't be read or is malformed.
+        BundleError: The file can't be read or is malformed.
     """
     return parse_signed_bundle(_read(path), str(path))
 
@@ -274,7 +276,7 @@
     """Read a keyset file.
 
     Raises:
-        BundleError: It can't be read or is malformed.
+        BundleError: The file can't be read or is malformed.
     """
     try:
         return Keyset.model_validate_json(_read(path))
@@ -283,7 +285,7 @@
 
 
 def write_bundle(path: Path, bundle: Bundle) -> None:
-    """Write a bundle for people to edit."""
+    """Write a bundle as indented JSON, so that it can be edited by hand."""
     path.write_text(bundle.model_dump_json(indent=2) + "\n")
 
 
@@ -301,24 +303,30 @@
         raise BundleError(describe_validation(error), step="parse", peer=str(path)) from error
 
 
-async def _with_store(
+async def _run_with_store(
     platform: list[str], work: Callable[[BundleStore], Awaitable[Result]]
 ) -> Result:
+    """Run an operation on the bundle store over an HTTP session of its own."""
     async with aiohttp.ClientSession() as session:
         return await work(BundleStore(KeyValueClient(platform, session)))
 
 
 async def _wait_in_force(router: str, version: int, wait: float) -> list[str]:
-    """Return the serving nodes that do not have the version in force after ``wait`` seconds."""
+    """Wait until all running nodes have the version in force.
+
+    Returns:
+        The nodes that still lack the version after ``wait`` seconds; empty if there are none.
+    """
     deadline = clock.seconds() + wait
     while True:
         behind = await _nodes_behind(router, version)
         if not behind or clock.seconds() >= deadline:
             return behind
-        await asyncio.sleep(FORCE_POLL_SECONDS)
+        await asyncio.sleep(IN_FORCE_POLL_SECONDS)
 
 
 async def _nodes_behind(router: str, version: int) -> list[str]:
+    """Return the running nodes with an older bundle, or the router if it can't be reached."""
     try:
         content = await fetch_status_page(router)
     except PeerError:
--- a/src/hillstack/cli/emulator.py
+++ b/src/hillstack/cli/emulator.py
@@ -1,4 +1,4 @@
-"""``hillstack emulator``: stand-ins for engines, applications and the platform."""
+"""``hillstack emulator``: emulated engines, applications and platform services."""
 
 from __future__ import annotations
 
--- a/src/hillstack/cli/exits.py
+++ b/src/hillstack/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes and the reporting of errors."""
+"""Exit codes and error reporting of the commands."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the process's exit code means."""
+    """Exit code of a command."""
 
     OK = 0
     FAILED = 1
@@ -50,7 +50,7 @@
 
 @contextmanager
 def errors_to_exit_codes() -> Iterator[None]:
-    """Print errors to standard error and end with their exit code."""
+    """Print an error to standard error and exit with the exit code of its type."""
     try:
         yield
     except HillstackError as error:
--- a/src/hillstack/cli/experiment.py
+++ b/src/hillstack/cli/experiment.py
@@ -1,4 +1,4 @@
-"""``hillstack experiment``: routing measured in virtual time, and load on a live deployment."""
+"""``hillstack experiment``: simulated routing experiments and load on a running deployment."""
 
 from __future__ import annotations
 
--- a/src/hillstack/cli/fleet.py
+++ b/src/hillstack/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``hillstack fleet``: a node before the runners of a deployment, its logs, and rollouts."""
+"""``hillstack fleet``: runs a fleet node, traces requests in its logs and lists rollouts."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 
 app = typer.Typer(help="Run a fleet's node, and follow requests and rollouts.")
 
+# A trace includes runner events from this long before the first line of the request.
 CONTEXT_SECONDS = 2.0
 ROLLOUT_FIELDS = ("service", "order", "target", "told", "stage", "age", "reason", "rejected")
 HIDDEN_FIELDS = ("time", "level", "logger", "message", "node")
-RUNNER_NEWS = (
+RUNNER_EVENTS = (
     "runner suspected",
     "runner changed",
     "runner gone",
@@ -53,12 +54,12 @@
     logs: Annotated[list[Path], typer.Argument(help="Log files of the nodes (JSON lines).")],
 ) -> None:
     """Print what the nodes decided about a request, and what they learned of its runners."""
-    lines = [line for path in logs for line in read_lines(path)]
-    story = request_story(request, lines)
-    if not story:
+    lines = [line for path in logs for line in read_log_lines(path)]
+    selected = select_trace_lines(request, lines)
+    if not selected:
         typer.echo(f"error: no line of request {request}", err=True)
         raise typer.Exit(ExitCode.INVALID)
-    for line in story:
+    for line in selected:
         typer.echo(format_line(line))
 
 
@@ -88,9 +89,10 @@
 
 
 def rollout_row(line: RolloutLine) -> dict[str, object]:
-    """Return what a person is shown of a rollout.
+    """Return the table row of a rollout.
 
-    A record of an earlier order is not shown as the stage of the one that stands.
+    A record that belongs to an earlier order is ignored, so that its stage is not shown for the
+    current order.
     """
     order, record = line.order, line.record
     if order is not None and record is not None and record.order_revision != order.revision:
@@ -108,8 +110,12 @@
     }
 
 
-def read_lines(path: Path) -> list[dict[str, Any]]:
-    """Return the JSON lines of a log; anything before the first brace of a line is passed over."""
+def read_log_lines(path: Path) -> list[dict[str, Any]]:
+    """Return the JSON records of a log file.
+
+    Text before the first brace of a line is ignored. Lines without a JSON object that has a
+    message are skipped.
+    """
     lines = []
     for raw in path.read_text(errors="replace").splitlines():
         _, brace, rest = raw.partition("{")
@@ -122,33 +128,37 @@
     return lines
 
 
-def request_story(request: str, lines: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Return the lines of a request, and what its node learned of its runners around them."""
-    own = [line for line in lines if line.get("request") == request]
-    if not own:
+def select_trace_lines(request: str, lines: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    """Return the log lines of a request and of events of its runners, ordered by time.
+
+    Runner events are included if a node that handled the request logged them between
+    ``CONTEXT_SECONDS`` before the first line of the request and its last line.
+    """
+    request_lines = [line for line in lines if line.get("request") == request]
+    if not request_lines:
         return []
-    nodes = {line.get("node") for line in own}
-    runners = {line["runner"] for line in own if "runner" in line}
-    first, last = own[0]["time"], own[-1]["time"]
-    around = [
+    nodes = {line.get("node") for line in request_lines}
+    runners = {line["runner"] for line in request_lines if "runner" in line}
+    first, last = request_lines[0]["time"], request_lines[-1]["time"]
+    runner_lines = [
         line
         for line in lines
         if line.get("node") in nodes
         and line.get("runner") in runners
-        and line["message"] in RUNNER_NEWS
-        and _before(first) <= line["time"] <= last
+        and line["message"] in RUNNER_EVENTS
+        and _context_start(first) <= line["time"] <= last
     ]
-    return sorted(own + around, key=lambda line: str(line["time"]))
+    return sorted(request_lines + runner_lines, key=lambda line: str(line["time"]))
 
 
 def format_line(line: dict[str, Any]) -> str:
-    """Return a line for a person."""
+    """Format a log line as time, node, message and remaining fields."""
     fields = " ".join(f"{key}={line[key]}" for key in line if key not in HIDDEN_FIELDS)
     return f"{line['time']}  {line.get('node', '-'):18}  {line['message']:22}  {fields}"
 
 
-def _before(time: str) -> str:
-    """Return a time some seconds earlier within the same minute, as text; else the minute."""
+def _context_start(time: str) -> str:
+    """Return the time ``CONTEXT_SECONDS`` earlier, as text, or the minute if it began later."""
     head, _, seconds = time.rpartition(":")
     value = float(seconds.replace(",", ".")) - CONTEXT_SECONDS
     return f"{head}:{value:06.3f}".replace(".", ",") if value >= 0 else head
--- a/src/hillstack/cli/output.py
+++ b/src/hillstack/cli/output.py
@@ -1,4 +1,4 @@
-"""Output for people and for programs."""
+"""Command output as text or JSON."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Output(enum.StrEnum):
-    """The form of a command's output."""
+    """The output format of a command."""
 
     TEXT = "text"
     JSON = "json"
@@ -21,12 +21,12 @@
 
 
 def emit(output: Output, fields: object, text: str) -> None:
-    """Print the fields as JSON or the text, as the caller of the command chose."""
+    """Print the fields as JSON, or the text, depending on the output format."""
     typer.echo(json.dumps(fields) if output is Output.JSON else text)
 
 
 def print_table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print aligned columns."""
+    """Print a header and rows in aligned columns."""
     cells = [[str(cell) for cell in row] for row in [header, *rows]]
     widths = [max(len(row[column]) for row in cells) for column in range(len(header))]
     typer.echo("")
--- a/src/hillstack/cli/router.py
+++ b/src/hillstack/cli/router.py
@@ -1,4 +1,4 @@
-"""``hillstack router``: the daemon."""
+"""``hillstack router``: runs the router daemon."""
 
 from __future__ import annotations
 
@@ -33,7 +33,10 @@
 
 
 def parse_overrides(entries: list[str]) -> dict[str, str]:
-    """Return overrides by dotted key; ends the process when one lacks ``=``."""
+    """Return the overrides by dotted key.
+
+    An entry without ``=`` ends the process with ``ExitCode.INVALID``.
+    """
     overrides = {}
     for entry in entries:
         key, separator, value = entry.partition("=")
--- a/src/hillstack/cli/status.py
+++ b/src/hillstack/cli/status.py
@@ -1,4 +1,4 @@
-"""``hillstack status``: what a router knows of nodes and back ends."""
+"""``hillstack status``: shows nodes and back ends as one router sees them."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     """Return a router's status page.
 
     Raises:
-        PeerError: It could not be read.
+        PeerError: The page could not be read.
     """
     timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
     try:
