--- a/src/hillstack/config/bundle.py
+++ b/src/hillstack/config/bundle.py
@@ -1,7 +1,7 @@
 """The bundle: the versioned, signed description of a deployment.
 
 A bundle is canonical JSON: the same content always has the same bytes and therefore the same
-digest. Each bundle names the digest of its parent, so that accepted bundles form a chain.
+digest. Each bundle contains the digest of its parent, so that accepted bundles form a chain.
 """
 
 from __future__ import annotations
@@ -14,6 +14,7 @@
 
 from hillstack.errors import BundleError
 
+# Parent digest of the first bundle of a deployment.
 GENESIS_PARENT = "0" * 64
 
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9._-]{0,62}$")]
@@ -228,10 +229,10 @@
 
     Args:
         payload: JSON text.
-        source: Where it came from, for the error.
+        source: Origin of the text, for the error message.
 
     Raises:
-        BundleError: The text is not a valid bundle; the message names key and reason.
+        BundleError: The text is not a valid bundle; the message gives the key and the reason.
     """
     try:
         return Bundle.model_validate_json(payload)
@@ -240,7 +241,7 @@
 
 
 def describe_validation(error: ValidationError) -> str:
-    """Return one line per problem: the key and the reason."""
+    """Return the key and the reason of each problem, separated by semicolons."""
     lines = []
     for problem in error.errors(include_url=False):
         key = ".".join(str(part) for part in problem["loc"]) or "(whole file)"
--- a/src/hillstack/config/fleet_settings.py
+++ b/src/hillstack/config/fleet_settings.py
@@ -1,6 +1,6 @@
-"""Settings of a node of the fleet, read from a TOML file.
+"""Settings of a fleet node, read from a TOML file.
 
-Unknown keys are passed over: the file is written by a platform that may add some.
+Unknown keys are ignored, because the platform that writes the file may add some.
 """
 
 from __future__ import annotations
@@ -20,14 +20,15 @@
 PositiveInt = Annotated[int, msgspec.Meta(gt=0)]
 Port = Annotated[int, msgspec.Meta(gt=0, lt=65_536)]
 PositiveFloat = Annotated[float, msgspec.Meta(gt=0)]
-Share = Annotated[float, msgspec.Meta(ge=0)]
-Text = Annotated[str, msgspec.Meta(min_length=1)]
+NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
+NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
 
-
-FRESHNESS_SHARE = 0.9
-# A change takes up to two looks, the relay's and the asker's own; half of the bound is left for the
-# store, lost datagrams and one look that fails.
-WATCH_SHARE = 0.25
+# Keys become untrusted at this part of revoke_ms, before the bound itself has passed.
+FRESHNESS_FRACTION = 0.9
+# Part of the bound that lies between two polls. A change arrives after up to two poll intervals:
+# the relay polls the store, and this node polls the relay. The other half of the bound is left for
+# the store, lost datagrams and one failed poll.
+POLL_INTERVAL_FRACTION = 0.25
 
 
 class NodeSection(msgspec.Struct, frozen=True):
@@ -46,11 +47,11 @@
         descriptors: Most descriptors that the process may have open; none for the system's limit.
     """
 
-    id: Text
-    zone: Text
-    address: Text
+    id: NonEmptyText
+    zone: NonEmptyText
+    address: NonEmptyText
     region: str = ""
-    link_megabits: Share = 0.0
+    link_megabits: NonNegativeFloat = 0.0
     region_link_megabits: PositiveFloat = 30.0
     descriptors: PositiveInt | None = None
 
@@ -65,8 +66,8 @@
         metrics_port: TCP port for metrics; none by default.
     """
 
-    callers: Text
-    readiness: Text
+    callers: NonEmptyText
+    readiness: NonEmptyText
     peers_port: Port
     metrics_port: Port | None = None
 
@@ -78,7 +79,7 @@
         address: ``IP:PORT``.
     """
 
-    address: Text
+    address: NonEmptyText
 
 
 class BoundsSection(msgspec.Struct, frozen=True):
@@ -113,18 +114,18 @@
     config_apply_ms: PositiveFloat = 2_000.0
     drain_ms: PositiveFloat = 2_000.0
     grace_seconds: PositiveFloat = 8.0
-    retry_ratio: Share = 0.1
-    retry_slack: Share = 10.0
+    retry_ratio: NonNegativeFloat = 0.1
+    retry_slack: NonNegativeFloat = 10.0
     retry_window_seconds: PositiveFloat = 10.0
-    limit_overshoot: Share = 0.0
-    limit_slack: Share = 0.0
+    limit_overshoot: NonNegativeFloat = 0.0
+    limit_slack: NonNegativeFloat = 0.0
     limit_window_seconds: PositiveFloat = 10.0
-    canary_share: Share = 0.1
-    canary_slack: Share = 0.0
+    canary_share: NonNegativeFloat = 0.1
+    canary_slack: NonNegativeFloat = 0.0
     rollback_ms: PositiveFloat = 5_000.0
 
     def limit_tolerance(self) -> LimitTolerance:
-        """Return how far the limits of tenants may be passed."""
+        """Return by how much tenants may exceed their limits."""
         return LimitTolerance(self.limit_window_seconds, self.limit_overshoot, self.limit_slack)
 
 
@@ -152,25 +153,25 @@
     zones: dict[str, str] = msgspec.field(default_factory=dict)
 
     def topology(self) -> Topology:
-        """Return where this node is among the zones and regions."""
+        """Return the location of this node and the region of each zone."""
         return Topology(self.node.zone, self.node.region, self.zones)
 
     def freshness_bound(self) -> float:
-        """Return the age in seconds from which keys are not trusted."""
+        """Return the age in seconds from which keys are no longer trusted."""
         if not self.bounds.fail_closed:
             return math.inf
-        return self.bounds.revoke_ms / 1000 * FRESHNESS_SHARE
+        return self.bounds.revoke_ms / 1000 * FRESHNESS_FRACTION
 
     def watch_interval(self) -> float:
-        """Return the seconds between two looks for changes: a quarter of what the bounds allow."""
-        return WATCH_SHARE * min(self.bounds.config_apply_ms, self.bounds.drain_ms) / 1000
+        """Return the seconds between two polls for changes: a quarter of the shorter bound."""
+        return POLL_INTERVAL_FRACTION * min(self.bounds.config_apply_ms, self.bounds.drain_ms) / 1000
 
 
 def load_fleet_settings(path: Path) -> FleetSettings:
     """Read and check a settings file.
 
     Raises:
-        SettingsError: Names file, key and reason.
+        SettingsError: The file can't be read or is invalid; the message gives the reason.
     """
     try:
         content = tomllib.loads(path.read_text())
--- a/src/hillstack/config/settings.py
+++ b/src/hillstack/config/settings.py
@@ -136,10 +136,11 @@
 
     Args:
         path: The TOML file.
-        overrides: Values by dotted key that replace those of the file.
+        overrides: Values by dotted key; they replace the values in the file.
 
     Raises:
-        SettingsError: Names file, key and reason.
+        SettingsError: The file can't be read or is invalid; the message gives file, key and
+            reason.
     """
     try:
         content: dict[str, Any] = tomllib.loads(path.read_text())
--- a/src/hillstack/config/signing.py
+++ b/src/hillstack/config/signing.py
@@ -1,8 +1,8 @@
-"""Signed bundles and the chain of keysets that makes their signatures checkable.
+"""Signed bundles and the chain of keysets against which their signatures are verified.
 
 Trust starts at the root keyset of the settings. A later keyset is valid when enough partners of
-the one before it signed it. A bundle is valid when enough partners of the keyset that was in force
-for its parent signed it.
+the previous keyset signed it. A bundle is valid when enough partners of the keyset that was in
+force for its parent signed it.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class SignedKeyset(Strict):
-    """A keyset signed by partners of the keyset before it."""
+    """A keyset signed by partners of the previous keyset."""
 
     keyset: Keyset
     signatures: tuple[Signature, ...] = ()
@@ -104,7 +104,7 @@
     """Check that enough distinct partners of the keyset signed the content.
 
     Raises:
-        SignatureError: Too few valid signatures; the message names the partners missing.
+        SignatureError: Too few signatures are valid; the message lists the missing partners.
     """
     valid = {entry.partner for entry in signatures if _is_valid(content, entry, keyset)}
     if len(valid) < keyset.threshold:
@@ -116,10 +116,10 @@
 
 
 def keyset_chain(root: Keyset, keysets: tuple[SignedKeyset, ...]) -> dict[int, Keyset]:
-    """Return all valid keysets by version, from the root on.
+    """Verify the keysets after the root and return all of them, with the root, by version.
 
     Raises:
-        SignatureError: A link is unsigned or out of order.
+        SignatureError: A keyset lacks signatures or its version does not follow the previous one.
     """
     chain = {root.version: root}
     current = root
@@ -138,8 +138,9 @@
     """Check a signed bundle against the root keyset and return its content.
 
     Raises:
-        BundleError: It is malformed.
-        SignatureError: It is not signed by enough partners of the right keyset.
+        BundleError: The bundle is malformed.
+        SignatureError: Too few partners of the right keyset signed the bundle, or the keyset is
+            missing.
     """
     bundle = signed.bundle()
     chain = keyset_chain(root, signed.keysets)
