--- a/src/hillstack/gateway/answers.py
+++ b/src/hillstack/gateway/answers.py
@@ -1,4 +1,4 @@
-"""Answers that several kinds of requests share."""
+"""Answers and checks shared by completions and application routes."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 
 def refuse_if_stale(node: Node, outcome: Outcome = Outcome.NOT_RUN) -> None:
-    """Refuse work if the bundle bids so after a long cut.
+    """Refuse a request if the bundle demands it after a long network partition.
 
     Raises:
-        CallerError: The node was cut off for longer than the bundle allows.
+        CallerError: The node was cut off from most zones for longer than the bundle allows.
     """
     if node.control.is_too_stale(node.clock()):
         answer = ErrorAnswer(
@@ -51,11 +51,11 @@
     """Return the whole body of a back end's answer, of at most ``limit`` bytes.
 
     Raises:
-        BackendBrokenError: It is longer than the limit, or the connection broke.
+        BackendBrokenError: The body is longer than the limit, or the connection broke.
     """
     body = bytearray()
-    async for piece in answer.content.iter_any():
-        body += piece
+    async for chunk in answer.content.iter_any():
+        body += chunk
         if len(body) > limit:
             raise BackendBrokenError("answer too long", step="read answer", peer=backend_id)
     return bytes(body)
--- a/src/hillstack/gateway/app.py
+++ b/src/hillstack/gateway/app.py
@@ -37,7 +37,7 @@
 
 
 class Gateway:
-    """The handlers."""
+    """Handlers of the HTTP endpoints."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
@@ -47,12 +47,12 @@
         return PlainTextResponse("ok\n")
 
     async def ready(self, request: Request) -> Response:
-        """Answer 200 while requests can be served and no stop was ordered."""
+        """Answer 200 while the node serves requests, 503 before that and while it is stopping."""
         ready = self.node.is_ready()
         return PlainTextResponse("ready\n" if ready else "not ready\n", 200 if ready else 503)
 
     async def metrics(self, request: Request) -> Response:
-        """Return the Prometheus page."""
+        """Update the gauges and return all metrics in the Prometheus text format."""
         node = self.node
         node.metrics.cached_blocks.set(node.index.total_blocks())
         node.metrics.claims.set(len(node.control.claims))
@@ -99,7 +99,7 @@
         )
 
     async def models(self, request: Request) -> Response:
-        """Return the models, as OpenAI lists them."""
+        """Return the list of models in OpenAI's format."""
         index = self.node.bundle_index
         if index is None:
             return not_ready_answer().response()
@@ -116,7 +116,7 @@
     async def completion(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve a text or chat completion, as plain ASGI.
 
-        Streams bypass the framework's middleware, whose wrappers run for each piece.
+        Streams bypass Starlette's middleware, whose wrappers would run for each chunk.
         """
         request = Request(scope, receive)
         try:
@@ -141,7 +141,10 @@
 
 
 class RequestGuard:
-    """Refuses oversized headers, counts open requests and closes connections while stopping."""
+    """Refuses oversized headers and counts open requests.
+
+    While the node is stopping, every answer asks the caller to close the connection.
+    """
 
     def __init__(self, app: ASGIApp, gateway: Gateway) -> None:
         self._app = app
@@ -158,15 +161,17 @@
         if scope["method"] == "POST" and scope["path"] in COMPLETION_PATHS:
             app = self._gateway.completion
         if size > self._node.settings.limits.max_header_bytes:
-            app = _headers_too_long()
+            app = _headers_too_long_answer()
         gauge = self._node.metrics.open_requests
         gauge.inc()
         try:
-            await app(scope, receive, self._closing(send) if self._node.stopping else send)
+            await app(
+                scope, receive, self._with_connection_close(send) if self._node.stopping else send
+            )
         finally:
             gauge.dec()
 
-    def _closing(self, send: Send) -> Send:
+    def _with_connection_close(self, send: Send) -> Send:
         async def send_closing(message: Message) -> None:
             if message["type"] == "http.response.start":
                 headers = [*message["headers"], (b"connection", b"close")]
@@ -176,7 +181,7 @@
         return send_closing
 
 
-def _headers_too_long() -> ASGIApp:
+def _headers_too_long_answer() -> ASGIApp:
     answer = ErrorAnswer(431, "headers_too_long", "the headers are too long", step="check request")
     return answer.response()
 
--- a/src/hillstack/gateway/applications.py
+++ b/src/hillstack/gateway/applications.py
@@ -1,4 +1,4 @@
-"""Serves application routes: bookings, filings, look-ups, quotes."""
+"""Serves application routes such as bookings, filings, look-ups and quotes."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 MAX_KEY_LENGTH = 200
 RETRY_SECONDS = 1.0
 KIND = "application"
-PASSED_HEADERS = ("content-type", "accept", "accept-language")
+FORWARDED_HEADERS = ("content-type", "accept", "accept-language")
 KEY_RANDOM_BITS = 80
 STORED_ANSWER_LIMIT_BYTES = 64 * 1024
 
 
 @dataclass(slots=True)
 class ApplicationJob:
-    """An application request on its way."""
+    """An application request and its attempts."""
 
     route: Route
     tenant: Tenant
@@ -54,13 +54,13 @@
 
 
 async def handle_application(node: Node, request: Request) -> Response:
-    """Serve a request of a declared route.
+    """Serve a request to a route of the bundle.
 
     Raises:
-        CallerError: It is refused or failed.
+        CallerError: The request was refused or failed.
     """
     index = node.bundle_index
-    # A request with a key may be a repeat of one that ran through another node.
+    # A request with an idempotency key may repeat a request that ran through another node.
     outcome = Outcome.UNKNOWN if KEY_HEADER in request.headers else Outcome.NOT_RUN
     if index is None:
         raise CallerError(not_ready_answer(outcome))
@@ -82,7 +82,9 @@
                 return await _run_repeatable(node, job)
             return await _run_once(node, job, index.bundle, key)
     except TimeoutError:
-        raise CallerError(_gave_up(job, "deadline_exceeded", "the deadline passed", 504)) from None
+        raise CallerError(
+            _unserved_answer(job, "deadline_exceeded", "the deadline passed", 504)
+        ) from None
 
 
 def _make_job(
@@ -95,7 +97,7 @@
     deadline: float,
 ) -> ApplicationJob:
     request_id = f"{node.rng.getrandbits(96):024x}"
-    headers = {name: request.headers[name] for name in PASSED_HEADERS if name in request.headers}
+    headers = {name: request.headers[name] for name in FORWARDED_HEADERS if name in request.headers}
     headers["x-tenant"] = tenant.name
     target = request.url.path
     if request.url.query:
@@ -123,7 +125,7 @@
     """Run a non-repeatable request, under a claim if the caller gave a key.
 
     Without a key, no other request can be a repeat of this one, so there is nothing to claim. The
-    application gets a key of the router's, which is never shown to the caller.
+    application then gets a key that the router generates and never shows to the caller.
     """
     if key is None:
         random_bits = node.rng.getrandbits(KEY_RANDOM_BITS)
@@ -138,7 +140,7 @@
     )
     result = await node.coordinator.claim(claim, bundle.zones)
     if result.verdict is not ClaimVerdict.WON:
-        return _not_claimed(node, job, claim, result)
+        return _unclaimed_response(node, job, claim, result)
     job.attempts.may_be_repeat = False
     try:
         answer = await _attempt_until_done(node, job)
@@ -151,9 +153,10 @@
     return _response(job, answer)
 
 
-def _not_claimed(
+def _unclaimed_response(
     node: Node, job: ApplicationJob, claim: ClaimRequest, result: ClaimResult
 ) -> Response:
+    """Return the stored answer of an earlier run, or raise the reason why the claim was lost."""
     if result.verdict is ClaimVerdict.OTHER_BODY:
         raise bad_request("key_reused", "the key was used with another request", 422)
     if result.answer is not None:
@@ -171,7 +174,9 @@
             retry_after=RETRY_SECONDS,
         )
         raise CallerError(answer)
-    raise CallerError(_gave_up(job, "no_majority", "no majority of zones to claim the key", 503))
+    raise CallerError(
+        _unserved_answer(job, "no_majority", "no majority of zones to claim the key", 503)
+    )
 
 
 async def _attempt_until_done(node: Node, job: ApplicationJob) -> StoredAnswer:
@@ -183,7 +188,9 @@
     while True:
         backend_id = router.place_application(job.route.pool, node.clock(), excluded)
         if backend_id is None:
-            raise CallerError(_gave_up(job, "no_application", "no application takes work", 503))
+            raise CallerError(
+                _unserved_answer(job, "no_application", "no application takes work", 503)
+            )
         attempt = job.attempts.start(backend_id)
         try:
             return await _attempt(node, job, attempt)
@@ -191,11 +198,11 @@
             excluded.add(backend_id)
             node.fleet.observe_failure(backend_id, node.clock())
             _log_failure(node, job, error)
-            if not _may_try_again(node, job, bundle):
-                raise CallerError(_failed(job, error)) from error
+            if not _may_retry(node, job, bundle):
+                raise CallerError(_failure_answer(job, error)) from error
 
 
-def _may_try_again(node: Node, job: ApplicationJob, bundle: Bundle) -> bool:
+def _may_retry(node: Node, job: ApplicationJob, bundle: Bundle) -> bool:
     if not job.attempts.may_retry():
         return False
     if len(job.attempts.attempts) >= bundle.retries.max_attempts:
@@ -248,7 +255,8 @@
     return digest.hexdigest()
 
 
-def _gave_up(job: ApplicationJob, code: str, message: str, status: int) -> ErrorAnswer:
+def _unserved_answer(job: ApplicationJob, code: str, message: str, status: int) -> ErrorAnswer:
+    """Return the error for a request that ended without an answer of an application."""
     outcome = job.attempts.outcome_of_refusal()
     attempts = job.attempts.attempts
     peer = attempts[-1].backend_id if attempts else ""
@@ -256,7 +264,7 @@
     return ErrorAnswer(status, code, message, outcome, step, peer, RETRY_SECONDS)
 
 
-def _failed(job: ApplicationJob, error: BackendError) -> ErrorAnswer:
+def _failure_answer(job: ApplicationJob, error: BackendError) -> ErrorAnswer:
     outcome = job.attempts.outcome_of_refusal()
     code = "application_broke" if isinstance(error, BackendBrokenError) else "application_refused"
     return ErrorAnswer(502, code, error.message, outcome, error.step, error.peer, RETRY_SECONDS)
--- a/src/hillstack/gateway/completion_job.py
+++ b/src/hillstack/gateway/completion_job.py
@@ -1,4 +1,4 @@
-"""A completion on its way through a router."""
+"""The state of a completion request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 @dataclass(slots=True)
 class CompletionJob:
-    """A completion on its way."""
+    """A checked completion request and the state of its attempts.
+
+    Attributes:
+        excluded: Engines on which an attempt failed; they get no further attempt.
+    """
 
     request: CompletionRequest
     parsed: ParsedCompletion
--- a/src/hillstack/gateway/completion_response.py
+++ b/src/hillstack/gateway/completion_response.py
@@ -1,4 +1,4 @@
-"""Runs a completion: attempts at engines and the relay of the answer."""
+"""Runs a completion: sends attempts to engines and relays the answer to the caller."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 RESUME_HEADER = "x-resume-from"
 RESUMED_HEADER = "x-resumed-from"
 
-AnswerTaker = Callable[[Answer, Attempt], Awaitable[int | None]]
+AnswerHandler = Callable[[Answer, Attempt], Awaitable[int | None]]
 
 
 class CompletionResponse:
-    """An ASGI response that runs a completion and ends when the caller goes away."""
+    """An ASGI response that runs a completion and stops when the caller disconnects."""
 
     def __init__(self, node: Node, job: CompletionJob) -> None:
         self._node = node
@@ -49,7 +49,7 @@
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Run until the answer is sent or the caller disconnects."""
         work = asyncio.create_task(self._run(send))
-        watch = asyncio.create_task(_disconnected(receive))
+        watch = asyncio.create_task(_wait_for_disconnect(receive))
         watch.add_done_callback(lambda _: work.cancel())
         try:
             with contextlib.suppress(asyncio.CancelledError):
@@ -66,9 +66,9 @@
                 await self._serve(send)
             metrics.requests.labels(KIND, "served").inc()
         except TimeoutError:
-            await self._fail(send, self._deadline_answer())
+            await self._send_error(send, self._deadline_answer())
         except CallerError as error:
-            await self._fail(send, error.answer)
+            await self._send_error(send, error.answer)
 
     async def _serve(self, send: Send) -> None:
         if self._job.parsed.body.stream:
@@ -77,20 +77,20 @@
         else:
             await self._attempt_until_done(lambda r, a: self._relay_whole(r, a, send))
 
-    async def _attempt_until_done(self, take_answer: AnswerTaker) -> None:
+    async def _attempt_until_done(self, handle_answer: AnswerHandler) -> None:
         job, node = self._job, self._node
         while True:
             placement = router_of(node).place(job.request, node.clock(), job.excluded)
             if placement is None:
                 raise CallerError(self._no_engine_answer())
             try:
-                await self._attempt(placement, take_answer)
+                await self._attempt(placement, handle_answer)
                 return
             except BackendError as error:
-                self._note_failure(placement, error)
-                self._require_another_attempt(error)
+                self._record_failure(placement, error)
+                self._require_retry(error)
 
-    async def _attempt(self, placement: Placement, take_answer: AnswerTaker) -> None:
+    async def _attempt(self, placement: Placement, handle_answer: AnswerHandler) -> None:
         job, node = self._job, self._node
         router = router_of(node)
         attempt = job.attempts.start(placement.engine_id)
@@ -109,19 +109,19 @@
                 if response.status in (429, 500, 502, 503):
                     text = f"status {response.status}"
                     raise BackendRefusedError(text, step="send", peer=placement.engine_id)
-                cached_tokens = await take_answer(response, attempt)
+                cached_tokens = await handle_answer(response, attempt)
             attempt.advance(AttemptState.ANSWERED)
         finally:
             router.finished(job.request, placement, attempt.attempt_id, cached_tokens)
-        self._note_tokens(placement, cached_tokens)
+        self._count_tokens(placement, cached_tokens)
 
-    def _note_tokens(self, placement: Placement, cached_tokens: int | None) -> None:
+    def _count_tokens(self, placement: Placement, cached_tokens: int | None) -> None:
         metrics, prompt = self._node.metrics, self._job.request.prompt_tokens
         metrics.prompt_tokens.inc(prompt)
         metrics.cached_tokens.inc(cached_tokens or 0)
         metrics.expected_cached_tokens.inc(max(0, prompt - placement.uncached_tokens))
 
-    def _note_failure(self, placement: Placement, error: BackendError) -> None:
+    def _record_failure(self, placement: Placement, error: BackendError) -> None:
         node, job = self._node, self._job
         job.excluded.add(placement.engine_id)
         node.fleet.observe_failure(placement.engine_id, node.clock())
@@ -130,18 +130,21 @@
         fields = error_fields(error) | {"request": job.request_id, "tenant": job.request.tenant}
         logger.warning("attempt failed", extra=fields)
 
-    def _require_another_attempt(self, error: BackendError) -> None:
-        """Return if the request may be tried again.
+    def _require_retry(self, error: BackendError) -> None:
+        """Check that the request may be retried.
 
-        A stream that has begun resumes without drawing on the retry budget: the work done so far
-        would be lost otherwise. It is still bounded by the number of attempts.
+        A stream that has begun resumes without using the retry budget, because the work done so
+        far would be lost otherwise. The maximum number of attempts still applies.
+
+        Raises:
+            CallerError: The attempts or the retry budget are used up.
         """
         job, node = self._job, self._node
         bundle = node.bundle
         assert bundle is not None
         if len(job.attempts.attempts) >= bundle.retries.max_attempts:
             raise CallerError(self._failure_answer(error, NO_ENGINE_RETRY_SECONDS)) from error
-        if self._relay.events_passed:
+        if self._relay.events_forwarded:
             node.metrics.resumes.inc()
             return
         if not router_of(node).retry_budget.try_retry(job.request.tenant, node.clock()):
@@ -153,25 +156,28 @@
         relay = self._relay
         self._require_resume(response, attempt)
         relay.start_attempt(attempt.attempt_id, attempt.backend_id)
-        async for piece in response.content.iter_any():
-            passed = relay.feed(piece)
-            if passed:
+        async for chunk in response.content.iter_any():
+            forwarded = relay.feed(chunk)
+            if forwarded:
                 if not self._started:
                     await self._start_stream(send, attempt)
-                await send({"type": "http.response.body", "body": passed, "more_body": True})
+                await send({"type": "http.response.body", "body": forwarded, "more_body": True})
         if not relay.done:
             text = "the stream ended without [DONE]"
             raise BackendError(text, step="relay", peer=attempt.backend_id)
         return relay.cached_tokens
 
     def _require_resume(self, response: Answer, attempt: Attempt) -> None:
-        """Check that an engine asked to resume says that it does, or the caller gets tokens twice.
+        """Check that an engine which was asked to resume a stream confirms it.
+
+        An engine that ignores the request starts from the first token, and the caller would get
+        tokens twice.
 
         Raises:
-            BackendError: The engine starts from the first token.
+            BackendError: The engine did not confirm that it resumes.
         """
-        passed = self._relay.events_passed
-        if passed and response.headers.get(RESUMED_HEADER) != str(passed):
+        forwarded = self._relay.events_forwarded
+        if forwarded and response.headers.get(RESUMED_HEADER) != str(forwarded):
             text = "the engine does not resume streams"
             raise BackendError(text, step="resume", peer=attempt.backend_id)
 
@@ -226,8 +232,8 @@
 
     def _engine_headers(self, attempt: Attempt) -> dict[str, str]:
         headers = {"content-type": "application/json", "x-request-id": attempt.attempt_id}
-        if self._relay.events_passed:
-            headers[RESUME_HEADER] = str(self._relay.events_passed)
+        if self._relay.events_forwarded:
+            headers[RESUME_HEADER] = str(self._relay.events_forwarded)
         return headers
 
     def _deadline_answer(self) -> ErrorAnswer:
@@ -262,14 +268,14 @@
         attempts = self._job.attempts.attempts
         return attempts[-1].backend_id if attempts else ""
 
-    async def _fail(self, send: Send, answer: ErrorAnswer) -> None:
+    async def _send_error(self, send: Send, answer: ErrorAnswer) -> None:
         self._node.metrics.requests.labels(KIND, answer.code).inc()
         if not self._started:
             await send_json(send, answer, self._job.request_id)
             return
         if not self._job.parsed.body.stream:
             return
-        # The stream has begun: it ends with an explicit error, and without [DONE].
+        # The stream has begun, so it ends with an error event and without [DONE].
         await send({"type": "http.response.body", "body": answer.event()})
 
 
@@ -287,7 +293,7 @@
     return dict(answer)
 
 
-async def _disconnected(receive: Receive) -> None:
+async def _wait_for_disconnect(receive: Receive) -> None:
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
--- a/src/hillstack/gateway/completions.py
+++ b/src/hillstack/gateway/completions.py
@@ -36,7 +36,7 @@
     """Check and admit a completion and return the response that runs it.
 
     Raises:
-        CallerError: It is refused.
+        CallerError: The request is invalid or refused.
     """
     index = node.bundle_index
     if index is None:
--- a/src/hillstack/gateway/errors.py
+++ b/src/hillstack/gateway/errors.py
@@ -1,4 +1,4 @@
-"""Errors as callers see them."""
+"""Error answers to callers."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorAnswer:
-    """An error answer, in the form of the OpenAI error object with more fields.
+    """An error answer: an OpenAI error object with additional fields.
 
     Attributes:
         status: HTTP status.
         code: Machine-readable code.
         outcome: Whether the request ran.
-        step: Where it failed.
-        peer: At which other party.
-        retry_after: Seconds after which to come back; None when a repeat would not help.
+        step: The step that failed.
+        peer: The back end involved; empty if there was none.
+        retry_after: Seconds after which to retry; None if a retry would not help.
     """
 
     status: int
@@ -59,7 +59,7 @@
         return JSONResponse(self.body(), status_code=self.status, headers=self.headers())
 
     def event(self) -> bytes:
-        """Return the error as an event that ends a stream already begun."""
+        """Return the error as a server-sent event that ends a stream which has begun."""
         return b"data: " + json.dumps(self.body(), separators=(",", ":")).encode() + b"\n\n"
 
 
@@ -72,5 +72,5 @@
 
 
 def bad_request(code: str, message: str, status: int = 400) -> CallerError:
-    """Return the error for input that is wrong whatever the state of the system."""
+    """Return the error for invalid input, which does not depend on the state of the system."""
     return CallerError(ErrorAnswer(status, code, message, step="check request"))
--- a/src/hillstack/gateway/parsing.py
+++ b/src/hillstack/gateway/parsing.py
@@ -1,4 +1,4 @@
-"""Checks and parses what callers send."""
+"""Authenticates, checks and parses requests of callers."""
 
 from __future__ import annotations
 
@@ -22,11 +22,12 @@
 PRIORITY_HEADER = "x-priority"
 TIMEOUT_HEADER = "x-request-timeout"
 DEFAULT_OUTPUT_TOKENS = 16
+# Bodies are read up to this multiple of the limit before the rest is left unread.
 DISCARD_FACTOR = 4
 
 
 class CompletionBody(BaseModel):
-    """The part of a completion request that the router reads; the rest is passed on."""
+    """The fields of a completion request that the router reads; other fields are forwarded."""
 
     model_config = ConfigDict(extra="allow")
 
@@ -41,13 +42,13 @@
 
     @field_validator("n")
     @classmethod
-    def _one_choice(cls, value: int | None) -> int | None:
+    def _check_single_choice(cls, value: int | None) -> int | None:
         if value is not None and value != 1:
             raise ValueError("only one choice is supported")
         return value
 
     def output_tokens(self) -> int:
-        """Return the most tokens that may be generated."""
+        """Return the maximum number of tokens to generate."""
         return self.max_completion_tokens or self.max_tokens or DEFAULT_OUTPUT_TOKENS
 
     def prompt_text(self) -> str:
@@ -70,10 +71,11 @@
 def authenticate(headers: Mapping[str, str], index: BundleIndex) -> Tenant:
     """Return the tenant of a bearer token.
 
-    Tokens are looked up by their SHA-256, so the time taken tells nothing useful about a token.
+    Tokens are looked up by their SHA-256, so the duration of the look-up reveals nothing useful
+    about a token.
 
     Raises:
-        CallerError: There is no token or it is no tenant's.
+        CallerError: The token is missing or belongs to no tenant.
     """
     scheme, _, token = headers.get("authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not token:
@@ -86,7 +88,7 @@
 
 
 def request_timeout(headers: Mapping[str, str], limits: LimitsSection) -> float:
-    """Return the seconds that a caller gives the request.
+    """Return the timeout of a request in seconds: the caller's, up to the limit, or the default.
 
     Raises:
         CallerError: The header is not a positive number.
@@ -104,7 +106,7 @@
 
 
 def request_priority(headers: Mapping[str, str], index: BundleIndex) -> Priority:
-    """Return the priority class that a caller names, or the last one of the bundle.
+    """Return the priority class that the caller names, or the class that is served last.
 
     Raises:
         CallerError: The class is unknown.
@@ -119,20 +121,20 @@
 
 
 async def read_body(request: Request, limits: LimitsSection) -> bytes:
-    """Return the body.
+    """Return the body of a request.
 
-    Somewhat more than the limit is read and dropped: a caller whose connection closes while it
-    still sends would not see the answer.
+    Up to ``DISCARD_FACTOR`` times the limit is read, and the excess is discarded: a caller whose
+    connection is closed while it still sends would not see the error answer.
 
     Raises:
-        CallerError: It is too long.
+        CallerError: The body is too long.
     """
     body = bytearray()
     received = 0
-    async for piece in request.stream():
-        received += len(piece)
+    async for chunk in request.stream():
+        received += len(chunk)
         if received <= limits.max_body_bytes:
-            body += piece
+            body += chunk
         elif received > DISCARD_FACTOR * limits.max_body_bytes:
             break
     if received > limits.max_body_bytes:
@@ -144,7 +146,7 @@
     """Parse a completion request.
 
     Raises:
-        CallerError: It is malformed or names no model of the bundle.
+        CallerError: The request is malformed or names no model of the bundle.
     """
     try:
         content = json.loads(raw)
@@ -165,10 +167,10 @@
 
 
 def check_context(prompt_tokens: int, output_tokens: int, model: Model) -> None:
-    """Check that prompt and answer fit the model.
+    """Check that prompt and answer fit the context of the model.
 
     Raises:
-        CallerError: They do not.
+        CallerError: Prompt and answer together are too long.
     """
     if prompt_tokens + output_tokens > model.max_context_tokens:
         answer = ErrorAnswer(
--- a/tests/unit/test_gateway.py
+++ b/tests/unit/test_gateway.py
@@ -42,7 +42,7 @@
         rest = rest[size:]
     relay, passed = relay_all([*pieces, rest])
     assert relay.done
-    assert relay.events_passed == 8
+    assert relay.events_forwarded == 8
     assert relay.cached_tokens == 7
     assert passed == b"".join(event(number, "r") for number in range(8))
 
@@ -54,7 +54,7 @@
 
 def test_relay_discards_half_an_event_of_a_broken_attempt() -> None:
     relay, passed = relay_all([event(0) + event(1)[:20]])
-    assert relay.events_passed == 1
+    assert relay.events_forwarded == 1
     relay.start_attempt("r-2", "other")
     passed += relay.feed(event(1, "r-2") + DONE_EVENT)
     assert passed == event(0, "r") + event(1, "r")
