--- a/src/hillstack/config/fleet_settings.py
+++ b/src/hillstack/config/fleet_settings.py
@@ -28,7 +28,7 @@
 # Part of the bound that lies between two polls. A change arrives after up to two poll intervals:
 # the relay polls the store, and this node polls the relay. The other half of the bound is left for
 # the store, lost datagrams and one failed poll.
-POLL_INTERVAL_FRACTION = 0.25
+POLL_FRACTION = 0.25
 
 
 class NodeSection(msgspec.Struct, frozen=True):
@@ -164,7 +164,7 @@
 
     def watch_interval(self) -> float:
         """Return the seconds between two polls for changes: a quarter of the shorter bound."""
-        return POLL_INTERVAL_FRACTION * min(self.bounds.config_apply_ms, self.bounds.drain_ms) / 1000
+        return POLL_FRACTION * min(self.bounds.config_apply_ms, self.bounds.drain_ms) / 1000
 
 
 def load_fleet_settings(path: Path) -> FleetSettings:
--- a/tests/fleet/test_fleet_commands.py
+++ b/tests/fleet/test_fleet_commands.py
@@ -1,4 +1,4 @@
-"""The commands of a fleet's node: checked settings, and the story of a request."""
+"""Commands of a fleet node: ``run --check`` and the trace of a request."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
     path.write_text("\n".join([f"prefix {lines[0]}", *lines[1:], "not json {", ""]))
 
 
-def test_the_story_of_a_request_has_its_lines_and_news_of_its_runners(tmp_path: Path) -> None:
+def test_a_trace_has_the_lines_of_the_request_and_events_of_its_runners(tmp_path: Path) -> None:
     log = tmp_path / "node.log"
     write_log(log)
     result = CliRunner().invoke(app, ["fleet", "trace", "r-1", str(log)])
     assert result.exit_code == 0
-    told = [re.split(r"  +", line)[2] for line in result.output.splitlines()]
-    assert told == ["runner suspected", "attempt", "runner gone", "attempt ended"]
+    messages = [re.split(r"  +", line)[2] for line in result.output.splitlines()]
+    assert messages == ["runner suspected", "attempt", "runner gone", "attempt ended"]
 
 
 def test_an_unknown_request_is_an_error(tmp_path: Path) -> None:
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a fleet's node and the template that the platform fills."""
+"""Settings of a fleet node, and the template and files of its deployment."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
     assert settings.freshness_bound() == math.inf
 
 
-def test_fail_closed_bounds_the_age_of_knowledge(tmp_path: Path) -> None:
+def test_fail_closed_bounds_the_age_of_trusted_keys(tmp_path: Path) -> None:
     text = GOOD + "[bounds]\nfail_closed = true\nrevoke_ms = 5000\n"
     assert 0 < load_fleet_settings(write(tmp_path, text)).freshness_bound() < 5.0
 
 
-def test_changes_are_looked_for_four_times_within_the_shortest_bound(tmp_path: Path) -> None:
+def test_changes_are_polled_four_times_within_the_shorter_bound(tmp_path: Path) -> None:
     path = write(tmp_path, GOOD + "\n[bounds]\nconfig_apply_ms = 3000\ndrain_ms = 4000\n")
     assert load_fleet_settings(path).watch_interval() == 0.75
 
@@ -59,17 +59,17 @@
         ("[node]", "[node", "TOML"),
     ],
 )
-def test_a_bad_value_is_named(tmp_path: Path, old: str, new: str, named: str) -> None:
+def test_the_error_names_the_invalid_value(tmp_path: Path, old: str, new: str, named: str) -> None:
     with pytest.raises(SettingsError, match=named):
         load_fleet_settings(write(tmp_path, GOOD.replace(old, new)))
 
 
-def test_a_missing_file_is_named(tmp_path: Path) -> None:
+def test_the_error_names_the_missing_file(tmp_path: Path) -> None:
     with pytest.raises(SettingsError, match=r"none\.toml"):
         load_fleet_settings(tmp_path / "none.toml")
 
 
-def test_the_deploy_template_keeps_its_sections() -> None:
+def test_the_deploy_template_has_all_sections() -> None:
     template = Path(__file__).parents[2] / "deploy" / "node.toml.template"
     text = template.read_text()
     for section in ("[node]", "[listen]", "[store]", "[bounds]"):
@@ -77,7 +77,7 @@
     assert text.count("{{#") == text.count("{{/")
 
 
-def test_the_deploy_file_names_what_is_there() -> None:
+def test_the_deploy_file_refers_to_existing_files() -> None:
     root = Path(__file__).parents[2]
     deploy = tomllib.loads((root / "deploy" / "system.toml").read_text())
     for role in deploy["roles"].values():
@@ -86,7 +86,7 @@
         assert (root / "src" / (module.replace(".", "/") + ".py")).is_file()
 
 
-def test_the_fleets_requirements_are_those_of_the_project() -> None:
+def test_fleet_requirements_are_pinned_as_in_the_project() -> None:
     root = Path(__file__).parents[2]
     pinned = {
         line.strip()
@@ -109,7 +109,7 @@
         load_fleet_settings(write(tmp_path, GOOD + "[bounds]\nlimit_slack = -1\n"))
 
 
-def test_zones_name_their_regions(tmp_path: Path) -> None:
+def test_settings_assign_zones_to_regions(tmp_path: Path) -> None:
     text = GOOD.replace('zone = "a"', 'zone = "a"\nregion = "north"')
     text += '\n[zones]\na = "north"\nb = "north"\nc = "south"\n'
     topology = load_fleet_settings(write(tmp_path, text)).topology()
@@ -119,7 +119,7 @@
     assert topology.distance("b", "c") is Distance.OTHER_REGION
 
 
-def test_without_regions_all_zones_are_of_one(tmp_path: Path) -> None:
+def test_without_regions_all_zones_are_in_the_same_region(tmp_path: Path) -> None:
     topology = load_fleet_settings(write(tmp_path, GOOD)).topology()
     assert not topology.has_regions()
     assert topology.distance("a", "b") is Distance.SAME_REGION
--- a/tests/unit/test_bundle.py
+++ b/tests/unit/test_bundle.py
@@ -62,7 +62,7 @@
         verify_bundle(SignedBundle(payload=text), signers.keyset)
 
 
-def test_keyset_rotation_hands_trust_on() -> None:
+def test_keyset_rotation_transfers_trust() -> None:
     old, new = Signers(), Signers(("alpha", "gamma"), version=2)
     link = SignedKeyset(keyset=new.keyset)
     signatures = tuple(sign(link.signed_bytes(), name, key) for name, key in old.private.items())
@@ -102,6 +102,6 @@
     adopter = BundleAdopter(signers.keyset, "zone-a")
     first = make_bundle()
     adopter.consider(signers.sign(first), 0.0)
-    stranger = child_of(first, parent_digest="f" * 64)
+    wrong_parent = child_of(first, parent_digest="f" * 64)
     with pytest.raises(BundleError, match="descend"):
-        adopter.consider(signers.sign(stranger), 1.0)
+        adopter.consider(signers.sign(wrong_parent), 1.0)
--- a/tests/unit/test_bundle_commands.py
+++ b/tests/unit/test_bundle_commands.py
@@ -1,4 +1,4 @@
-"""The operator's commands that need no platform."""
+"""Bundle commands that work without the platform, and their exit codes."""
 
 from __future__ import annotations
 
@@ -52,18 +52,20 @@
     assert result["signed_by"] == ["beta", "alpha"]
 
 
-def test_an_unsigned_roll_out_never_reaches_the_platform(bundle: Path, tmp_path: Path) -> None:
+def test_an_unsigned_bundle_is_refused_before_the_platform_is_contacted(
+    bundle: Path, tmp_path: Path
+) -> None:
     keyset = tmp_path / "keyset.json"
     keyset.write_text(json.dumps({"version": 1, "threshold": 1, "keys": {"alpha": "0" * 64}}))
     canonical = json.dumps(json.loads(bundle.read_text()), sort_keys=True, separators=(",", ":"))
     signed = tmp_path / "signed.json"
     signed.write_text(json.dumps({"payload": canonical}))
-    # Port 1 takes no connections: the refusal must come before the platform is asked.
+    # Nothing listens on port 1: the bundle must be refused before the platform is contacted.
     arguments = ["bundle", "rollout", str(signed), "--keyset", str(keyset)]
     result = RUNNER.invoke(app, [*arguments, "--platform", "127.0.0.1:1"])
     assert result.exit_code == 3
 
 
-def test_a_platform_that_is_away_has_an_exit_code_of_its_own() -> None:
+def test_an_unreachable_platform_has_its_own_exit_code() -> None:
     result = RUNNER.invoke(app, ["bundle", "status", "--platform", "127.0.0.1:1"])
     assert result.exit_code == 5
--- a/tests/unit/test_gateway.py
+++ b/tests/unit/test_gateway.py
@@ -34,30 +34,30 @@
 
 
 @given(st.lists(st.integers(1, 40), max_size=30))
-def test_relay_output_does_not_depend_on_how_the_stream_is_cut(sizes: list[int]) -> None:
+def test_relay_output_does_not_depend_on_how_the_stream_is_split(sizes: list[int]) -> None:
     stream = b"".join(event(number) for number in range(8)) + USAGE + DONE_EVENT
     pieces, rest = [], stream
     for size in sizes:
         pieces.append(rest[:size])
         rest = rest[size:]
-    relay, passed = relay_all([*pieces, rest])
+    relay, forwarded = relay_all([*pieces, rest])
     assert relay.done
     assert relay.events_forwarded == 8
     assert relay.cached_tokens == 7
-    assert passed == b"".join(event(number, "r") for number in range(8))
+    assert forwarded == b"".join(event(number, "r") for number in range(8))
 
 
 def test_relay_passes_the_usage_event_to_callers_who_asked() -> None:
-    _, passed = relay_all([event(0) + USAGE + DONE_EVENT], include_usage=True)
-    assert b"usage" in passed
+    _, forwarded = relay_all([event(0) + USAGE + DONE_EVENT], include_usage=True)
+    assert b"usage" in forwarded
 
 
-def test_relay_discards_half_an_event_of_a_broken_attempt() -> None:
-    relay, passed = relay_all([event(0) + event(1)[:20]])
+def test_relay_discards_an_incomplete_event_of_a_failed_attempt() -> None:
+    relay, forwarded = relay_all([event(0) + event(1)[:20]])
     assert relay.events_forwarded == 1
     relay.start_attempt("r-2", "other")
-    passed += relay.feed(event(1, "r-2") + DONE_EVENT)
-    assert passed == event(0, "r") + event(1, "r")
+    forwarded += relay.feed(event(1, "r-2") + DONE_EVENT)
+    assert forwarded == event(0, "r") + event(1, "r")
     assert relay.done
 
 
@@ -67,7 +67,7 @@
         relay.feed(event(1, "other-1"))
 
 
-def test_relay_does_not_take_an_identifier_in_the_text_for_the_events_own() -> None:
+def test_relay_does_not_accept_an_identifier_inside_the_text() -> None:
     relay, _ = relay_all([])
     crossed = event(0, "q-1").replace(b'"0"', b'"cmpl-r-1"')
     with pytest.raises(CrossedAnswerError):
@@ -98,7 +98,7 @@
         assert isinstance(parsed.prompt, str)
 
 
-def test_an_adapter_is_asked_for_by_name_and_has_a_scope_of_its_own() -> None:
+def test_an_adapter_is_requested_by_name_and_has_its_own_scope() -> None:
     adapters = [{"name": "forms", "version": 3}]
     model = {"name": "model", "pool": "engines", "weights_version": 2, "adapters": adapters}
     index = index_bundle(make_bundle(models=[model]))
@@ -121,7 +121,7 @@
     assert caught.value.answer.status == 401
 
 
-def test_not_run_is_said_only_when_no_bytes_may_have_left() -> None:
+def test_not_run_is_reported_only_while_no_bytes_may_have_left() -> None:
     attempts = RequestAttempts("r", repeatable=False)
     first = attempts.start("a")
     first.advance(AttemptState.CONNECTING)
@@ -132,7 +132,7 @@
     assert not attempts.may_retry()
 
 
-def test_a_possible_repeat_is_never_said_not_to_have_run() -> None:
+def test_a_possible_repeat_is_never_reported_as_not_run() -> None:
     attempts = RequestAttempts("r", repeatable=False, may_be_repeat=True)
     assert attempts.outcome_of_refusal() is Outcome.UNKNOWN
 
@@ -151,7 +151,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_codec_refuses_what_is_not_authentic(frame: bytes) -> None:
+def test_codec_refuses_frames_that_are_not_authentic(frame: bytes) -> None:
     with pytest.raises(CodecError):
         Codec(b"k" * 32).decode(frame, "peer")
 
@@ -174,7 +174,7 @@
 
 
 @given(st.binary(max_size=60))
-def test_codec_refuses_authentic_nonsense(payload: bytes) -> None:
+def test_codec_refuses_an_authentic_frame_with_an_invalid_payload(payload: bytes) -> None:
     codec = Codec(b"k" * 32)
     with pytest.raises(CodecError):
         codec.decode(codec._digest(payload) + payload, "peer")
