--- a/src/hillstack/cli/fleet.py
+++ b/src/hillstack/cli/fleet.py
@@ -22,6 +22,7 @@
 CONTEXT_SECONDS = 2.0
 ROLLOUT_FIELDS = ("service", "order", "target", "told", "stage", "age", "reason", "rejected")
 HIDDEN_FIELDS = ("time", "level", "logger", "message", "node")
+# Log messages about runners that a trace includes.
 RUNNER_EVENTS = (
     "runner suspected",
     "runner changed",
--- a/src/hillstack/gateway/applications.py
+++ b/src/hillstack/gateway/applications.py
@@ -35,6 +35,7 @@
 KIND = "application"
 FORWARDED_HEADERS = ("content-type", "accept", "accept-language")
 KEY_RANDOM_BITS = 80
+# Larger answers are not stored with the claim, so a repeat does not receive them.
 STORED_ANSWER_LIMIT_BYTES = 64 * 1024
 
 
