--- a/tests/processes/driver.py
+++ b/tests/processes/driver.py
@@ -30,7 +30,14 @@
 
 @dataclass(slots=True)
 class Driver:
-    """Load and faults at once; the history of both is checked at the end."""
+    """Applies load and faults together and records what is needed to check the guarantees.
+
+    Attributes:
+        fleet: The deployment under test.
+        seed: Seed of the load.
+        history: Requests, answers, executions and adopted bundle versions, checked at the end.
+        counts: Number of answers by status and outcome.
+    """
 
     fleet: LocalFleet
     seed: int = 1
@@ -39,7 +46,7 @@
     _number: int = 0
 
     def run(self, seconds: float, faults: Faults) -> list[Violation]:
-        """Drive load for some seconds while faults are applied and return violations."""
+        """Apply load for some seconds while faults are injected; return the violations found."""
         asyncio.run(self._run(seconds, faults))
         self._collect_executions()
         return check(self.history)
@@ -50,7 +57,7 @@
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
         end = time.monotonic() + seconds
         async with aiohttp.ClientSession(timeout=timeout, connector=connector) as session:
-            watching = asyncio.create_task(self._watch_versions(session))
+            watching = asyncio.create_task(self._poll_versions(session))
             async with asyncio.TaskGroup() as group:
                 group.create_task(faults())
                 while time.monotonic() < end:
@@ -113,11 +120,13 @@
         content: dict[str, dict[str, str]],
     ) -> Return:
         outcome = content["error"]["outcome"]
-        says_when = "retry-after" in response.headers
+        has_retry_after = "retry-after" in response.headers
         now = time.monotonic()
-        return Return(now, address, request, key, response.status, outcome, retry_after=says_when)
+        return Return(
+            now, address, request, key, response.status, outcome, retry_after=has_retry_after
+        )
 
-    async def _watch_versions(self, session: aiohttp.ClientSession) -> None:
+    async def _poll_versions(self, session: aiohttp.ClientSession) -> None:
         last: dict[tuple[str, int], int] = {}
         while True:
             for router in self.fleet.routers:
--- a/tests/processes/fault_proxy.py
+++ b/tests/processes/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A small TCP proxy that injects faults between real processes."""
+"""A TCP proxy that injects faults between real processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,15 @@
 
 
 class Mode(enum.Enum):
-    """What the proxy does to traffic."""
+    """What the proxy does to the traffic of an address.
+
+    Attributes:
+        PASS: Forwards everything.
+        SILENT: Holds all data back until the mode changes.
+        REFUSE: Resets new connections.
+        RESET_ANSWERS: Resets a connection after some bytes of the answer.
+        DELAY: Delays each piece of data.
+    """
 
     PASS = "pass"
     SILENT = "silent"
@@ -31,19 +39,20 @@
     """The mode of one proxied address.
 
     Attributes:
-        after_bytes: Bytes of an answer that pass before a reset.
-        delay: Seconds added to each piece.
-        distance: Seconds added to each piece in any mode.
-        seconds_per_byte: Added for each byte in any mode: a narrow link.
-        ended: Whether the process behind it has ended: nothing passes any more.
+        reset_after_bytes: Bytes of an answer that are forwarded before the reset.
+        delay: Seconds by which ``Mode.DELAY`` delays each piece of data.
+        latency_seconds: One-way latency of the link, applied in every mode.
+        seconds_per_byte: Transmission time of one byte, applied in every mode; limits bandwidth.
+        is_closed: Whether the address acts as if its process had ended.
+        connections: The connections that are open now.
     """
 
     mode: Mode = Mode.PASS
-    after_bytes: int = 0
+    reset_after_bytes: int = 0
     delay: float = 0.0
-    distance: float = 0.0
+    latency_seconds: float = 0.0
     seconds_per_byte: float = 0.0
-    ended: bool = False
+    is_closed: bool = False
     connections: set[ProxiedConnection] = field(default_factory=set)
 
 
@@ -52,8 +61,8 @@
     """One connection through the proxy.
 
     Attributes:
-        writers: Both of its sides.
-        silenced: Whether nothing passes any more, neither bytes nor a close, for good.
+        writers: The writers to the client and to the server.
+        silenced: Whether the proxy drops all further data and forwards no close.
     """
 
     writers: tuple[asyncio.StreamWriter, asyncio.StreamWriter]
@@ -61,7 +70,7 @@
 
 
 class FaultProxy:
-    """Proxies any number of addresses from a thread of its own."""
+    """Proxies any number of addresses in a background thread."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -70,55 +79,55 @@
         self.states: dict[str, ProxyState] = {}
 
     def front(self, name: str, address: str) -> str:
-        """Open a proxy before an address and return the proxy's own address."""
+        """Open a proxy for an address and return the address on which the proxy listens."""
         self.states[name] = ProxyState()
         return self._run(self._listen(name, address))
 
-    def set(self, name: str, mode: Mode, *, after_bytes: int = 0, delay: float = 0.0) -> None:
-        """Change the mode of one address, for open connections as well."""
+    def set(self, name: str, mode: Mode, *, reset_after_bytes: int = 0, delay: float = 0.0) -> None:
+        """Change the mode of one address; open connections are affected too."""
         state = self.states[name]
-        state.mode, state.after_bytes, state.delay = mode, after_bytes, delay
+        state.mode, state.reset_after_bytes, state.delay = mode, reset_after_bytes, delay
 
-    def set_link(self, name: str, distance: float, bytes_per_second: float) -> None:
-        """Put an address at the end of a link, whatever its mode is later."""
+    def set_link(self, name: str, latency_seconds: float, bytes_per_second: float) -> None:
+        """Give an address the latency and bandwidth of a link, in every mode."""
         state = self.states[name]
-        state.distance = distance
+        state.latency_seconds = latency_seconds
         state.seconds_per_byte = 1 / bytes_per_second
 
     def silence_open_connections(self, name: str) -> int:
-        """Let the open connections of one address go silent for good; new ones work.
+        """Stop forwarding on the open connections of one address for good; new ones work.
 
         Returns:
-            How many these are.
+            The number of silenced connections.
         """
         open_now = list(self.states[name].connections)
         for connection in open_now:
             connection.silenced = True
         return len(open_now)
 
-    def end(self, name: str) -> None:
-        """Let the process behind an address have ended: its connections break, it refuses."""
-        self.states[name].ended = True
-        self._loop.call_soon_threadsafe(self._break_connections, name)
+    def close_address(self, name: str) -> None:
+        """Reset an address's connections and refuse new ones, as if its process had ended."""
+        self.states[name].is_closed = True
+        self._loop.call_soon_threadsafe(self._reset_connections, name)
 
-    def begin_again(self, name: str) -> None:
-        """Let a process listen again behind an address whose process had ended."""
-        self.states[name].ended = False
+    def reopen_address(self, name: str) -> None:
+        """Accept connections again for an address that was closed."""
+        self.states[name].is_closed = False
 
     def close(self) -> None:
-        """End all connections and stop the thread."""
-        asyncio.run_coroutine_threadsafe(self._end_connections(), self._loop).result(10)
+        """Close all connections and stop the thread."""
+        asyncio.run_coroutine_threadsafe(self._cancel_connections(), self._loop).result(10)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
 
-    async def _end_connections(self) -> None:
+    async def _cancel_connections(self) -> None:
         own = asyncio.current_task()
         tasks = [task for task in asyncio.all_tasks() if task is not own]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _break_connections(self, name: str) -> None:
+    def _reset_connections(self, name: str) -> None:
         for connection in self.states[name].connections:
             for writer in connection.writers:
                 _reset(writer)
@@ -143,7 +152,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        if state.ended or state.mode is Mode.REFUSE:
+        if state.is_closed or state.mode is Mode.REFUSE:
             _reset(writer)
             return
         try:
@@ -161,7 +170,7 @@
         )
         await asyncio.wait({forward, back}, return_when=asyncio.FIRST_COMPLETED)
         if connection.silenced:
-            # Neither side hears of the other's close either; each ends its own.
+            # A close isn't forwarded either: each side has to close its own connection.
             await asyncio.wait({forward, back})
         elif back.done():
             forward.cancel()
@@ -187,20 +196,20 @@
             while piece := await reader.read(PIECE_BYTES):
                 while state.mode is Mode.SILENT:  # noqa: ASYNC110 (set from another thread)
                     await asyncio.sleep(0.05)
-                if state.ended:
+                if state.is_closed:
                     _reset(writer)
                     return
                 if connection.silenced:
                     continue
-                if state.distance:
-                    await asyncio.sleep(state.distance + state.seconds_per_byte * len(piece))
+                if state.latency_seconds:
+                    await asyncio.sleep(state.latency_seconds + state.seconds_per_byte * len(piece))
                 if state.mode is Mode.DELAY:
                     await asyncio.sleep(state.delay)
                 if answers and state.mode is Mode.RESET_ANSWERS:
-                    writer.write(piece[: max(0, state.after_bytes - passed)])
+                    writer.write(piece[: max(0, state.reset_after_bytes - passed)])
                     await writer.drain()
                     passed += len(piece)
-                    if passed >= state.after_bytes:
+                    if passed >= state.reset_after_bytes:
                         _reset(writer)
                         return
                     continue
--- a/tests/processes/test_path.py
+++ b/tests/processes/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path as real processes: a short part of it, on every run."""
+"""Short end-to-end tests of the whole request path with real processes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 @pytest.fixture(scope="module")
 def fleet() -> Iterator[LocalFleet]:
     with LocalFleet("tampere", engines=3) as running:
-        # Replicas vouch for keys made a little after they met; on a busy machine that takes longer.
+        # Replicas accept only idempotency keys made a little after they connected to each other,
+        # which takes longer on a busy machine.
         for number in range(len(running.routers)):
             wait_until(lambda n=number: books(running, n), f"router {number} books")
         time.sleep(KEY_SETTLE_SECONDS)
@@ -176,7 +177,7 @@
     fleet.wait_ready()
 
 
-def test_operators_race_and_one_wins_everywhere(fleet: LocalFleet) -> None:
+def test_of_two_rollouts_from_one_version_the_first_wins_on_all_routers(fleet: LocalFleet) -> None:
     for name in ("left", "right"):
         target = fleet.folder / f"{name}.json"
         fleet.cli("bundle", "next", str(fleet.bundle_path), str(target))
@@ -218,10 +219,10 @@
         return any("/2/" in entry["salt"] for entry in executions())
 
     wait_until(all_loaded, "all engines serve weights 2")
-    # The last call may have been before the last load; the next ones are under the new salt.
+    # The last call may have run before the last engine loaded; later calls use the new salt.
     wait_until(new_salt_is_used, "a request runs under the salt of weights 2")
     assert set(statuses) == {200}
-    # Nothing was cached under the salt of the new weights by an engine that served older ones.
+    # No engine that still served the older weights cached anything under the new salt.
     assert not [e for e in executions() if "/2/" in e["salt"] and e["weights_version"] < 2]
 
 
--- a/tests/processes/test_prove.py
+++ b/tests/processes/test_prove.py
@@ -1,4 +1,4 @@
-"""Proofs with real processes under load and faults; ``make prove`` runs them."""
+"""Long tests of real processes under load and faults; ``make prove`` runs them."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def fleet(proxy: FaultProxy) -> Iterator[LocalFleet]:
-    # A short silence limit, so that silent engines are found out within the test.
+    # A short silence timeout, so that silent engines are detected within the test.
     overrides = {"backends.silence_timeout_seconds": "2"}
     with LocalFleet("tampere", engines=3, front=proxy.front, overrides=overrides) as running:
         yield running
@@ -107,7 +107,7 @@
     async def faults() -> None:
         await settle()
         for name in ("engine-0", "application-0", "application-1"):
-            proxy.set(name, mode, after_bytes=700, delay=0.3)
+            proxy.set(name, mode, reset_after_bytes=700, delay=0.3)
         await asyncio.sleep(3.0)
         for name in proxy.states:
             proxy.set(name, Mode.PASS)
@@ -136,7 +136,7 @@
 
     async def faults() -> None:
         await settle()
-        stopping = fleet.routers.pop(0)  # the balancer takes it out of rotation
+        stopping = fleet.routers.pop(0)  # the load balancer takes the router out of rotation
         await asyncio.sleep(0.05)
         code = await asyncio.to_thread(stopping.process.stop)
         assert code == 0
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -20,7 +20,7 @@
 from tests.soak.weights_faults import WEIGHTS_FAULTS
 
 SEED_BITS = 31
-# Faults that are played only where they are asked for.
+# Faults that are injected only if they are chosen with --fault.
 NAMED_FAULTS = (
     WEIGHTS_FAULTS + RESTART_FAULTS + SIGNAL_FAULTS + UPGRADE_FAULTS + CRASH_FAULTS + RESTORE_FAULTS
 )
@@ -30,12 +30,17 @@
     """Run the soaks and return the exit code."""
     faults = {fault.__name__: fault for fault in FAULTS + NAMED_FAULTS}
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seconds", type=float, default=60.0, help="faults of one soak")
+    parser.add_argument(
+        "--seconds", type=float, default=60.0, help="length of the period in which faults begin"
+    )
     parser.add_argument("--soaks", type=int, default=1, help="number of soaks")
     parser.add_argument("--seed", type=int, help="seed of the first soak; drawn by default")
-    parser.add_argument("--nodes", type=int, default=NODE_COUNT, help="processes of one soak")
+    parser.add_argument("--nodes", type=int, default=NODE_COUNT, help="number of node processes")
     parser.add_argument(
-        "--fault", action="append", choices=sorted(faults), help="only this one; may be repeated"
+        "--fault",
+        action="append",
+        choices=sorted(faults),
+        help="inject only this fault; may be repeated",
     )
     parser.add_argument(
         "--from",
@@ -43,11 +48,11 @@
         default=[],
         dest="earlier",
         metavar="COMMIT",
-        help="the build that nodes begin with; may be repeated, then nodes take turns",
+        help="build with which nodes start; if repeated, nodes use the builds in turn",
     )
     parser.add_argument("--logs", type=Path, help="folder for the nodes' logs")
     arguments = parser.parse_args()
-    # The stand-ins raise on purpose; the nodes log in processes of their own.
+    # The emulated runners raise errors on purpose; the nodes log in their own processes.
     logging.disable(logging.CRITICAL)
     chosen = tuple(faults[name] for name in arguments.fault or ()) or FAULTS
     for commit in arguments.earlier:
@@ -70,7 +75,9 @@
     print(f"seed {result.seed}: {verdict}; {len(result.faults)} faults")
     print("  " + ", ".join(f"{name}: {count}" for name, count in sorted(result.results.items())))
     times = ", ".join(f"{name} {took:.1f} s" for name, took in result.recovery_seconds.items())
-    print(f"  well again: {times}; the soak itself late by {result.worst_lag:.3f} s at the worst")
+    print(
+        f"  recovered after: {times}; the soak's own tasks late by {result.worst_lag:.3f} s at most"
+    )
     for violation in result.violations[:20]:
         print(f"  BROKEN {violation}")
     if result.violations:
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: each sends one request after another and notes what came of it."""
+"""Callers of a soak: each sends one request after another and records its outcome."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from tests.fleet.deployment import NodeProcess
 from tests.soak.connections import CallerConnection, ConnectionBrokenError, WholeAnswer
 from tests.soak.fatal_requests import FatalRequests, is_varied
-from tests.soak.observations import Observations, Sent
+from tests.soak.observations import CallerRequest, Observations
 
 KINDS = ("safe", "once", "stream")
-PATIENCE_MS = 4_000
-# A caller gives up a second after its deadline: an answer in time has come by then.
-GIVE_UP_SECONDS = PATIENCE_MS / 1000 + 1
-LEAVE_SHARE = 0.05
+REQUEST_DEADLINE_MS = 4_000
+# One second after the request's deadline, by when any answer in time has arrived.
+CLIENT_TIMEOUT_SECONDS = REQUEST_DEADLINE_MS / 1000 + 1
+EARLY_CLOSE_SHARE = 0.05
 PAUSE_SECONDS = 0.05
-EVENTS = 5
+EVENTS_PER_STREAM = 5
 
 
 class Callers:
-    """All callers.
+    """Sends the requests of all callers of a soak.
 
     Args:
-        observations: Where results are noted.
+        observations: Receives the outcomes.
         nodes: Returns the nodes that may be called now.
-        keys: Returns the keys that are drawn from.
-        fatal: Requests that end their runners, sent now and then.
-        rng: Source of randomness.
+        keys: Returns the API keys to draw from.
+        fatal: Requests that crash their runners, sent now and then.
+        rng: Draws nodes, keys, kinds of request and pauses.
     """
 
     def __init__(
@@ -51,39 +51,40 @@
         self._count = 0
 
     async def run(self) -> None:
-        """Call with a new connection for each request until cancelled."""
+        """Send requests until cancelled, each over a new connection."""
         while True:
             await self.call_once(self._rng.choice(self._nodes()))
-            await self._rest()
+            await self._pause()
 
-    async def run_on_kept_connections(self) -> None:
-        """Call over one connection for as long as it lasts, then over another, until cancelled.
+    async def run_on_persistent_connections(self) -> None:
+        """Send requests until cancelled, on one connection for as long as it is usable.
 
-        A node that stops is left only when it closes the connection, as by most clients' pools.
+        Like the connection pools of most clients, a caller leaves a stopping node only when
+        the node closes the connection.
         """
         while True:
             node = self._rng.choice(self._nodes())
             try:
                 connection = await CallerConnection.open(node.callers)
             except ConnectionBrokenError:
-                await self._rest()
+                await self._pause()
                 continue
             try:
                 while connection.is_usable:
-                    await self._call(connection, node, self._draw_key(), leave=True)
-                    await self._rest()
+                    await self._call(connection, node, self._draw_key(), may_close_early=True)
+                    await self._pause()
             finally:
                 connection.close()
 
     async def call_once(
-        self, node: NodeProcess, key: str | None = None, *, leave: bool = True
-    ) -> Sent:
-        """Send one request over a connection of its own, with a key that is drawn or given.
+        self, node: NodeProcess, key: str | None = None, *, may_close_early: bool = True
+    ) -> CallerRequest:
+        """Send one request over a new connection.
 
         Args:
-            node: The node.
-            key: The key.
-            leave: Whether the caller may close before the end of the answer.
+            node: The node to call.
+            key: The API key; drawn if it isn't given.
+            may_close_early: Whether the caller may close the connection before the answer ends.
         """
         try:
             connection = await CallerConnection.open(node.callers)
@@ -92,19 +93,21 @@
             self._observations.sent.append(request)
             return request
         try:
-            return await self._call(connection, node, key or self._draw_key(), leave=leave)
+            return await self._call(
+                connection, node, key or self._draw_key(), may_close_early=may_close_early
+            )
         finally:
             connection.close()
 
     async def _call(
-        self, connection: CallerConnection, node: NodeProcess, key: str, *, leave: bool
-    ) -> Sent:
+        self, connection: CallerConnection, node: NodeProcess, key: str, *, may_close_early: bool
+    ) -> CallerRequest:
         request = replace(self._next_request(node, key), reused=connection.exchanges > 0)
-        leaves = leave and self._rng.random() < LEAVE_SHARE
-        patience = 0.1 * self._rng.random() if leaves else GIVE_UP_SECONDS
+        closes_early = may_close_early and self._rng.random() < EARLY_CLOSE_SHARE
+        timeout_seconds = 0.1 * self._rng.random() if closes_early else CLIENT_TIMEOUT_SECONDS
         result = request
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_seconds):
                 answer = await self._exchange(connection, request)
             result = _answered(request, answer)
         except TimeoutError:
@@ -120,12 +123,12 @@
             self._observations.sent.append(replace(result, ended_at=time.monotonic()))
         return result
 
-    async def _exchange(self, connection: CallerConnection, request: Sent) -> WholeAnswer:
+    async def _exchange(self, connection: CallerConnection, request: CallerRequest) -> WholeAnswer:
         headers = {
             "Host": HOST,
             names.REQUEST_ID: request.request_id,
             names.API_KEY: request.key,
-            names.DEADLINE: str(PATIENCE_MS),
+            names.DEADLINE: str(REQUEST_DEADLINE_MS),
         }
         if request.kind == "stream":
             headers |= {names.MODEL: MODEL, names.TOKEN_USAGE: "850,80"}
@@ -134,37 +137,37 @@
         query = f"?try={self._count}" if is_varied(request.fatal) else ""
         return await connection.exchange(f"/{request.kind}/x{query}", headers, body.encode())
 
-    def _prompt_parts(self, request: Sent) -> str:
+    def _prompt_parts(self, request: CallerRequest) -> str:
         if is_varied(request.fatal):
             return f"a0:800,{self._count:x}:50"
         if request.fatal:
             return "a0:800,f:50"
         return f"a{self._rng.randrange(4):x}:800,{self._count:x}:50"
 
-    def _next_request(self, node: NodeProcess, key: str) -> Sent:
+    def _next_request(self, node: NodeProcess, key: str) -> CallerRequest:
         self._count += 1
         kind = self._rng.choice(KINDS)
         fatal = self._fatal.draw(self._rng)
         if fatal is not None:
             kind, key = fatal.kind, self._fatal.key
-        return Sent(
+        return CallerRequest(
             f"{fatal.name if fatal else kind}-{id(self):x}-{self._count}",
             kind,
             node.name,
             key,
             time.monotonic(),
-            expected_events=EVENTS if kind == "stream" else None,
+            expected_events=EVENTS_PER_STREAM if kind == "stream" else None,
             fatal=fatal.name if fatal else "",
         )
 
     def _draw_key(self) -> str:
         return self._rng.choice(self._keys())
 
-    async def _rest(self) -> None:
+    async def _pause(self) -> None:
         await asyncio.sleep(PAUSE_SECONDS * self._rng.random())
 
 
-def _answered(request: Sent, answer: WholeAnswer) -> Sent:
+def _answered(request: CallerRequest, answer: WholeAnswer) -> CallerRequest:
     return replace(
         request,
         status=answer.status,
--- a/tests/soak/connections.py
+++ b/tests/soak/connections.py
@@ -1,7 +1,7 @@
-"""A caller's connection: it is used until it is closed or breaks, whatever its answers say.
+"""A caller's HTTP connection, used until one side closes it, whatever the answers' headers say.
 
-An HTTP library gives a connection up by rules of its own, and sends some requests again by itself.
-Here each byte that is sent, and each close, is the soak's own, so that its moment is known.
+HTTP libraries drop connections by their own rules and retry some requests. Here the soak itself
+writes every byte and does every close, so that the time of each is known.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class ConnectionBrokenError(Exception):
-    """The connection ended before the answer was whole."""
+    """The connection ended before the answer was complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """An answer that ended as complete."""
+    """An answer that was received to its end."""
 
     status: int
     headers: CIMultiDict[str]
@@ -33,8 +33,8 @@
     """One connection to a node.
 
     Attributes:
-        closed_at: When this side closed it; None while it has not.
-        exchanges: Answers that came over it.
+        closed_at: When the caller closed the connection; None if the caller hasn't.
+        exchanges: Number of answers received over the connection.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -48,7 +48,7 @@
         """Connect to ``IP:PORT``.
 
         Raises:
-            ConnectionBrokenError: Nobody listens.
+            ConnectionBrokenError: The connection was refused.
         """
         host, _, port = address.rpartition(":")
         try:
@@ -58,15 +58,15 @@
 
     @property
     def is_usable(self) -> bool:
-        """Return whether neither side has closed it, as far as is known."""
+        """Return whether, as far as the caller can tell, neither side has closed the connection."""
         ended = self._reader.at_eof() or self._reader.exception() is not None
         return self.closed_at is None and not ended and not self._writer.is_closing()
 
     async def exchange(self, path: str, headers: dict[str, str], body: bytes) -> WholeAnswer:
-        """Send a request and read its answer.
+        """Send a request and read its answer to the end.
 
         Raises:
-            ConnectionBrokenError: The connection ended before the answer did.
+            ConnectionBrokenError: The connection ended before the answer was complete.
         """
         lines = [f"POST {path} HTTP/1.1", *(f"{name}: {text}" for name, text in headers.items())]
         lines.append(f"Content-Length: {len(body)}")
@@ -81,7 +81,7 @@
         return answer
 
     def close(self) -> None:
-        """Close it at once, with what has not been read yet."""
+        """Close the connection at once; unread data is lost."""
         if self.closed_at is None:
             self.closed_at = time.monotonic()
         with contextlib.suppress(OSError):
--- a/tests/soak/crash_faults.py
+++ b/tests/soak/crash_faults.py
@@ -1,4 +1,7 @@
-"""Several requests at a time that end their runners, whose tries differ; asked for by name."""
+"""A fault that sends several requests that crash runners and whose tries differ.
+
+It is drawn only if it is chosen by name, so that older seeds give the same schedules as before.
+"""
 
 from __future__ import annotations
 
@@ -7,19 +10,19 @@
 
 from tests.soak.callers import KINDS
 from tests.soak.faults import Fault
-from tests.soak.system import SoakedSystem
+from tests.soak.system import SystemUnderTest
 
-MOST_AT_A_TIME = 4
+MAX_CONCURRENT_REQUESTS = 4
 
 
-async def send_varied_fatal_requests(system: SoakedSystem, rng: Random) -> None:
-    """Let callers send some requests, now and then, that end each runner that runs them."""
-    number = rng.randint(2, MOST_AT_A_TIME)
+async def send_varied_fatal_requests(system: SystemUnderTest, rng: Random) -> None:
+    """Let callers send, now and then, some requests that crash every runner that runs them."""
+    number = rng.randint(2, MAX_CONCURRENT_REQUESTS)
     requests = [system.fatal.add(rng.choice(KINDS), varied=True) for _ in range(number)]
     await asyncio.sleep(rng.uniform(4.0, 10.0))
     for request in requests:
         system.fatal.active.remove(request)
-    await system.successors_listed()
+    await system.wait_for_successors()
 
 
 CRASH_FAULTS: tuple[Fault, ...] = (send_varied_fatal_requests,)
--- a/tests/soak/earlier_builds.py
+++ b/tests/soak/earlier_builds.py
@@ -1,4 +1,4 @@
-"""Sources of earlier commits of this repository, for nodes that run beside those of today."""
+"""Sources of earlier commits, for nodes of an earlier build beside nodes of this build."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class EarlierBuildError(Exception):
-    """The sources of a commit can't be had."""
+    """The sources of a commit aren't available."""
 
 
 def has_commit(commit: str) -> bool:
-    """Return whether the repository's history holds a commit."""
+    """Return whether the repository's history contains a commit."""
     return _git("cat-file", "-e", f"{commit}^{{commit}}").returncode == 0
 
 
 def unpack_build(commit: str, folder: Path) -> Path:
-    """Write the sources of a commit below a folder; return where the package is found.
+    """Write the sources of a commit below a folder; return the folder that contains the package.
 
     Raises:
-        EarlierBuildError: The commit is not known, or has no sources of a node.
+        EarlierBuildError: The commit isn't in the history or has no sources of a node.
     """
     if not has_commit(commit):
         raise EarlierBuildError(f"no commit {commit!r} in the history of {ROOT.name}")
@@ -36,7 +36,7 @@
         sources.extractall(target, filter="data")
     source = target / "src"
     if not (source / "hillstack" / "daemon" / "fleet_main.py").exists():
-        raise EarlierBuildError(f"commit {commit!r} has no node of a fleet to start")
+        raise EarlierBuildError(f"commit {commit!r} has no hillstack/daemon/fleet_main.py")
     return source
 
 
--- a/tests/soak/fatal_requests.py
+++ b/tests/soak/fatal_requests.py
@@ -1,23 +1,23 @@
-"""Requests that end each runner that runs them, sent again and again with the same content."""
+"""Requests that crash every runner that runs them, sent repeatedly with the same content."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from random import Random
 
-# Of the requests that callers send while one is about.
-SHARE = 0.04
+# Share of fatal requests among the callers' requests while any is active.
+FATAL_SHARE = 0.04
 PREFIX = "fatal"
 VARIED_PREFIX = "fatal.varied"
 
 
 @dataclass(frozen=True, slots=True)
 class FatalRequest:
-    """One content, which all tries have in common.
+    """The content that all tries of a fatal request share.
 
     Attributes:
-        name: Its name, with which the identifiers of its tries begin.
-        kind: Kind of its route.
+        name: Its name; the request identifiers of its tries begin with the name.
+        kind: Kind of the route to which it is sent.
     """
 
     name: str
@@ -26,10 +26,11 @@
 
 @dataclass(slots=True)
 class FatalRequests:
-    """Those that callers send now.
+    """The fatal requests that callers send now.
 
     Attributes:
-        key: Of their tenant, which all tries have in common too; it is never taken away.
+        key: API key of all tries; it is never revoked.
+        active: The fatal requests to draw from.
     """
 
     key: str
@@ -37,11 +38,11 @@
     _count: int = 0
 
     def add(self, kind: str, *, varied: bool = False) -> FatalRequest:
-        """Begin to send one more.
+        """Add a fatal request to those that callers send.
 
         Args:
-            kind: Kind of its route.
-            varied: Whether its tries have no more than path, tenant and body in common.
+            kind: Kind of the route to which it is sent.
+            varied: Whether its tries share only path, tenant and body.
         """
         self._count += 1
         request = FatalRequest(f"{VARIED_PREFIX if varied else PREFIX}.{self._count}", kind)
@@ -49,18 +50,18 @@
         return request
 
     def draw(self, rng: Random) -> FatalRequest | None:
-        """Return the one that a caller sends next; mostly none."""
-        if not self.active or rng.random() >= SHARE:
+        """Return the fatal request that a caller sends next, or usually None."""
+        if not self.active or rng.random() >= FATAL_SHARE:
             return None
         return rng.choice(self.active)
 
 
-def name_of(request_id: str) -> str:
-    """Return the name of a try's content; empty if it ends no runner."""
+def fatal_name_of(request_id: str) -> str:
+    """Return the name of the fatal request of a try; empty if the request isn't fatal."""
     name = request_id.partition("-")[0]
     return name if name.startswith(PREFIX) else ""
 
 
 def is_varied(name: str) -> bool:
-    """Return whether the tries of a content differ in all that callers need not keep."""
+    """Return whether the tries of a fatal request share only path, tenant and body."""
     return name.startswith(VARIED_PREFIX)
--- a/tests/soak/fault_series.py
+++ b/tests/soak/fault_series.py
@@ -1,4 +1,4 @@
-"""Faults in series: each does several things closely one after the other, and they overlap."""
+"""Faults that inject several events in quick succession; several of them may overlap."""
 
 from __future__ import annotations
 
@@ -9,25 +9,26 @@
 from tests.soak.faults import SINGLE_FAULTS, Fault
 from tests.soak.observations import STORE
 from tests.soak.region_faults import REGION_FAULTS
-from tests.soak.system import SoakedSystem, send
+from tests.soak.system import SystemUnderTest, send
 from tests.soak.version_faults import VERSION_FAULTS
 
-# Between two signals to one process: within the first steps of a stop, or well into it.
+# Mean time between two signals to one process: the second signal arrives in the first steps of
+# a stop or well into it.
 SIGNAL_PAUSE_SECONDS = 0.4
 SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGKILL, signal.SIGSTOP)
 SIGNAL_WEIGHTS = (5, 3, 1, 2)
 
 
-async def signal_in_a_row(system: SoakedSystem, rng: Random) -> None:
-    """Send a node several signals in a row, and start it again if they ended it."""
+async def signal_in_a_row(system: SystemUnderTest, rng: Random) -> None:
+    """Send a node several signals in a row; restart it if they ended it."""
     name = system.pick_node(rng)
-    with system.hold(name), system.trouble(name):
+    with system.suppress_restart(name), system.disturbance(name):
         node = system.node(name)
         process = node.process
         ending = False
         for number in rng.choices(SIGNALS, SIGNAL_WEIGHTS, k=rng.randrange(2, 7)):
             if number is signal.SIGHUP and not node.listens():
-                # An interpreter that has not come to the program yet can't keep the signal.
+                # Until the program installs its handler, SIGHUP ends the interpreter.
                 continue
             system.signal_process(process, number)
             ending = ending or number in (signal.SIGTERM, signal.SIGKILL)
@@ -38,18 +39,21 @@
             await system.end_node(name, signal.SIGTERM)
 
 
-async def restart_one_after_another(system: SoakedSystem, rng: Random) -> None:
-    """End some nodes, each while the one before is still starting."""
+async def restart_one_after_another(system: SystemUnderTest, rng: Random) -> None:
+    """End some nodes, each while the previous one is still starting."""
     names = system.node_names()
     for name in rng.sample(names, min(len(names), rng.randrange(2, 5))):
         number = rng.choice((signal.SIGTERM, signal.SIGKILL))
-        with system.hold(name), system.trouble(name, planned=number is signal.SIGTERM):
+        with (
+            system.suppress_restart(name),
+            system.disturbance(name, planned=number is signal.SIGTERM),
+        ):
             await system.end_node(name, number)
         # A start takes about half a second.
         await asyncio.sleep(rng.uniform(0.0, 0.5))
 
 
-async def change_in_quick_succession(system: SoakedSystem, rng: Random) -> None:
+async def change_in_quick_succession(system: SystemUnderTest, rng: Random) -> None:
     """Change configuration and weights several times within a second or two."""
     for _ in range(rng.randrange(3, 7)):
         if rng.random() < 0.5:
@@ -59,31 +63,31 @@
         await asyncio.sleep(rng.choice((0.0, 0.02, 0.3)))
 
 
-async def lapse_in_an_outage(system: SoakedSystem, rng: Random) -> None:
-    """Let runners' entries lapse in an outage; some are back in the moment in which it ends."""
+async def lapse_in_an_outage(system: SystemUnderTest, rng: Random) -> None:
+    """Let runners' entries expire in a store outage; some are written again just as it ends."""
     store = system.deployment.store
-    lapsing = [each for each in system.members() if rng.random() < 0.7]
-    with system.trouble(STORE, *lapsing):
+    expiring = [each for each in system.live_runners() if rng.random() < 0.7]
+    with system.disturbance(STORE, *expiring):
         store.down = True
         await asyncio.sleep(rng.uniform(1.0, 4.0))
-        for runner_id in lapsing:
-            system.lapse(runner_id)
-        first = [each for each in lapsing if rng.random() < 0.4]
-        later = [each for each in lapsing if each not in first]
+        for runner_id in expiring:
+            system.expire_entry(runner_id)
+        first = [each for each in expiring if rng.random() < 0.4]
+        later = [each for each in expiring if each not in first]
         for runner_id in first:
-            system.list_again(runner_id)
+            system.rewrite_entry(runner_id)
         if rng.random() < 0.2:
             store.forget_history()
         store.down = False
         for runner_id in later:
-            await asyncio.sleep(rng.uniform(0.0, 2.0 / len(lapsing)))
-            system.list_again(runner_id)
+            await asyncio.sleep(rng.uniform(0.0, 2.0 / len(expiring)))
+            system.rewrite_entry(runner_id)
 
 
-async def flap_store(system: SoakedSystem, rng: Random) -> None:
-    """Let the store go and come back several times, its history lost now and then."""
+async def flap_store(system: SystemUnderTest, rng: Random) -> None:
+    """Make the store unavailable several times in a row; sometimes it loses its history."""
     store = system.deployment.store
-    with system.trouble(STORE):
+    with system.disturbance(STORE):
         for _ in range(rng.randrange(2, 6)):
             store.down = True
             await asyncio.sleep(rng.uniform(0.05, 1.5))
@@ -93,20 +97,20 @@
             await asyncio.sleep(rng.uniform(0.0, 0.8))
 
 
-async def silence_store_connections(system: SoakedSystem, rng: Random) -> None:
-    """Let the open connections of some nodes to the store go silent for good."""
+async def silence_store_connections(system: SystemUnderTest, rng: Random) -> None:
+    """Silence the open connections of one node, or of all, to the store for good."""
     all_of_them = rng.random() < 0.4
     names = system.node_names() if all_of_them else [system.pick_node(rng)]
-    with system.trouble(STORE):
+    with system.disturbance(STORE):
         for name in names:
             system.proxy.silence_open_connections(f"store of {name}")
 
 
-async def silence_runner_connections(system: SoakedSystem, rng: Random) -> None:
-    """Let all nodes' open connections to some runners go silent for good, again and again."""
-    members = system.members()
-    chosen = rng.sample(members, min(len(members), rng.randrange(1, 4)))
-    with system.trouble(*chosen):
+async def silence_runner_connections(system: SystemUnderTest, rng: Random) -> None:
+    """Silence all nodes' open connections to some runners for good, several times in a row."""
+    live_runners = system.live_runners()
+    chosen = rng.sample(live_runners, min(len(live_runners), rng.randrange(1, 4)))
+    with system.disturbance(*chosen):
         for _ in range(rng.randrange(1, 4)):
             for runner_id in chosen:
                 system.proxy.silence_open_connections(runner_id)
--- a/tests/soak/observations.py
+++ b/tests/soak/observations.py
@@ -1,4 +1,7 @@
-"""What callers, runners and faults did in a soak, as it was seen from outside the nodes."""
+"""Records of what callers, runners and faults did in a soak, observed from outside the nodes.
+
+All times are those of ``time.monotonic`` in the process of the soak.
+"""
 
 from __future__ import annotations
 
@@ -9,22 +12,25 @@
 from hillstack.core.runner_signals import RunnerSignals
 from hillstack.platform.bodies import OrderBody
 
-# Targets of troubles: the store, and nodes by their names.
+# Targets of faults: the store, and nodes, whose names begin with the prefix.
 STORE = "store"
 NODE_PREFIX = "node-"
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """A request of a caller and what came of it.
+class CallerRequest:
+    """A request of a caller and its outcome.
 
     Attributes:
-        status: Of a whole answer; None where none came.
-        expected_events: Events of its stream; None where it is no stream.
-        reused: Whether its connection had carried a request before.
-        closed_at: When its caller closed the connection before the end of the answer; None if not.
-        ended_at: When its caller knew what came of it; None if it was not sent.
-        fatal: Name of its content, if that ends each runner that runs it; empty otherwise.
+        kind: ``safe`` (may be repeated), ``once`` (must run at most once) or ``stream``.
+        node: The node to which it was sent.
+        key: The caller's API key.
+        status: Status of a complete answer; None if no complete answer arrived.
+        expected_events: Number of events of its stream; None if it is no stream.
+        reused: Whether an earlier request was answered over the same connection.
+        closed_at: When the caller closed the connection before the answer ended; None if not.
+        ended_at: When the caller learned the outcome; None if the request was never sent.
+        fatal: Name of its content if the request crashes its runners; empty otherwise.
     """
 
     request_id: str
@@ -45,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A request that a runner began to run.
+    """The start of a request at a runner.
 
     Attributes:
-        weights: Version of the weights that it began on; 0 where there are none.
+        weights: Version of the weights when the request started; 0 if the service has none.
     """
 
     request_id: str
@@ -59,10 +65,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that reached a runner, run or not.
+    """A request that reached a runner, whether the runner ran it or not.
 
     Attributes:
-        born: When the runner's process started, which tells it from others of its name.
+        born: Unix milliseconds at which the runner's process started; distinguishes successive
+            processes with the same name.
     """
 
     request_id: str
@@ -73,12 +80,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SignalSent:
-    """What a runner said of itself in an answer.
+    """The signals that a runner gave about itself in an answer.
 
     Attributes:
-        request_id: The request that it answered; empty for other questions.
-        born: When the runner's process started.
-        at: When the answer left it.
+        request_id: The request that was answered; empty if the question was no caller's request.
+        born: Unix milliseconds at which the runner's process started.
+        at: When the runner sent the answer.
     """
 
     request_id: str
@@ -90,7 +97,7 @@
 
 @dataclass(slots=True)
 class EarlierBuild:
-    """A time in which a node's process was one of an earlier build."""
+    """A period in which a node ran an earlier build."""
 
     node: str
     began_at: float
@@ -99,11 +106,11 @@
 
 @dataclass(slots=True)
 class NamedLimit:
-    """A time in which a runner named a limit in its answers.
+    """A period in which a runner named a limit in its answers.
 
     Attributes:
-        born: When the runner's process started.
-        limit: Requests a second that it takes from all nodes.
+        born: Unix milliseconds at which the runner's process started.
+        limit: Requests per second that the runner accepts from all nodes together.
     """
 
     runner_id: str
@@ -114,13 +121,13 @@
 
 
 @dataclass(slots=True)
-class Trouble:
-    """A time in which a fault disturbed a node, a runner's link or the store.
+class Disturbance:
+    """A period in which a fault disturbed a node, a runner's link or the store.
 
     Attributes:
-        target: Name of the node or runner, or that of the store.
-        planned: Whether it was announced, as a stop by SIGTERM is.
-        ended_at: When it was over; for good, unless it has ended.
+        target: Name of the node or runner, or ``STORE``.
+        ended_at: When the fault was over; infinite while it lasts.
+        planned: Whether it is a graceful stop or a start of a node rather than a failure.
     """
 
     target: str
@@ -131,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """A planned stop of a node, from the signal to the end of the process."""
+    """A graceful stop of a node, from SIGTERM to the end of its process."""
 
     node: str
     began_at: float
@@ -140,7 +147,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerEnd:
-    """A runner that a request ended, with the name of the request's content."""
+    """The crash of a runner under a fatal request.
+
+    Attributes:
+        fatal: Name of the request's content.
+    """
 
     fatal: str
     runner_id: str
@@ -149,12 +160,14 @@
 
 @dataclass(slots=True)
 class Rollout:
-    """An operator's order, with what came of it.
+    """An operator's rollout order and its progress.
 
     Attributes:
+        target: The version to roll out.
         is_bad: Whether the version fails or slows down requests.
-        states: What the operator was told of it, in order.
-        old_streams: Streams at old runners when these ended since it was complete.
+        states: States that were reported to the operator, in order.
+        old_streams: Streams still open at old runners when these were ended after completion.
+        decided_at: When an outcome was first reported; infinite before.
     """
 
     service: str
@@ -169,32 +182,36 @@
 
 @dataclass(slots=True)
 class Observations:
-    """Everything that was seen.
+    """Everything that a soak observed.
 
     Attributes:
-        revoked_at: When the removal of each key was acknowledged.
-        orders: Orders that each runner took, in order.
-        most_runs: Requests of a key, whose tenant has a limit, that may run within a window.
-        troubles: What the faults disturbed, and when.
-        let_go: When a runner that hung was left by the node, by request and runner.
-        runner_ends: Runners that were ended by requests.
-        rollouts: Orders by target version.
-        software: Version of each runner's software.
-        left_at: When the store acknowledged that each runner leaves.
-        weights_named: When each version of the weights was acknowledged.
+        sent: Requests of callers.
+        runs: Starts of requests at runners.
+        revoked_at: When the store acknowledged the revocation of each key.
+        orders: Weights orders that each runner accepted, in order.
+        most_runs: Maximum number of requests with a key that may run within a window, for each key
+            whose tenant has a limit.
+        troubles: Targets and periods of the disturbances by faults.
+        stops: Graceful stops of nodes.
+        let_go: When the node closed its connection to a hung runner, by request and runner.
+        left_at: When the store acknowledged that each runner is leaving.
+        weights_named: When the store acknowledged each version of the weights.
         arrivals: Requests that reached runners.
-        signals: What runners said of themselves.
+        signals: Signals that runners gave in their answers.
         limits: Limits that runners named.
-        earlier_builds: When nodes ran an earlier build.
-        lags: When a task of the soak itself was late, and for how many seconds.
+        earlier_builds: Periods in which nodes ran an earlier build.
+        lags: Time and length in seconds of each delay of the soak's own tasks.
+        runner_ends: Crashes of runners under fatal requests.
+        rollouts: Rollout orders by target version.
+        software: Version of each runner's software.
     """
 
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[CallerRequest] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
     revoked_at: dict[str, float] = field(default_factory=dict)
     orders: dict[str, list[OrderBody]] = field(default_factory=dict)
     most_runs: dict[str, float] = field(default_factory=dict)
-    troubles: list[Trouble] = field(default_factory=list)
+    troubles: list[Disturbance] = field(default_factory=list)
     stops: list[Stop] = field(default_factory=list)
     let_go: dict[str, float] = field(default_factory=dict)
     left_at: dict[str, float] = field(default_factory=dict)
@@ -208,31 +225,31 @@
     rollouts: dict[str, Rollout] = field(default_factory=dict)
     software: dict[str, str] = field(default_factory=dict)
 
-    def note_let_go(self, request_id: str, runner_id: str, at: float) -> None:
-        """Note when a runner that hung with a request was left."""
+    def record_abandoned(self, request_id: str, runner_id: str, at: float) -> None:
+        """Record when the node closed its connection to a runner that hung with a request."""
         self.let_go[f"{request_id} at {runner_id}"] = at
 
-    def let_go_at(self, request_id: str, runner_id: str) -> float | None:
-        """Return when a runner that hung with a request was left; None if it did not hang."""
+    def abandoned_at(self, request_id: str, runner_id: str) -> float | None:
+        """Return when the node left a runner that hung with a request; None if it didn't hang."""
         return self.let_go.get(f"{request_id} at {runner_id}")
 
     def disturbed(self, target: str, since: float, until: float) -> bool:
-        """Return whether unplanned trouble of a target lay within a time."""
-        return any(each.target == target for each in self.unplanned(since, until))
+        """Return whether an unplanned disturbance of a target overlaps a period."""
+        return any(each.target == target for each in self.unplanned_disturbances(since, until))
 
-    def unplanned(self, since: float, until: float) -> Iterator[Trouble]:
-        """Return the unplanned troubles within a time."""
+    def unplanned_disturbances(self, since: float, until: float) -> Iterator[Disturbance]:
+        """Return the unplanned disturbances within a period."""
         for each in self.troubles:
             if not each.planned and each.began_at <= until and each.ended_at >= since:
                 yield each
 
-    def is_earlier(self, node: str, at: float) -> bool:
-        """Return whether a node ran an earlier build."""
+    def runs_earlier_build(self, node: str, at: float) -> bool:
+        """Return whether a node ran an earlier build at a time."""
         return any(
             build.node == node and build.began_at <= at <= build.ended_at
             for build in self.earlier_builds
         )
 
     def lag(self, since: float, until: float) -> float:
-        """Return how late the soak's own tasks were within a time, at the worst."""
+        """Return the longest delay, in seconds, of the soak's own tasks within a period."""
         return max((lag for at, lag in self.lags if since <= at <= until + lag), default=0.0)
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -1,4 +1,4 @@
-"""The promises that a soak must keep, checked on what callers and runners saw."""
+"""The promises that nodes must keep in a soak, checked on the records of callers and runners."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterator
 
-from tests.soak.observations import Observations, Run, Sent
+from tests.soak.observations import CallerRequest, Observations, Run
 from tests.soak.signal_promises import (
-    passed_limits,
+    exceeded_limits,
     reached_leaving_runners,
     reached_runners_in_backoff,
     reached_runners_that_left,
 )
 from tests.soak.timed_promises import (
-    at_work_after_close,
-    late_stops,
+    continued_after_close,
     lost_in_planned_stops,
-    sent_after_close,
+    overlong_stops,
+    started_after_close,
 )
 from tests.soak.version_promises import rollouts, runners_ended
-from tests.soak.weights_promises import begun_on_older_weights
+from tests.soak.weights_promises import started_on_older_weights
 
 NOT_RUN = frozenset({408, 421, 429, 503})
 RETRY_AFTER_STATUSES = frozenset({429, 503})
@@ -32,36 +32,36 @@
 
 
 def find_violations(seen: Observations) -> list[str]:
-    """Return every broken promise."""
+    """Return a description of every broken promise."""
     return [
-        *_answers(seen),
-        *_runs(seen),
-        *_revoked(seen),
-        *_limits(seen),
-        *_order_fences(seen),
-        *sent_after_close(seen),
-        *at_work_after_close(seen),
+        *_answer_violations(seen),
+        *_run_violations(seen),
+        *_revoked_key_runs(seen),
+        *_tenant_limit_violations(seen),
+        *_order_violations(seen),
+        *started_after_close(seen),
+        *continued_after_close(seen),
         *lost_in_planned_stops(seen),
-        *late_stops(seen),
+        *overlong_stops(seen),
         *runners_ended(seen),
         *rollouts(seen),
-        *begun_on_older_weights(seen),
+        *started_on_older_weights(seen),
         *reached_leaving_runners(seen),
         *reached_runners_that_left(seen),
         *reached_runners_in_backoff(seen),
-        *passed_limits(seen),
+        *exceeded_limits(seen),
     ]
 
 
-def _answers(seen: Observations) -> Iterator[str]:
+def _answer_violations(seen: Observations) -> Iterator[str]:
     for request in seen.sent:
         if request.status == 200:
-            yield from _own_answer(request)
+            yield from _check_answer(request)
         if request.status in RETRY_AFTER_STATUSES and request.retry_after is None:
             yield f"{request.request_id}: {request.status} without a time to come back"
 
 
-def _runs(seen: Observations) -> Iterator[str]:
+def _run_violations(seen: Observations) -> Iterator[str]:
     by_request: dict[str, list[Run]] = defaultdict(list)
     for run in seen.runs:
         by_request[run.request_id].append(run)
@@ -77,7 +77,7 @@
             yield f"{request.request_id} ({request.kind}): ran {count} times"
 
 
-def _revoked(seen: Observations) -> Iterator[str]:
+def _revoked_key_runs(seen: Observations) -> Iterator[str]:
     sent = {request.request_id: request for request in seen.sent}
     for run in seen.runs:
         request = sent.get(run.request_id)
@@ -89,7 +89,7 @@
             yield f"{run.request_id}: ran with a key that was revoked {late:.1f} s before"
 
 
-def _limits(seen: Observations) -> Iterator[str]:
+def _tenant_limit_violations(seen: Observations) -> Iterator[str]:
     sent = {request.request_id: request for request in seen.sent}
     began: dict[str, dict[str, Run]] = defaultdict(dict)
     for run in seen.runs:
@@ -97,7 +97,7 @@
         if request is not None and request.key in seen.most_runs:
             began[request.key].setdefault(run.request_id, run)
     for key, runs in began.items():
-        worst = _fullest_window(sorted(runs.values(), key=lambda run: run.began_at))
+        worst = _busiest_window(sorted(runs.values(), key=lambda run: run.began_at))
         if len(worst) > seen.most_runs[key]:
             nodes = Counter(sent[run.request_id].node for run in worst)
             yield (
@@ -106,7 +106,7 @@
             )
 
 
-def _order_fences(seen: Observations) -> Iterator[str]:
+def _order_violations(seen: Observations) -> Iterator[str]:
     holders: dict[int, str] = {}
     for runner_id, orders in seen.orders.items():
         for before, after in itertools.pairwise(orders):
@@ -117,8 +117,8 @@
                 yield f"{runner_id}: fence {order.fence} of two holders"
 
 
-def _fullest_window(runs: list[Run]) -> list[Run]:
-    """Return the runs of the window that has the most, of runs in the order of their times."""
+def _busiest_window(runs: list[Run]) -> list[Run]:
+    """Return the runs of the window with the most runs; ``runs`` is sorted by start time."""
     first = 0
     most: list[Run] = []
     for last, run in enumerate(runs):
@@ -129,7 +129,7 @@
     return most
 
 
-def _own_answer(request: Sent) -> Iterator[str]:
+def _check_answer(request: CallerRequest) -> Iterator[str]:
     name = f"{request.request_id} ({request.kind} at {request.node})"
     if not request.signature.endswith("." + request.request_id):
         yield f"{name}: signature {request.signature!r}"
--- a/tests/soak/recovery.py
+++ b/tests/soak/recovery.py
@@ -1,4 +1,4 @@
-"""What must be well again some time after the last fault, on every node and at every runner."""
+"""Checks that every node and engine recovers within a bounded time after the last fault."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 from tests.fleet.deployment import NodeProcess
 from tests.soak.callers import Callers
-from tests.soak.system import SoakedSystem
+from tests.soak.system import SystemUnderTest
 
-# For nodes that were ended by the last fault to start, many at once perhaps on a busy machine.
+# For nodes that the last fault ended to restart, possibly many at once on a busy machine.
 START_SECONDS = 30.0
-SERVED_IN_A_ROW = 10
-# For each node to serve those in a row, beside the callers of the soak.
+CONSECUTIVE_ANSWERS = 10
+# For each node to give that many successful answers in a row, beside the callers of the soak.
 SERVE_SECONDS = 15.0
-# Runners are back within 2 s of the store's return, a configuration holds within 2 s, and a runner
-# is suspected for 4 s at most.
-KNOWN_SECONDS = 8.0
-# New weights are in use 8 s after they are named; the users look after one and a half of these.
+# Runners are listed again within 2 s of the store's return, a configuration takes effect within
+# 2 s, and a runner is suspected for at most 4 s.
+STATE_SECONDS = 8.0
+# New weights must be in use 8 s after they are announced; the check allows 1.5 times that.
 WEIGHTS_SECONDS = 12.0
 CHECK_SECONDS = 0.1
 ANSWER_SECONDS = 5.0
@@ -32,11 +32,11 @@
     """Checks a system after its last fault.
 
     Attributes:
-        violations: What was not well in time.
-        times: Seconds from the time when all nodes were ready again, by what was waited for.
+        violations: Conditions that weren't met in time.
+        times: Seconds from when all nodes were ready again until each condition was met.
     """
 
-    def __init__(self, system: SoakedSystem, callers: Callers) -> None:
+    def __init__(self, system: SystemUnderTest, callers: Callers) -> None:
         self._system = system
         self._callers = callers
         self._ready_at = 0.0
@@ -44,37 +44,37 @@
         self.times: dict[str, float] = {}
 
     async def check(self) -> None:
-        """Check all, with the callers of the soak still at work."""
+        """Check all conditions while the callers of the soak go on."""
         await self._system.check_processes()
         nodes = self._system.callable_nodes()
         async with aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=ANSWER_SECONDS)
         ) as session:
             ends_at = time.monotonic() + START_SECONDS
-            await asyncio.gather(*(self._ready(node, ends_at) for node in nodes))
+            await asyncio.gather(*(self._check_ready(node, ends_at) for node in nodes))
             self._ready_at = time.monotonic()
             await asyncio.gather(
-                *(self._knows_all(session, node) for node in nodes),
-                *(self._serves(node) for node in nodes),
-                self._weights(),
+                *(self._check_state(session, node) for node in nodes),
+                *(self._check_serving(node) for node in nodes),
+                self._check_weights(),
             )
 
-    async def _ready(self, node: NodeProcess, ends_at: float) -> None:
+    async def _check_ready(self, node: NodeProcess, ends_at: float) -> None:
         async def is_ready() -> str:
             return "" if await self._system.deployment.readiness(node) == 200 else "not ready"
 
-        await self._until(is_ready, ends_at, f"{node.name} is not ready again")
+        await self._wait_until_nothing_missing(is_ready, ends_at, f"{node.name} is not ready again")
 
-    async def _knows_all(self, session: aiohttp.ClientSession, node: NodeProcess) -> None:
-        """Wait until a node knows the runners that are listed, and the newest configuration."""
+    async def _check_state(self, session: aiohttp.ClientSession, node: NodeProcess) -> None:
+        """Wait until a node has applied all listed runners and the newest configuration."""
 
-        async def lacks() -> str:
+        async def find_missing_entries() -> str:
             try:
                 gauges = await read_gauges(session, node)
             except (aiohttp.ClientError, TimeoutError) as error:
                 return f"no metrics: {error!r}"
             expected = {
-                "runners_accepting": float(len(self._system.listed())),
+                "runners_accepting": float(len(self._system.listed_runners())),
                 "configuration_version": float(self._system.deployment.version - 1),
             }
             wrong = {
@@ -82,42 +82,50 @@
             }
             return f"{wrong}, expected {expected}" if wrong else ""
 
-        ends_at = self._ready_at + KNOWN_SECONDS
-        text = f"{node.name} does not know all after {KNOWN_SECONDS:.0f} s"
-        self._note("known", await self._until(lacks, ends_at, text))
+        ends_at = self._ready_at + STATE_SECONDS
+        text = f"{node.name} has not applied all entries after {STATE_SECONDS:.0f} s"
+        self._record(
+            "known", await self._wait_until_nothing_missing(find_missing_entries, ends_at, text)
+        )
 
-    async def _weights(self) -> None:
-        async def behind() -> str:
-            return ", ".join(self._system.engines_behind())
+    async def _check_weights(self) -> None:
+        async def find_outdated() -> str:
+            return ", ".join(self._system.outdated_engines())
 
         ends_at = self._ready_at + WEIGHTS_SECONDS
         text = f"engines with old weights after {WEIGHTS_SECONDS:.0f} s"
-        self._note("weights", await self._until(behind, ends_at, text))
+        self._record(
+            "weights", await self._wait_until_nothing_missing(find_outdated, ends_at, text)
+        )
 
-    async def _serves(self, node: NodeProcess) -> None:
+    async def _check_serving(self, node: NodeProcess) -> None:
         ends_at = self._ready_at + SERVE_SECONDS
         served = 0
-        while served < SERVED_IN_A_ROW and time.monotonic() < ends_at:
-            answer = await self._callers.call_once(node, self._system.keys()[0], leave=False)
+        while served < CONSECUTIVE_ANSWERS and time.monotonic() < ends_at:
+            answer = await self._callers.call_once(
+                node, self._system.keys()[0], may_close_early=False
+            )
             served = served + 1 if answer.status == 200 else 0
-        if served < SERVED_IN_A_ROW:
-            self.violations.append(f"{node.name} does not serve again")
-        self._note("served", time.monotonic() - self._ready_at)
-
-    async def _until(self, lacks: Callable[[], Awaitable[str]], ends_at: float, text: str) -> float:
-        """Wait until nothing is lacking; return the seconds since all nodes were ready."""
-        while lacking := await lacks():
+        if served < CONSECUTIVE_ANSWERS:
+            self.violations.append(f"{node.name} does not answer successfully again")
+        self._record("served", time.monotonic() - self._ready_at)
+
+    async def _wait_until_nothing_missing(
+        self, find_missing_entries: Callable[[], Awaitable[str]], ends_at: float, text: str
+    ) -> float:
+        """Wait until nothing is missing; return the seconds since all nodes were ready."""
+        while missing := await find_missing_entries():
             if time.monotonic() >= ends_at:
-                self.violations.append(f"{text}: {lacking}")
+                self.violations.append(f"{text}: {missing}")
                 break
             await asyncio.sleep(CHECK_SECONDS)
         return time.monotonic() - self._ready_at
 
-    def _note(self, name: str, seconds: float) -> None:
+    def _record(self, name: str, seconds: float) -> None:
         self.times[name] = max(seconds, self.times.get(name, 0.0))
 
 
 async def read_gauges(session: aiohttp.ClientSession, node: NodeProcess) -> dict[str, float]:
-    """Return the metrics without labels of a node, by name."""
+    """Return a node's metrics that have no labels, by name."""
     async with session.get(f"http://127.0.0.1:{node.metrics_port}/metrics") as response:
         return {name: float(text) for name, text in GAUGE.findall(await response.text())}
--- a/tests/soak/regions.py
+++ b/tests/soak/regions.py
@@ -1,8 +1,8 @@
-"""Two regions with a slow, narrow link between them, led through proxies of the soak's own.
+"""Two regions with a slow link of low bandwidth between them, emulated by proxies.
 
-The store shows each region the other's runners and nodes at addresses of the proxies, so that what
-nodes send across goes through these: TCP to runners, datagrams to nodes. Ways to the store and to
-callers are not part of the link.
+The store returns to each region proxy addresses for the other region's runners and nodes, so that
+all cross-region traffic passes the proxies: TCP to runners, datagrams to nodes. Connections to the
+store and from callers aren't part of the link.
 """
 
 from __future__ import annotations
@@ -20,48 +20,48 @@
 from tests.processes.fault_proxy import FaultProxy, Mode
 
 REGION_OF_ZONE = {"zone-a": "east", "zone-b": "west"}
-ONE_WAY_SECONDS = 0.02
-# For each connection, and for all datagrams to one node.
-LINK_BYTES_A_SECOND = 400_000
-# Of a queue before the link: what comes then is lost.
+ONE_WAY_LATENCY_SECONDS = 0.02
+# Applies to each connection separately, and to all datagrams to one node together.
+LINK_BYTES_PER_SECOND = 400_000
+# Maximum queueing delay before the link; datagrams beyond it are dropped.
 QUEUE_SECONDS = 0.2
 
 
 class Regions:
-    """The link, and the addresses behind it.
+    """The link between the regions and the addresses that are reached over it.
 
     Args:
-        proxy: Fronts of runners.
+        proxy: Proxies the connections to runners.
     """
 
     def __init__(self, proxy: FaultProxy) -> None:
         self._proxy = proxy
         self._fronts: dict[str, dict[str, str]] = {zone: {} for zone in REGION_OF_ZONE}
-        self._runners: list[str] = []
+        self._runner_fronts: list[str] = []
         self._cuts = 0
         self._nodes: dict[str, DatagramFront] = {}
 
     def add_runner(self, runner_id: str, zone: str, address: str) -> None:
-        """Lead a zone's runner through the link for the other one."""
+        """Route the other zone's connections to a runner through the link."""
         name = f"link to {runner_id}"
         front = self._proxy.front(name, address)
-        self._proxy.set_link(name, ONE_WAY_SECONDS, LINK_BYTES_A_SECOND)
-        self._runners.append(name)
+        self._proxy.set_link(name, ONE_WAY_LATENCY_SECONDS, LINK_BYTES_PER_SECOND)
+        self._runner_fronts.append(name)
         self._set_cut()
-        self._show(zone, address, front)
+        self._publish_front(zone, address, front)
 
     async def add_node(self, name: str, zone: str, address: str) -> None:
-        """Lead datagrams for a zone's node, or its next process, through the link."""
+        """Route the other zone's datagrams to a node, or to its next process, through the link."""
         front = self._nodes.get(name)
         if front is None:
             front = self._nodes[name] = DatagramFront()
             await front.open()
-        front.lead_to(address)
-        self._show(zone, address, front.address)
+        front.forward_to(address)
+        self._publish_front(zone, address, front.address)
 
     @contextlib.contextmanager
     def cut(self) -> Iterator[None]:
-        """Cut the link while the block runs; of several cuts the last one joins it."""
+        """Cut the link while the block runs; it works again when the last overlapping cut ends."""
         self._cuts += 1
         self._set_cut()
         try:
@@ -71,10 +71,12 @@
             self._set_cut()
 
     @contextlib.contextmanager
-    def late_words(self, rng: Random, least: float, most: float) -> Iterator[None]:
-        """Let each datagram take so many seconds more while the block runs."""
+    def delayed_datagrams(
+        self, rng: Random, min_seconds: float, max_seconds: float
+    ) -> Iterator[None]:
+        """Add a random delay in the given range to each datagram while the block runs."""
         for front in self._nodes.values():
-            front.extra_seconds = lambda: rng.uniform(least, most)
+            front.extra_seconds = lambda: rng.uniform(min_seconds, max_seconds)
         try:
             yield
         finally:
@@ -82,28 +84,28 @@
                 front.extra_seconds = lambda: 0.0
 
     def _set_cut(self) -> None:
-        for name in self._runners:
+        for name in self._runner_fronts:
             self._proxy.set(name, Mode.SILENT if self._cuts else Mode.PASS)
         for front in self._nodes.values():
             front.is_cut = self._cuts > 0
 
     def view(self, app: ASGIApp, zone: str) -> ASGIApp:
-        """Return a store's application as a zone sees it."""
+        """Wrap the store's application so that a zone gets proxy addresses for the other zone."""
         return StoreView(app, self._fronts[zone])
 
     def close(self) -> None:
-        """Close the fronts of nodes; those of runners are the proxy's."""
+        """Close the datagram fronts of nodes; ``FaultProxy`` owns the fronts of runners."""
         for front in self._nodes.values():
             front.close()
 
-    def _show(self, zone: str, address: str, front: str) -> None:
+    def _publish_front(self, zone: str, address: str, front: str) -> None:
         for other in REGION_OF_ZONE:
             if other != zone:
                 self._fronts[other][address] = front
 
 
 class DatagramFront(asyncio.DatagramProtocol):
-    """An address from which datagrams go on to a node, later and not too many."""
+    """An address that forwards datagrams to a node with the link's latency and bandwidth."""
 
     def __init__(self) -> None:
         self.address = ""
@@ -113,7 +115,7 @@
         self._free_at = 0.0
 
     async def open(self) -> None:
-        """Begin to listen."""
+        """Start listening."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=("127.0.0.1", 0)
@@ -121,40 +123,40 @@
         host, port = self._transport.get_extra_info("sockname")[:2]
         self.address = f"{host}:{port}"
 
-    def lead_to(self, address: str) -> None:
-        """Set where datagrams go."""
+    def forward_to(self, address: str) -> None:
+        """Set the address to which datagrams are forwarded."""
         host, _, port = address.rpartition(":")
         self._target = host, int(port)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Hand a datagram on after its time on the link."""
+        """Forward a datagram after its time on the link, or drop it if the queue is full."""
         loop = asyncio.get_running_loop()
         now = loop.time()
-        leaves_at = max(now, self._free_at) + len(data) / LINK_BYTES_A_SECOND
+        leaves_at = max(now, self._free_at) + len(data) / LINK_BYTES_PER_SECOND
         if self.is_cut or leaves_at - now > QUEUE_SECONDS:
             return
         self._free_at = leaves_at
-        arrives_at = leaves_at + ONE_WAY_SECONDS + self.extra_seconds()
-        loop.call_at(arrives_at, self._hand_on, data)
+        arrives_at = leaves_at + ONE_WAY_LATENCY_SECONDS + self.extra_seconds()
+        loop.call_at(arrives_at, self._forward, data)
 
     def close(self) -> None:
         """Stop listening."""
         self._transport.close()
 
-    def _hand_on(self, data: bytes) -> None:
+    def _forward(self, data: bytes) -> None:
         if not self.is_cut and not self._transport.is_closing():
             self._transport.sendto(data, self._target)
 
 
 class StoreView:
-    """A store in whose answers some addresses stand for others."""
+    """A store's application whose answers have some addresses replaced by proxy addresses."""
 
     def __init__(self, app: ASGIApp, fronts: dict[str, str]) -> None:
         self._app = app
         self._fronts = fronts
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Answer one ASGI request."""
         head: list[Message] = []
 
         async def translated(message: Message) -> None:
--- a/tests/soak/restore_faults.py
+++ b/tests/soak/restore_faults.py
@@ -1,6 +1,6 @@
-"""A store that comes back from an older copy of itself, once or several times in a row.
+"""A fault that restores the store from an older copy, once or twice in a row.
 
-It is drawn only where it is asked for by name: what older seeds play stays as it was.
+It is drawn only if it is chosen by name, so that older seeds give the same schedules as before.
 """
 
 from __future__ import annotations
@@ -11,66 +11,70 @@
 from hillstack.emulator.fleet_store import StoreCopy
 from tests.soak.faults import Fault
 from tests.soak.observations import STORE
-from tests.soak.system import SoakedSystem
+from tests.soak.system import SystemUnderTest
 from tests.soak.timed_promises import CONTACT_SECONDS
 
 COPY_AGE_SECONDS = (0.5, 8.0)
-AWAY_SECONDS = (0.2, 1.5)
-# Runners write their entries again with a heartbeat each; an entry lapses after three.
+OUTAGE_SECONDS = (0.2, 1.5)
+# Each runner rewrites its entry with every heartbeat; an entry expires after three heartbeats.
 HEARTBEAT_SECONDS = 1.2
-LAPSE_SECONDS = 3 * HEARTBEAT_SECONDS
-OPERATOR_SECONDS = 0.5
+ENTRY_LIFETIME_SECONDS = 3 * HEARTBEAT_SECONDS
+MAX_OPERATOR_DELAY_SECONDS = 0.5
 
 
-async def restore_store(system: SoakedSystem, rng: Random) -> None:
-    """Bring the store back from a copy, and change things soon after."""
+async def restore_store(system: SystemUnderTest, rng: Random) -> None:
+    """Restore the store from a copy, then soon change a key and replace a runner."""
     copy = system.deployment.store.copy()
     await asyncio.sleep(rng.uniform(*COPY_AGE_SECONDS))
-    await _come_back(system, rng, copy)
+    await _restore(system, rng, copy)
     if rng.random() < 0.3:
-        await _come_back(system, rng, copy)
+        await _restore(system, rng, copy)
     await asyncio.sleep(CONTACT_SECONDS + rng.uniform(0.1, 0.5))
     leaving = system.pick_runner(rng)
     system.announce_leaving(leaving)
     system.rotate_key(rng)
     await asyncio.sleep(CONTACT_SECONDS)
-    if leaving in system.members():
+    if leaving in system.live_runners():
         runner = system.deployment.runners[leaving]
         system.remove_runner(leaving)
         await system.add_runner(runner.service, runner.software)
 
 
-async def _come_back(system: SoakedSystem, rng: Random, copy: StoreCopy) -> None:
+async def _restore(system: SystemUnderTest, rng: Random, copy: StoreCopy) -> None:
     store = system.deployment.store
-    with system.trouble(STORE):
+    with system.disturbance(STORE):
         store.down = True
-        await asyncio.sleep(rng.uniform(*AWAY_SECONDS))
+        await asyncio.sleep(rng.uniform(*OUTAGE_SECONDS))
         store.restore(copy)
         if rng.random() < 0.2:
             store.forget_history()
         store.down = False
-    await asyncio.gather(_operator(system, rng), _runners(system, rng), _lapses(system))
+    await asyncio.gather(
+        _rewrite_operator_items(system, rng),
+        _rewrite_runner_entries(system, rng),
+        _expire_ended_runners(system),
+    )
 
 
-async def _operator(system: SoakedSystem, rng: Random) -> None:
-    await asyncio.sleep(rng.uniform(0.0, OPERATOR_SECONDS))
-    system.write_operators_items_again()
+async def _rewrite_operator_items(system: SystemUnderTest, rng: Random) -> None:
+    await asyncio.sleep(rng.uniform(0.0, MAX_OPERATOR_DELAY_SECONDS))
+    system.rewrite_operator_items()
 
 
-async def _runners(system: SoakedSystem, rng: Random) -> None:
-    members = system.members()
-    rng.shuffle(members)
-    for runner_id in members:
-        await asyncio.sleep(rng.uniform(0.0, HEARTBEAT_SECONDS / len(members)))
-        system.list_again(runner_id)
+async def _rewrite_runner_entries(system: SystemUnderTest, rng: Random) -> None:
+    live_runners = system.live_runners()
+    rng.shuffle(live_runners)
+    for runner_id in live_runners:
+        await asyncio.sleep(rng.uniform(0.0, HEARTBEAT_SECONDS / len(live_runners)))
+        system.rewrite_entry(runner_id)
 
 
-async def _lapses(system: SoakedSystem) -> None:
-    """Let the entries of runners that have ended lapse from the copy."""
-    gone = set(system.listed()) - set(system.members())
-    await asyncio.sleep(LAPSE_SECONDS)
-    for runner_id in gone - set(system.members()):
-        system.lapse(runner_id)
+async def _expire_ended_runners(system: SystemUnderTest) -> None:
+    """Let restored entries of runners that have ended expire."""
+    ended = set(system.listed_runners()) - set(system.live_runners())
+    await asyncio.sleep(ENTRY_LIFETIME_SECONDS)
+    for runner_id in ended - set(system.live_runners()):
+        system.expire_entry(runner_id)
 
 
 RESTORE_FAULTS: tuple[Fault, ...] = (restore_store,)
--- a/tests/soak/signal_promises.py
+++ b/tests/soak/signal_promises.py
@@ -1,4 +1,4 @@
-"""The promises to runners that leave, ask for a backoff, or name a limit."""
+"""The promises to runners that are leaving, ask for a backoff, or name a limit."""
 
 from __future__ import annotations
 
@@ -8,49 +8,51 @@
 from tests.soak.observations import (
     STORE,
     Arrival,
+    CallerRequest,
     NamedLimit,
     Observations,
-    Sent,
     SignalSent,
 )
 from tests.soak.timed_promises import CONTACT_SECONDS
 
-# A request that its caller sends later than that after its node has passed on an answer which says
-# that the runner leaves must not reach that runner from there.
+# Once a node has forwarded an answer that says that its runner is leaving, requests that callers
+# send to that node later than this must not reach the runner.
 LEAVE_SECONDS = 2.0
-# What is under way when a runner asks for a backoff is free, for so long; two more are.
-BACKOFF_BEGIN_SECONDS = 0.5
-ALLOWED_IN_A_BACKOFF = 2
-
-# What is under way when a node is told of a limit is free, and what it sends so soon after that.
-LIMIT_BEGIN_SECONDS = 0.5
+# Requests in flight when a runner asks for a backoff aren't counted for this long; after that,
+# two requests of each node are allowed.
+BACKOFF_GRACE_SECONDS = 0.5
+MAX_REQUESTS_IN_BACKOFF = 2
+
+# Requests that reach a runner before the node is notified of its limit, or this soon after, aren't
+# counted.
+LIMIT_GRACE_SECONDS = 0.5
 LIMIT_WINDOW_SECONDS = 4.0
 LIMIT_OVERSHOOT = 1.5
 LIMIT_SLACK = 5
-# A lower limit than before is heard of with the next answer.
+# Nodes learn of a lowered limit with the next answer, within this time.
 LIMIT_CHANGE_SECONDS = 1.0
-# Between two limits that follow one another: no answer leaves in that time.
+# Maximum gap between two consecutive limits: no answer is sent in so short a time.
 LIMIT_GAP_SECONDS = 0.001
 
-# Node, runner and start of the runner's process.
+# Node, runner and start time of the runner's process.
 Pair = tuple[str, str, int]
 
 
 def reached_leaving_runners(seen: Observations) -> Iterator[str]:
-    """Return requests that reached a runner long after it had told their node that it leaves."""
+    """Return requests that reached a runner long after their node got its leaving signal."""
     sent = {request.request_id: request for request in seen.sent}
-    told: dict[Pair, SignalSent] = {}
+    notified: dict[Pair, SignalSent] = {}
     for signal in seen.signals:
         request = sent.get(signal.request_id)
-        # An answer that the caller did not get may not have reached the node either.
+        # If the caller got no answer, the node may not have received the signal either.
         if signal.signals.leaving and request is not None and request.status is not None:
-            told.setdefault((request.node, signal.runner_id, signal.born), signal)
+            notified.setdefault((request.node, signal.runner_id, signal.born), signal)
     for arrival in seen.arrivals:
         request = sent.get(arrival.request_id)
-        first = told.get((request.node, arrival.runner_id, arrival.born)) if request else None
+        first = notified.get((request.node, arrival.runner_id, arrival.born)) if request else None
         if request is None or first is None:
             continue
-        late = request.sent_at - _passed_on_at(sent[first.request_id], first)
+        late = request.sent_at - _answered_at(sent[first.request_id], first)
         if late > LEAVE_SECONDS + seen.lag(first.at, arrival.at) and not _is_excused(
             seen, first, request.node, arrival.at
         ):
@@ -58,7 +60,7 @@
 
 
 def reached_runners_that_left(seen: Observations) -> Iterator[str]:
-    """Return requests that reached a runner long after the store knew that it leaves."""
+    """Return requests that reached a runner long after the store acknowledged that it leaves."""
     sent = {request.request_id: request for request in seen.sent}
     for arrival in seen.arrivals:
         left_at = seen.left_at.get(arrival.runner_id)
@@ -68,7 +70,7 @@
         late = arrival.at - left_at
         if late <= LEAVE_SECONDS + seen.lag(left_at, arrival.at):
             continue
-        if seen.is_earlier(request.node, arrival.at):
+        if seen.runs_earlier_build(request.node, arrival.at):
             continue
         since = left_at - CONTACT_SECONDS
         targets = (request.node, arrival.runner_id, STORE)
@@ -77,7 +79,7 @@
 
 
 def reached_runners_in_backoff(seen: Observations) -> Iterator[str]:
-    """Return the backoffs in which a runner got more requests of a node than are allowed."""
+    """Return the backoffs in which a runner got more requests from a node than are allowed."""
     sent = {request.request_id: request for request in seen.sent}
     arrivals: dict[Pair, list[Arrival]] = defaultdict(list)
     for arrival in seen.arrivals:
@@ -89,13 +91,13 @@
         if request is None or not signal.signals.backoff_seconds:
             continue
         ends_at = signal.at + signal.signals.backoff_seconds
-        begins_at = signal.at + BACKOFF_BEGIN_SECONDS + seen.lag(signal.at, ends_at)
+        begins_at = signal.at + BACKOFF_GRACE_SECONDS + seen.lag(signal.at, ends_at)
         in_backoff = [
             arrival.request_id
             for arrival in arrivals[request.node, signal.runner_id, signal.born]
             if begins_at < arrival.at < ends_at
         ]
-        if len(in_backoff) > ALLOWED_IN_A_BACKOFF and not _is_excused(
+        if len(in_backoff) > MAX_REQUESTS_IN_BACKOFF and not _is_excused(
             seen, signal, request.node, ends_at
         ):
             seconds = signal.signals.backoff_seconds
@@ -103,16 +105,16 @@
             yield f"{signal.runner_id}: {count} of {request.node} in {seconds:.1f} s of backoff"
 
 
-def passed_limits(seen: Observations) -> Iterator[str]:
-    """Return the times in which nodes together sent a runner more than the limit it had told them.
+def exceeded_limits(seen: Observations) -> Iterator[str]:
+    """Return runners that got more requests from all nodes together than the limits they named.
 
-    A node that was disturbed, or started again, is left out.
+    Requests of a node that was recently disturbed or stopped aren't counted.
     """
     sent = {request.request_id: request for request in seen.sent}
     limits: dict[tuple[str, int], list[NamedLimit]] = defaultdict(list)
     for named in seen.limits:
         limits[named.runner_id, named.born].append(named)
-    told = _told_limits(seen, sent)
+    notified = _limit_notifications(seen, sent)
     counted: dict[tuple[str, int], list[float]] = defaultdict(list)
     for arrival in sorted(seen.arrivals, key=lambda arrival: arrival.at):
         request = sent.get(arrival.request_id)
@@ -120,11 +122,13 @@
         named_at = _named_since(limits[process], arrival.at)
         if request is None or named_at is None:
             continue
-        if seen.is_earlier(request.node, arrival.at):
-            # It does not know of limits.
+        if seen.runs_earlier_build(request.node, arrival.at):
+            # Earlier builds don't support runners' limits.
             continue
-        told_at = min((at for at in told[request.node, *process] if at >= named_at), default=None)
-        begins_at = None if told_at is None else told_at + LIMIT_BEGIN_SECONDS
+        notified_at = min(
+            (at for at in notified[request.node, *process] if at >= named_at), default=None
+        )
+        begins_at = None if notified_at is None else notified_at + LIMIT_GRACE_SECONDS
         if begins_at is None or arrival.at < begins_at + seen.lag(begins_at, arrival.at):
             continue
         since = arrival.at - LIMIT_WINDOW_SECONDS - CONTACT_SECONDS
@@ -135,11 +139,11 @@
             continue
         counted[process].append(arrival.at)
     for process, arrivals in counted.items():
-        yield from _over_limit(process[0], arrivals, limits[process], seen)
+        yield from _find_limit_violation(process[0], arrivals, limits[process], seen)
 
 
 def _named_since(limits: list[NamedLimit], at: float) -> float | None:
-    """Return since when a process names limits, one after the other; None if it names none."""
+    """Return since when a process has named limits without a gap; None if it names none."""
     since: float | None = None
     for named in sorted(limits, key=lambda named: named.began_at, reverse=True):
         if named.began_at <= at < named.ended_at or (
@@ -149,25 +153,27 @@
     return since
 
 
-def _told_limits(seen: Observations, sent: dict[str, Sent]) -> dict[Pair, list[float]]:
-    """Return when each node passed on answers of each process that name a limit."""
-    told: dict[Pair, list[float]] = defaultdict(list)
+def _limit_notifications(
+    seen: Observations, sent: dict[str, CallerRequest]
+) -> dict[Pair, list[float]]:
+    """Return when each node forwarded answers in which each runner process names a limit."""
+    notified: dict[Pair, list[float]] = defaultdict(list)
     for signal in seen.signals:
         request = sent.get(signal.request_id)
         if signal.signals.limit is None or request is None or request.status is None:
             continue
         pair = request.node, signal.runner_id, signal.born
-        told[pair].append(_passed_on_at(request, signal))
-    return told
+        notified[pair].append(_answered_at(request, signal))
+    return notified
 
 
-def _over_limit(
+def _find_limit_violation(
     runner_id: str, arrivals: list[float], limits: list[NamedLimit], seen: Observations
 ) -> Iterator[str]:
     for end in arrivals:
         since = end - LIMIT_WINDOW_SECONDS
         got = sum(since < at <= end for at in arrivals)
-        # Requests of a busy machine arrive late, and together.
+        # On a busy machine requests arrive late and in bursts.
         window = LIMIT_WINDOW_SECONDS + seen.lag(since, end)
         limit = max(
             named.limit
@@ -180,12 +186,12 @@
             return
 
 
-def _passed_on_at(request: Sent, signal: SignalSent) -> float:
+def _answered_at(request: CallerRequest, signal: SignalSent) -> float:
     return request.ended_at if request.ended_at is not None else signal.at
 
 
 def _is_excused(seen: Observations, signal: SignalSent, node: str, until: float) -> bool:
-    """Return whether the node, or its way to the runner, was disturbed meanwhile."""
+    """Return whether the node or the runner was disturbed, or the node stopped, meanwhile."""
     since = signal.at - CONTACT_SECONDS
     return any(seen.disturbed(target, since, until) for target in (node, signal.runner_id)) or any(
         stop.node == node and stop.ended_at >= signal.at for stop in seen.stops
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,7 @@
-"""A soak: callers before real nodes, faults drawn from a seed, promises checked from outside."""
+"""A soak: callers send requests to real nodes while faults drawn from a seed are injected.
+
+The promises are checked on what callers and runners observe, not on the nodes' own state.
+"""
 
 from __future__ import annotations
 
@@ -16,36 +19,37 @@
 from tests.soak.earlier_builds import unpack_build
 from tests.soak.fault_series import FAULTS
 from tests.soak.faults import Fault
-from tests.soak.observations import Observations, Sent
+from tests.soak.observations import CallerRequest, Observations
 from tests.soak.promises import find_violations
 from tests.soak.recovery import Recovery
-from tests.soak.system import NODE_COUNT, SoakedSystem
+from tests.soak.system import NODE_COUNT, SystemUnderTest
 
-# Where what was seen is written, beside the nodes' logs, when a promise was broken.
+# File beside the nodes' logs to which the observations are written if a promise was broken.
 OBSERVATIONS_FILE = "observations.json"
-# Of each kind: those that open a connection for each request, and those that keep theirs. More for
-# many nodes, as many as the stand-ins, which are one process, serve without being late themselves.
-LEAST_CALLERS = 4
-CALLERS_OF_A_NODE = 0.15
+# Numbers of callers of each kind: with a new connection for each request, and with persistent
+# connections. All emulated runners share one process, so more callers per node would make the
+# runners themselves late.
+MIN_CALLERS = 4
+CALLERS_PER_NODE = 0.15
 FAULT_PAUSE_SECONDS = 1.2
-LEAST_FAULT_PAUSE_SECONDS = 0.4
+MIN_FAULT_PAUSE_SECONDS = 0.4
 CHECK_SECONDS = 0.05
 LAG_CHECK_SECONDS = 0.02
-# Smaller lags are lost in what the times of promises leave.
-NOTED_LAG_SECONDS = 0.005
+# The time limits of the promises leave enough room for smaller lags.
+MIN_RECORDED_LAG_SECONDS = 0.005
 SETTLE_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class SoakResult:
-    """What a soak found.
+    """The result of a soak.
 
     Attributes:
-        violations: Broken promises; none when all is well.
-        results: Requests by kind and status.
-        faults: The faults injected, with their times in seconds.
-        recovery_seconds: How long it took after the faults, by what was waited for.
-        worst_lag: Seconds that a task of the soak itself was late, at the worst.
+        violations: Descriptions of broken promises; empty if all were kept.
+        results: Number of requests by kind and status, and of some other outcomes.
+        faults: The injected faults, each with its start time in seconds.
+        recovery_seconds: Seconds until each condition of the recovery was met after the faults.
+        worst_lag: Longest delay, in seconds, of the soak's own tasks.
     """
 
     seed: int
@@ -58,13 +62,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """What a soak plays.
+    """The parameters of a soak.
 
     Attributes:
-        seconds: How long faults begin.
-        node_count: Processes of the system under test.
-        faults: Faults that are drawn from.
-        earlier: Commits of the builds that nodes begin with, in turn; none by default.
+        seconds: Length of the period in which faults begin.
+        node_count: Number of node processes under test.
+        faults: Faults to draw from.
+        earlier: Commits of earlier builds with which nodes start, in turn; empty for this build.
     """
 
     seconds: float
@@ -74,13 +78,13 @@
 
     @property
     def callers(self) -> int:
-        """Return the callers of each kind."""
-        return max(LEAST_CALLERS, round(CALLERS_OF_A_NODE * self.node_count))
+        """Return the number of callers of each kind."""
+        return max(MIN_CALLERS, round(CALLERS_PER_NODE * self.node_count))
 
     @property
     def fault_pause(self) -> float:
-        """Return the mean seconds between two faults: with many nodes more go on at once."""
-        return max(LEAST_FAULT_PAUSE_SECONDS, FAULT_PAUSE_SECONDS * NODE_COUNT / self.node_count)
+        """Return the mean seconds between the starts of two faults; shorter with more nodes."""
+        return max(MIN_FAULT_PAUSE_SECONDS, FAULT_PAUSE_SECONDS * NODE_COUNT / self.node_count)
 
 
 async def soak(seed: int, plan: SoakPlan, folder: Path) -> SoakResult:
@@ -88,18 +92,24 @@
     rng = Random(seed)
     result = SoakResult(seed)
     earlier = [unpack_build(commit, folder) for commit in plan.earlier]
-    system = SoakedSystem(folder, plan.node_count, has_regions=has_regions(seed), earlier=earlier)
+    system = SystemUnderTest(
+        folder, plan.node_count, has_regions=has_regions(seed), earlier=earlier
+    )
     await system.start()
     rng_of_callers = Random(seed + 1)
     callers = Callers(
-        system.observations, system.callable_nodes, system.all_keys, system.fatal, rng_of_callers
+        system.observations,
+        system.callable_nodes,
+        system.weighted_keys,
+        system.fatal,
+        rng_of_callers,
     )
     calling = [
         asyncio.create_task(work())
-        for work in (callers.run, callers.run_on_kept_connections)
+        for work in (callers.run, callers.run_on_persistent_connections)
         for _ in range(plan.callers)
     ]
-    watching = [asyncio.create_task(work(system)) for work in (_watch, _measure_lag)]
+    watching = [asyncio.create_task(work(system)) for work in (_supervise_nodes, _measure_lag)]
     try:
         await _inject(system, draw_schedule(rng, plan), result)
         recovery = Recovery(system, callers)
@@ -117,7 +127,7 @@
         result.violations += system.log_problems()
         sent = system.observations.sent
         result.results = Counter(f"{s.kind} {_outcome(s)}" for s in sent)
-        result.results |= _versions(system.observations)
+        result.results |= _rollout_outcomes(system.observations)
         result.results["over kept connections"] = sum(s.reused for s in sent)
         await system.close()
     if result.violations:
@@ -125,7 +135,7 @@
     return result
 
 
-def _versions(seen: Observations) -> Counter[str]:
+def _rollout_outcomes(seen: Observations) -> Counter[str]:
     outcomes = Counter(
         f"{'bad' if each.is_bad else 'good'} version {each.states[-1] if each.states else 'untold'}"
         for each in seen.rollouts.values()
@@ -134,32 +144,32 @@
     return outcomes
 
 
-def _outcome(request: Sent) -> str:
+def _outcome(request: CallerRequest) -> str:
     if request.status is None and request.closed_at is not None:
         return "closed by its caller"
     return str(request.status or "broken off")
 
 
-async def _watch(system: SoakedSystem) -> None:
+async def _supervise_nodes(system: SystemUnderTest) -> None:
     while True:
         await system.check_processes()
         await asyncio.sleep(CHECK_SECONDS)
 
 
-async def _measure_lag(system: SoakedSystem) -> None:
-    """Note when the soak's own tasks are late: what callers and runners see is then noted late."""
+async def _measure_lag(system: SystemUnderTest) -> None:
+    """Record when the soak's own tasks run late: callers and runners then record times too late."""
     while True:
         due_at = time.monotonic() + LAG_CHECK_SECONDS
         await asyncio.sleep(LAG_CHECK_SECONDS)
         now = time.monotonic()
-        if now - due_at > NOTED_LAG_SECONDS:
+        if now - due_at > MIN_RECORDED_LAG_SECONDS:
             system.observations.lags.append((now, now - due_at))
 
 
 async def _inject(
-    system: SoakedSystem, schedule: list[tuple[float, Fault, int]], result: SoakResult
+    system: SystemUnderTest, schedule: list[tuple[float, Fault, int]], result: SoakResult
 ) -> None:
-    """Inject faults, several at a time, and wait for the end of the last."""
+    """Inject the scheduled faults, several at a time, and wait until all have ended."""
     began_at = time.monotonic()
     async with asyncio.TaskGroup() as running:
         for starts_at, fault, seed in schedule:
@@ -169,12 +179,15 @@
 
 
 def has_regions(seed: int) -> bool:
-    """Return whether a seed plays two regions: each second one does."""
+    """Return whether a soak with this seed has two regions: those with odd seeds do."""
     return seed % 2 == 1
 
 
 def draw_schedule(rng: Random, plan: SoakPlan) -> list[tuple[float, Fault, int]]:
-    """Draw when which fault begins, and its own seed, so that no delay of a run changes them."""
+    """Draw the start time, the fault and the seed of each injection.
+
+    Each fault has its own seed, so that delays in a run don't change what is drawn.
+    """
     schedule: list[tuple[float, Fault, int]] = []
     starts_at = 0.0
     while starts_at < plan.seconds:
@@ -184,7 +197,7 @@
 
 
 def run(seed: int, plan: SoakPlan, folder: Path | None = None) -> SoakResult:
-    """Run one soak; logs go to ``folder``, or to one that is removed."""
+    """Run one soak; logs go to ``folder``, or to a temporary folder that is removed."""
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
         return asyncio.run(soak(seed, plan, folder))
--- a/tests/soak/software.py
+++ b/tests/soak/software.py
@@ -1,4 +1,4 @@
-"""Versions of the runners' software, and what the operator is told of their rollouts."""
+"""Versions of the runners' software, and the rollout states that are reported to the operator."""
 
 from __future__ import annotations
 
@@ -21,55 +21,55 @@
 
 @dataclass(slots=True)
 class Software:
-    """Which versions are in use, ordered and bad.
+    """The current, ordered and faulty versions of each service.
 
     Attributes:
-        ordered: Version that a rollout under way is to bring, by service.
+        ordered: Target version of the current rollout, by service.
     """
 
     ordered: dict[str, str] = field(default_factory=dict)
-    _used: dict[str, str] = field(default_factory=dict)
+    _current: dict[str, str] = field(default_factory=dict)
     _bad: dict[str, SoftwareFaults] = field(default_factory=dict)
     _count: int = 1
 
     def order(self, service: str, faults: SoftwareFaults) -> str:
-        """Begin a rollout; return its version, with faults perhaps."""
+        """Begin a rollout to a new version that has the given faults; return the version."""
         self._count += 1
         target = f"v{self._count}"
         self.ordered[service] = target
         self._bad[target] = faults
         return target
 
-    def decide(self, service: str, *, complete: bool) -> None:
-        """End a service's rollout."""
+    def finish_rollout(self, service: str, *, complete: bool) -> None:
+        """End a service's rollout; if it is complete, its target becomes the current version."""
         target = self.ordered.pop(service)
         if complete:
-            self._used[service] = target
+            self._current[service] = target
 
-    def used(self, service: str) -> str:
-        """Return the version that a service has but for a rollout."""
-        return self._used.get(service, FIRST_VERSION)
+    def current_version(self, service: str) -> str:
+        """Return the version of a service from which a rollout, if any, starts."""
+        return self._current.get(service, FIRST_VERSION)
 
-    def usable(self, service: str, software: str) -> str:
-        """Return a version if a runner may start with it now, else the one that is used."""
+    def version_for_start(self, service: str, software: str) -> str:
+        """Return ``software`` if it is a current rollout's target, else the current version."""
         if software == self.ordered.get(service):
             return software
-        return self.used(service)
+        return self.current_version(service)
 
     def faults(self, software: str) -> SoftwareFaults:
-        """Return what is wrong with a version."""
+        """Return the faults of a version."""
         return self._bad.get(software, SoftwareFaults())
 
 
-class StatusNotingStore(FleetStore):
-    """A store that notes what the operator is told, by target version."""
+class StatusRecordingStore(FleetStore):
+    """A store that records the rollout states written for the operator, by target version."""
 
     def __init__(self, rollouts: dict[str, Rollout]) -> None:
         super().__init__()
         self._rollouts = rollouts
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write an item; return its revision."""
+        """Write an item, record it if it is a rollout's status, and return its revision."""
         if key.startswith(names.ROLLOUT_STATUS_PREFIX):
             status = msgspec.json.decode(value, type=RolloutStatusBody)
             rollout = self._rollouts[status.target_version]
@@ -80,5 +80,5 @@
 
 
 def is_decided(rollout: Rollout) -> bool:
-    """Return whether the operator was told an outcome."""
+    """Return whether an outcome was reported to the operator."""
     return rollout.decided_at < math.inf
--- a/tests/soak/system.py
+++ b/tests/soak/system.py
@@ -1,4 +1,4 @@
-"""The system that is soaked: nodes as processes, stand-ins behind a fault-injecting proxy."""
+"""The system under test: node processes, with emulated runners and store behind fault proxies."""
 
 from __future__ import annotations
 
@@ -29,6 +29,7 @@
 from tests.soak.observations import (
     NODE_PREFIX,
     Arrival,
+    Disturbance,
     EarlierBuild,
     NamedLimit,
     Observations,
@@ -36,10 +37,9 @@
     RunnerEnd,
     SignalSent,
     Stop,
-    Trouble,
 )
 from tests.soak.regions import REGION_OF_ZONE, Regions
-from tests.soak.software import CANARY_SHARE, CANARY_SLACK, Software, StatusNotingStore
+from tests.soak.software import CANARY_SHARE, CANARY_SLACK, Software, StatusRecordingStore
 from tests.soak.timed_promises import GRACE_SECONDS
 
 NODE_COUNT = 3
@@ -48,26 +48,27 @@
 KEY_COUNT = 3
 ONE_ZONE = "zone-a"
 LIMITED_TENANT = TenantBody("tenant-2", ["limited-key"], rate_per_s=10, burst=10)
-# A key of the tenant without a limit that stays.
+# API key for fatal requests, of the tenant without a limit; it is never revoked.
 FATAL_KEY = "fatal-key"
-TOLERANCE: dict[str, Any] = {
+NODE_SETTINGS: dict[str, Any] = {
     "limit_window_seconds": 8,
     "limit_overshoot": 0.1,
     "limit_slack": 20,
     "canary_share": CANARY_SHARE,
     "canary_slack": CANARY_SLACK,
 }
-# From the end of a runner to that of its entry, and then to its successor's, at the longest.
-ENTRY_SECONDS = 1.5
-SUCCESSOR_SECONDS = 2.0
+# Maximum time from a runner's crash until its entry expires, and from then until its successor
+# starts.
+MAX_ENTRY_DELAY_SECONDS = 1.5
+MAX_SUCCESSOR_DELAY_SECONDS = 2.0
 # Signals that end a process.
-ENDING = frozenset({signal.SIGTERM, signal.SIGKILL})
-# What the limit and the tolerance above allow in a window.
-MOST_LIMITED_RUNS = (10 * 8 + 10) * 1.1 + 20
+TERMINATING_SIGNALS = frozenset({signal.SIGTERM, signal.SIGKILL})
+# Requests of the limited tenant that its rate, burst and the settings above allow in a window.
+MAX_LIMITED_RUNS = (10 * 8 + 10) * 1.1 + 20
 
 
 class ObservedRunner(FleetRunner):
-    """A runner that notes when each request begins to run."""
+    """An emulated runner that records requests and signals, and crashes under fatal requests."""
 
     def __init__(
         self,
@@ -82,36 +83,36 @@
         self._observations = observations
         self._end = end
         self._ended = False
-        # Streams that it works on.
+        # Request identifiers of the open streams.
         self.streams: set[str] = set()
         observations.orders[runner_id] = self.orders
         observations.software[runner_id] = software
 
     def note_run(self, request_id: str, headers: dict[str, str]) -> None:
-        """Note a request that begins to run."""
+        """Record a request that starts to run; crash if the request is fatal."""
         super().note_run(request_id, headers)
         now = time.monotonic()
         weights = self.weights if self.model else 0
         self._observations.runs.append(Run(request_id, self.runner_id, now, weights))
-        fatal = fatal_requests.name_of(request_id)
+        fatal = fatal_requests.fatal_name_of(request_id)
         if fatal and not self._ended:
             self._ended = True
             self._observations.runner_ends.append(RunnerEnd(fatal, self.runner_id, now))
             self._end(self.runner_id)
 
     def note_arrival(self, request_id: str) -> None:
-        """Note a request that has reached it, and when."""
+        """Record a request that has reached the runner, and when."""
         super().note_arrival(request_id)
         arrival = Arrival(request_id, self.runner_id, self.born, time.monotonic())
         self._observations.arrivals.append(arrival)
 
     def note_signals(self, request_id: str, signals: RunnerSignals) -> None:
-        """Note what it says of itself in the answer to a request, and when."""
+        """Record the signals that the runner gives in its answer to a request, and when."""
         sent = SignalSent(request_id, self.runner_id, self.born, time.monotonic(), signals)
         self._observations.signals.append(sent)
 
     def restart(self, born: int) -> None:
-        """Start again under the same name, with orders of its own."""
+        """Start again under the same name; the new process's orders are recorded separately."""
         super().restart(born)
         self._ended = False
         self._observations.orders[f"{self.runner_id} of {born}"] = self.orders
@@ -128,17 +129,17 @@
         try:
             await super()._hang(request, request_id)
         finally:
-            self._observations.note_let_go(request_id, self.runner_id, time.monotonic())
+            self._observations.record_abandoned(request_id, self.runner_id, time.monotonic())
 
 
-class SoakedSystem:
-    """Store, runners and nodes, with proxies between them.
+class SystemUnderTest:
+    """The store, runners and nodes of a soak, with fault proxies between them.
 
     Args:
-        folder: Where settings and logs of the nodes go.
-        node_count: How many nodes there are.
+        folder: Folder for the nodes' settings and logs.
+        node_count: Number of nodes.
         has_regions: Whether nodes and runners are split over two regions.
-        earlier: Sources of the builds that nodes begin with, in turn; that of today by default.
+        earlier: Sources of earlier builds with which nodes start, in turn; empty for this build.
     """
 
     def __init__(
@@ -151,30 +152,30 @@
     ) -> None:
         self.observations = Observations()
         self.software = Software()
-        store = StatusNotingStore(self.observations.rollouts)
+        store = StatusRecordingStore(self.observations.rollouts)
         self.deployment = Deployment(folder, store)
         self.fatal = FatalRequests(FATAL_KEY)
-        self.observations.most_runs = {"limited-key": MOST_LIMITED_RUNS}
+        self.observations.most_runs = {"limited-key": MAX_LIMITED_RUNS}
         self.proxy = FaultProxy()
         self.weights = 1
         self.regions = Regions(self.proxy) if has_regions else None
         self._peers_ports: dict[str, int] = {}
         self._nodes: dict[str, NodeProcess] = {}
-        self._stores: dict[str, str] = {}
+        self._store_fronts: dict[str, str] = {}
         self._node_names = [f"{NODE_PREFIX}{number + 1}" for number in range(node_count)]
-        # Sources of the earlier build of each node, and the nodes that run it.
-        self._earlier = dict(zip(self._node_names, itertools.cycle(earlier), strict=False))
-        self._runs_earlier: dict[str, EarlierBuild] = {}
-        for name in self._earlier:
-            self._note_build(name, is_earlier=True)
-        # Faults that hold each node: it is not started again before the last lets go.
-        self._holds: Counter[str] = Counter()
-        # Processes that were sent a signal that ends them.
-        self._ended_by_us: set[int] = set()
-        # Runners that live, by identifier, with the state that their entries tell.
-        self._members: dict[str, str] = {}
+        # Sources of each node's earlier build, and the nodes that currently run theirs.
+        self._earlier_sources = dict(zip(self._node_names, itertools.cycle(earlier), strict=False))
+        self._running_earlier: dict[str, EarlierBuild] = {}
+        for name in self._earlier_sources:
+            self._record_build(name, runs_earlier_build=True)
+        # Number of faults that currently prevent the restart of each node.
+        self._restart_suppressions: Counter[str] = Counter()
+        # Processes that the soak sent SIGTERM or SIGKILL; any other end is a violation.
+        self._terminated_pids: set[int] = set()
+        # Identifiers of the live runners, with the state in their store entries.
+        self._runner_states: dict[str, str] = {}
         self._runner_count = 0
-        # Successors of runners that ended, until they are listed.
+        # Tasks that replace crashed runners; each ends when the successor is listed.
         self._successors: set[asyncio.Task[None]] = set()
         self._keys = [f"key-{number}" for number in range(KEY_COUNT)]
         self._key_count = KEY_COUNT
@@ -190,18 +191,18 @@
                 await self.add_runner(service)
         for name in self._node_names:
             zone = self._zone_of(name)
-            self._stores[name] = self.proxy.front(f"store of {name}", stores[zone])
-            # As on a machine of its own, a new process listens for peers where the last one did.
+            self._store_fronts[name] = self.proxy.front(f"store of {name}", stores[zone])
+            # A restarted node keeps its peers port, as it would on its own machine.
             self._peers_ports[name] = free_port()
             if self.regions is not None:
                 await self.regions.add_node(name, zone, f"127.0.0.1:{self._peers_ports[name]}")
             self.start_node(name)
-        with self.trouble(*self._node_names, planned=True):
+        with self.disturbance(*self._node_names, planned=True):
             for node in self._nodes.values():
                 await self.deployment.wait_ready(node)
 
     async def close(self) -> None:
-        """End everything that was started."""
+        """Stop the nodes, the emulated services and the proxies."""
         for task in self._successors:
             task.cancel()
         await self.deployment.stop()
@@ -210,15 +211,15 @@
         self.proxy.close()
 
     def keys(self) -> list[str]:
-        """Return the keys of the tenant without a limit that are in use."""
+        """Return the valid API keys of the tenant without a limit."""
         return self._keys
 
-    def all_keys(self) -> list[str]:
-        """Return keys to draw from: those of the tenant with a limit are as many as the others."""
+    def weighted_keys(self) -> list[str]:
+        """Return the API keys to draw from; half of the draws give the limited tenant's key."""
         return self._keys + LIMITED_TENANT.api_keys * len(self._keys)
 
     def callable_nodes(self) -> list[NodeProcess]:
-        """Return all nodes, those that are down too."""
+        """Return all nodes, including those that are down."""
         return list(self._nodes.values())
 
     def node_names(self) -> list[str]:
@@ -226,21 +227,21 @@
         return self._node_names
 
     def pick_node(self, rng: Random) -> str:
-        """Return any node, one that another fault holds too."""
+        """Draw a node; another fault may already affect it."""
         return rng.choice(self._node_names)
 
     def pick_runner(self, rng: Random) -> str:
-        """Return a runner that lives, listed or not."""
-        return rng.choice(list(self._members))
+        """Draw a live runner, whether it is listed or not."""
+        return rng.choice(list(self._runner_states))
 
-    def members(self) -> list[str]:
-        """Return the runners that live."""
-        return list(self._members)
+    def live_runners(self) -> list[str]:
+        """Return the identifiers of the live runners."""
+        return list(self._runner_states)
 
     @contextlib.contextmanager
-    def trouble(self, *targets: str, planned: bool = False) -> Iterator[None]:
-        """Note trouble of nodes, runners or the store while the block runs."""
-        began = [Trouble(target, time.monotonic(), planned=planned) for target in targets]
+    def disturbance(self, *targets: str, planned: bool = False) -> Iterator[None]:
+        """Record a fault of nodes, runners or the store for as long as the block runs."""
+        began = [Disturbance(target, time.monotonic(), planned=planned) for target in targets]
         self.observations.troubles += began
         try:
             yield
@@ -250,7 +251,7 @@
 
     @contextlib.contextmanager
     def limited(self, runner: FleetRunner, limit: float) -> Iterator[None]:
-        """Let a runner that names no limit name one while the block runs."""
+        """Let a runner name a limit while the block runs; it names none afterwards."""
         named = NamedLimit(runner.runner_id, runner.born, limit, time.monotonic())
         self.observations.limits.append(named)
         runner.faults = replace(runner.faults, limit=limit)
@@ -261,51 +262,51 @@
             runner.faults = replace(runner.faults, limit=None)
 
     @contextlib.contextmanager
-    def hold(self, name: str) -> Iterator[None]:
-        """Keep a node from being started while the block runs (``check_processes``)."""
-        self._holds[name] += 1
+    def suppress_restart(self, name: str) -> Iterator[None]:
+        """Prevent ``check_processes`` from restarting a node while the block runs."""
+        self._restart_suppressions[name] += 1
         try:
             yield
         finally:
-            self._holds[name] -= 1
+            self._restart_suppressions[name] -= 1
 
     def start_node(self, name: str) -> None:
-        """Start a node, unless it runs."""
+        """Start a node unless it is running."""
         known = self._nodes.get(name)
         if known is not None and known.process.poll() is None:
             return
-        store = self._stores[name]
+        store = self._store_fronts[name]
         self._nodes[name] = self.deployment.launch(
             name,
             store=store,
             peers_port=self._peers_ports[name],
             zone=self._zone_of(name),
             region_of_zone=REGION_OF_ZONE if self.regions is not None else None,
-            source=self._earlier[name] if self.is_earlier(name) else None,
+            source=self._earlier_sources[name] if self.runs_earlier_build(name) else None,
             grace_seconds=GRACE_SECONDS,
-            **TOLERANCE,
+            **NODE_SETTINGS,
         )
 
-    def is_earlier(self, name: str) -> bool:
-        """Return whether a node runs an earlier build."""
-        return name in self._runs_earlier
+    def runs_earlier_build(self, name: str) -> bool:
+        """Return whether a node currently runs its earlier build."""
+        return name in self._running_earlier
 
-    def replace_build(self, name: str, *, is_earlier: bool) -> None:
-        """Let a node that has ended start with this build, or with its earlier one."""
-        if name in self._earlier:
-            self._note_build(name, is_earlier=is_earlier)
+    def replace_build(self, name: str, *, runs_earlier_build: bool) -> None:
+        """Set whether a stopped node starts with its earlier build or with this one."""
+        if name in self._earlier_sources:
+            self._record_build(name, runs_earlier_build=runs_earlier_build)
 
-    def _note_build(self, name: str, *, is_earlier: bool) -> None:
+    def _record_build(self, name: str, *, runs_earlier_build: bool) -> None:
         now = time.monotonic()
-        ended = self._runs_earlier.pop(name, None)
+        ended = self._running_earlier.pop(name, None)
         if ended is not None:
             ended.ended_at = now
-        if is_earlier:
-            build = self._runs_earlier[name] = EarlierBuild(name, now)
+        if runs_earlier_build:
+            build = self._running_earlier[name] = EarlierBuild(name, now)
             self.observations.earlier_builds.append(build)
 
     async def end_node(self, name: str, number: signal.Signals) -> None:
-        """Send a signal that ends a node, and wait for its end."""
+        """Send a signal that ends a node and wait until its process has ended."""
         process = self.process_of(name)
         began_at = time.monotonic()
         send(process, signal.SIGCONT)
@@ -315,115 +316,115 @@
             self.observations.stops.append(Stop(name, began_at, time.monotonic()))
 
     def node(self, name: str) -> NodeProcess:
-        """Return a node's latest process and its addresses."""
+        """Return the latest process of a node and its addresses."""
         return self._nodes[name]
 
     def process_of(self, name: str) -> subprocess.Popen[bytes]:
-        """Return a node's latest process."""
+        """Return the latest process of a node."""
         return self._nodes[name].process
 
     def signal_process(self, process: subprocess.Popen[bytes], number: signal.Signals) -> None:
-        """Send a signal to a node's process, if it runs."""
-        if number in ENDING:
-            self._ended_by_us.add(process.pid)
+        """Send a signal to a node's process if the process is running."""
+        if number in TERMINATING_SIGNALS:
+            self._terminated_pids.add(process.pid)
         send(process, number)
 
     async def check_processes(self) -> None:
-        """Note nodes that ended by themselves, and start again what no fault holds.
+        """Record nodes that ended unexpectedly, and restart ended nodes unless a fault prevents it.
 
-        A start takes this process up to 0.1 s on a busy machine, so callers and runners get their
-        turn after each: 45 starts at a stretch kept them waiting for 4.7 s.
+        Starting a process can block the event loop for 0.1 s on a busy machine, so callers and
+        runners get to run after each start: 45 starts in a row blocked them for 4.7 s.
         """
         for name, node in list(self._nodes.items()):
             if node.process.poll() is None:
                 continue
-            if node.process.pid not in self._ended_by_us:
-                self._ended_by_us.add(node.process.pid)
+            if node.process.pid not in self._terminated_pids:
+                self._terminated_pids.add(node.process.pid)
                 self.unexpected_ends.append(f"{name} ended with {node.process.returncode}")
-            if not self._holds[name]:
+            if not self._restart_suppressions[name]:
                 self.start_node(name)
                 await asyncio.sleep(0)
 
     async def add_runner(self, service: str, software: str = "") -> None:
-        """Start a runner behind a proxy, with the version in use unless one is named."""
+        """Start a runner behind a proxy, with the current software version unless one is given."""
         self._runner_count += 1
         runner_id = f"i-{self._runner_count}"
-        version = self.software.usable(service, software)
-        runner = ObservedRunner(runner_id, service, version, self.observations, self._end_runner)
+        version = self.software.version_for_start(service, software)
+        runner = ObservedRunner(runner_id, service, version, self.observations, self._crash_runner)
         runner.born = runner.cache.born = unix_milliseconds()
         runner.weights = self.weights
         runner.zone = self._zone_of(runner_id)
         runner.faults.software = self.software.faults(version)
         await self.deployment.start_runner(runner, lambda address: self._front(runner, address))
-        # Faults choose among the members: only now is there a connection to disturb.
-        self._members[runner.runner_id] = "ready"
+        # Faults draw from the live runners, so the runner is added only once its proxy exists.
+        self._runner_states[runner.runner_id] = "ready"
 
     def announce_leaving(self, runner_id: str) -> None:
-        """Let a runner's entry say that it will leave."""
-        if runner_id in self._members:
-            self._members[runner_id] = "draining"
+        """Mark a runner as leaving in its store entry."""
+        if runner_id in self._runner_states:
+            self._runner_states[runner_id] = "draining"
             self.deployment.list_runner(runner_id, "draining")
             self.observations.left_at.setdefault(runner_id, time.monotonic())
 
     def remove_runner(self, runner_id: str) -> None:
-        """Take a runner off the list for good; it serves on for a little."""
-        self._members.pop(runner_id, None)
-        self.lapse(runner_id)
+        """Remove a runner's entry for good; the runner itself goes on serving."""
+        self._runner_states.pop(runner_id, None)
+        self.expire_entry(runner_id)
 
     def runners_of(self, service: str) -> list[ObservedRunner]:
-        """Return the runners of a service that live."""
-        runners = [self.deployment.runners[runner_id] for runner_id in self._members]
+        """Return the live runners of a service."""
+        runners = [self.deployment.runners[runner_id] for runner_id in self._runner_states]
         return [r for r in runners if isinstance(r, ObservedRunner) and r.service == service]
 
     def end_runner(self, runner_id: str) -> None:
-        """End a runner for good and at once, its entry too."""
+        """End a runner at once and for good, and remove its entry."""
         self.remove_runner(runner_id)
-        self.proxy.end(runner_id)
+        self.proxy.close_address(runner_id)
 
     async def restart_runner(self, runner_id: str, seconds: float) -> None:
-        """End a runner's process, and start the next one under its name a while later."""
+        """End a runner's process and start the next one under its name after some seconds."""
         runner = self.deployment.runners[runner_id]
-        with self.trouble(runner_id):
-            self.proxy.end(runner_id)
+        with self.disturbance(runner_id):
+            self.proxy.close_address(runner_id)
             await asyncio.sleep(seconds)
-            if runner_id not in self._members:
+            if runner_id not in self._runner_states:
                 return
             runner.restart(max(runner.born + 1, unix_milliseconds()))
-            self.proxy.begin_again(runner_id)
-            self.list_again(runner_id)
+            self.proxy.reopen_address(runner_id)
+            self.rewrite_entry(runner_id)
 
-    async def successors_listed(self) -> None:
-        """Wait until a new runner is listed for each that was ended by a request."""
+    async def wait_for_successors(self) -> None:
+        """Wait until a successor is listed for each runner that a fatal request crashed."""
         await asyncio.gather(*self._successors)
 
-    def _end_runner(self, runner_id: str) -> None:
-        """End a runner by a request: its entry outlives it, and a successor comes."""
-        if self._members.pop(runner_id, None) is not None:
-            task = asyncio.create_task(self._succeed(runner_id))
+    def _crash_runner(self, runner_id: str) -> None:
+        """Crash a runner under a request; its entry expires and a successor starts later."""
+        if self._runner_states.pop(runner_id, None) is not None:
+            task = asyncio.create_task(self._start_successor(runner_id))
             self._successors.add(task)
             task.add_done_callback(self._successors.discard)
-        self.proxy.end(runner_id)
+        self.proxy.close_address(runner_id)
 
-    async def _succeed(self, runner_id: str) -> None:
+    async def _start_successor(self, runner_id: str) -> None:
         rng = Random(runner_id)
         ended = self.deployment.runners[runner_id]
-        with self.trouble(runner_id):
-            await asyncio.sleep(rng.uniform(0.0, ENTRY_SECONDS))
-            self.lapse(runner_id)
-        await asyncio.sleep(rng.uniform(0.0, SUCCESSOR_SECONDS))
+        with self.disturbance(runner_id):
+            await asyncio.sleep(rng.uniform(0.0, MAX_ENTRY_DELAY_SECONDS))
+            self.expire_entry(runner_id)
+        await asyncio.sleep(rng.uniform(0.0, MAX_SUCCESSOR_DELAY_SECONDS))
         await self.add_runner(ended.service, ended.software)
 
-    def lapse(self, runner_id: str) -> None:
-        """Let a runner's entry end with its lease; the runner lives on."""
+    def expire_entry(self, runner_id: str) -> None:
+        """Remove a runner's entry as if its lease had expired; the runner is still running."""
         self.deployment.store.remove(names.RUNNERS_PREFIX + runner_id)
 
-    def list_again(self, runner_id: str) -> None:
-        """Let a runner write its entry anew, if it still lives."""
-        if runner_id in self._members:
-            self.deployment.list_runner(runner_id, self._members[runner_id])
+    def rewrite_entry(self, runner_id: str) -> None:
+        """Write a runner's entry again if the runner is still live."""
+        if runner_id in self._runner_states:
+            self.deployment.list_runner(runner_id, self._runner_states[runner_id])
 
     def rotate_key(self, rng: Random) -> None:
-        """Take a key away and add another one, in one configuration."""
+        """Revoke an API key and add another one in a single configuration."""
         removed = rng.choice(self._keys)
         added = f"key-{self._key_count}"
         self._key_count += 1
@@ -432,13 +433,13 @@
         self.observations.revoked_at[removed] = time.monotonic()
 
     def next_weights(self) -> None:
-        """Name the next version of the weights."""
+        """Announce the next version of the weights in the store."""
         self.weights += 1
         self.deployment.name_weights(self.weights)
         self.observations.weights_named[self.weights] = time.monotonic()
 
-    def write_operators_items_again(self) -> None:
-        """Write again what the operator wrote: the store was restored from an older copy."""
+    def rewrite_operator_items(self) -> None:
+        """Write the operator's items again after the store was restored from an older copy."""
         self._configure()
         self.deployment.name_weights(self.weights)
         for service, target in self.software.ordered.items():
@@ -446,9 +447,9 @@
             over_seconds = rollout.deadline - rollout.ordered_at
             self.deployment.order_rollout(service, target, over_seconds)
 
-    def engines_behind(self) -> list[str]:
-        """Return the listed engines that do not serve the newest weights."""
-        runners = [self.deployment.runners[runner_id] for runner_id in self.listed()]
+    def outdated_engines(self) -> list[str]:
+        """Return the listed engines that don't serve the newest weights."""
+        runners = [self.deployment.runners[runner_id] for runner_id in self.listed_runners()]
         return [
             runner.runner_id
             for runner in runners
@@ -456,7 +457,7 @@
         ]
 
     def log_problems(self) -> list[str]:
-        """Return the lines of the nodes' logs that must never be written."""
+        """Return lines of the nodes' logs that show an internal error or aren't JSON."""
         bad = {"background task failed", "request failed"}
         problems: list[str] = []
         for path in {node.log_path for node in self.deployment.nodes}:
@@ -467,13 +468,13 @@
                     problems.append(f"{path.name}: {line[:400]}")
         return problems
 
-    def listed(self) -> list[str]:
-        """Return the runners that the store lists."""
+    def listed_runners(self) -> list[str]:
+        """Return the identifiers of the runners that have an entry in the store."""
         prefix = names.RUNNERS_PREFIX
         return [key[len(prefix) :] for key in self.deployment.store.keys(prefix)]
 
     def _zone_of(self, name: str) -> str:
-        """Return the zone of a node or runner: by turns, if there are regions."""
+        """Return the zone of a node or runner; with regions, zones alternate by number."""
         zones = list(REGION_OF_ZONE) if self.regions is not None else [ONE_ZONE]
         return zones[int(name.rpartition("-")[2]) % len(zones)]
 
@@ -499,11 +500,11 @@
 
 
 def send(process: subprocess.Popen[bytes], number: signal.Signals) -> None:
-    """Send a signal to a process, if it runs."""
+    """Send a signal to a process if it is running."""
     if process.poll() is None:
         process.send_signal(number)
 
 
 def unix_milliseconds() -> int:
-    """Return the time of day as runners tell it."""
+    """Return the Unix time in milliseconds, as runners report their start time."""
     return time.time_ns() // 1_000_000
--- a/tests/soak/test_connections.py
+++ b/tests/soak/test_connections.py
@@ -1,4 +1,4 @@
-"""A caller's connection must take only whole answers as answers, and must know its own close."""
+"""A caller's connection accepts only complete answers and records its own close."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @contextlib.asynccontextmanager
 async def answering(*answers: bytes) -> AsyncIterator[str]:
-    """Listen, give the answers over one connection, and close it."""
+    """Serve the given answers, one per request, over one connection and then close it."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         for answer in answers:
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("answer", [b"", PLAIN[:20], PLAIN[:-1], CHUNKED[:-7], CHUNKED[:-1]])
-def test_an_answer_that_ends_early_is_none(answer: bytes) -> None:
+def test_an_incomplete_answer_raises(answer: bytes) -> None:
     with pytest.raises(ConnectionBrokenError):
         asyncio.run(exchange_all(answer))
 
--- a/tests/soak/test_crashes.py
+++ b/tests/soak/test_crashes.py
@@ -1,4 +1,4 @@
-"""Several requests at a time that end their runners, at real processes."""
+"""A soak with several requests at a time that crash their runners."""
 
 from __future__ import annotations
 
--- a/tests/soak/test_faults.py
+++ b/tests/soak/test_faults.py
@@ -1,4 +1,4 @@
-"""The soak's own faults: what they are said to do to connections, processes and the schedule."""
+"""The soak's fault injection: silenced connections and the seeded schedule."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.processes.fault_proxy import FaultProxy
 from tests.soak.soak import SoakPlan, draw_schedule
 
-# Long enough for many answers over loopback: silence is shown by none coming.
+# Enough time for many answers over loopback, so that none in this time means silence.
 SILENCE_SECONDS = 0.3
 
 
--- a/tests/soak/test_older_weights.py
+++ b/tests/soak/test_older_weights.py
@@ -1,4 +1,4 @@
-"""Older weights are not begun on past their bound, by real processes; and the check finds it."""
+"""Real processes start nothing on older weights past their bound, and the check detects it."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 import pytest
 
-from tests.soak.observations import Observations, Run, Sent, Trouble
+from tests.soak.observations import CallerRequest, Disturbance, Observations, Run
 from tests.soak.soak import SoakPlan, has_regions, run
 from tests.soak.weights_faults import keep_older_weights
-from tests.soak.weights_promises import begun_on_older_weights
+from tests.soak.weights_promises import started_on_older_weights
 
-# With two regions, whose words to each other the fault makes late.
+# An odd seed gives two regions; the fault delays the datagrams between them.
 SEED = 701
-# The fault begins at once, and lasts for some seconds more.
+# One fault begins at once; it goes on for some seconds after this time.
 SECONDS = 0.1
 
 
-def test_real_processes_beside_late_words_begin_nothing_on_older_weights_past_their_bound(
+def test_real_processes_with_delayed_datagrams_start_nothing_on_older_weights_past_their_bound(
     tmp_path: Path,
 ) -> None:
-    # Counted from the arrival of each word, the bound moved by 7.3 s in 12 s at all three nodes,
-    # and 146 requests began on older weights too late.
+    # When nodes counted the bound from the arrival of each datagram, it moved by 7.3 s in 12 s at
+    # all three nodes, and 146 requests started too late on older weights.
     assert has_regions(SEED)
     result = run(SEED, SoakPlan(SECONDS, faults=(keep_older_weights,)), tmp_path)
     assert result.violations == []
-    # Older weights were there to be used, and what needed weights was refused without newer ones.
+    # Some streams ran on the older weights before the bound, and streams after it were refused.
     assert result.results["stream 200"] > 0 and result.results["stream 503"] > 0
 
 
@@ -36,21 +36,21 @@
         (18.1, 1, [], True),
         (18.1, 2, [], False),
         (18.1, 0, [], False),
-        (18.1, 1, [Trouble("store", 12.0, 12.5)], False),
-        (18.1, 1, [Trouble("node-1", 8.0, 9.0)], False),
-        (18.1, 1, [Trouble("i-1", 12.0, 12.5)], False),
-        (18.1, 1, [Trouble("node-2", 12.0, 12.5)], True),
-        (18.1, 1, [Trouble("store", 1.0, 2.0)], True),
+        (18.1, 1, [Disturbance("store", 12.0, 12.5)], False),
+        (18.1, 1, [Disturbance("node-1", 8.0, 9.0)], False),
+        (18.1, 1, [Disturbance("i-1", 12.0, 12.5)], False),
+        (18.1, 1, [Disturbance("node-2", 12.0, 12.5)], True),
+        (18.1, 1, [Disturbance("store", 1.0, 2.0)], True),
     ],
 )
 def test_a_request_that_begins_too_late_on_older_weights_is_found(
-    began_at: float, weights: int, troubles: list[Trouble], is_broken: bool
+    began_at: float, weights: int, troubles: list[Disturbance], is_broken: bool
 ) -> None:
     seen = Observations(
-        [Sent("r-1", "stream", "node-1", "key-1", 17.0)],
+        [CallerRequest("r-1", "stream", "node-1", "key-1", 17.0)],
         [Run("r-1", "i-1", began_at, weights)],
         troubles=troubles,
         weights_named={2: 10.0, 3: 17.0},
     )
-    found = list(begun_on_older_weights(seen))
+    found = list(started_on_older_weights(seen))
     assert ["too late" in each for each in found] == [True] * is_broken
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -1,4 +1,4 @@
-"""The soak's own checks: each broken promise must be found in a history that breaks it."""
+"""The soak's checks must find each broken promise in a history that breaks it."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import pytest
 
 from hillstack.platform.bodies import OrderBody
-from tests.soak.observations import Observations, Run, Sent, Stop, Trouble
+from tests.soak.observations import CallerRequest, Disturbance, Observations, Run, Stop
 from tests.soak.promises import find_violations
 
 ORDER = OrderBody("version", "m", 2, "retain", "node-1", 5, 0)
-ONCE = Sent("r-1", "once", "node-1", "key-1", 10.0, 200, b"i-1:r-1", "i-1.r-1")
+ONCE = CallerRequest("r-1", "once", "node-1", "key-1", 10.0, 200, b"i-1:r-1", "i-1.r-1")
 STREAM = replace(
     ONCE,
     kind="stream",
@@ -22,7 +22,7 @@
 
 
 def found(
-    *sent: Sent,
+    *sent: CallerRequest,
     runs: tuple[Run, ...] = (),
     revoked: float | None = None,
     orders: tuple[OrderBody, ...] = (),
@@ -33,7 +33,7 @@
     return find_violations(seen)
 
 
-def test_a_history_that_keeps_all_promises_is_clean() -> None:
+def test_a_history_that_keeps_all_promises_has_no_violations() -> None:
     orders = (ORDER, replace_order(version=3, fence=6, holder="node-2"))
     assert found(ONCE, runs=(RUN,), revoked=9.0, orders=orders) == []
     assert found(STREAM, runs=(RUN, RUN)) == []
@@ -60,7 +60,7 @@
         (ONCE, (RUN, Run("r-9", "i-1", 10.0)), "no caller sent it"),
     ],
 )
-def test_a_broken_promise_is_found(sent: Sent, runs: tuple[Run, ...], text: str) -> None:
+def test_a_broken_promise_is_found(sent: CallerRequest, runs: tuple[Run, ...], text: str) -> None:
     violations = found(sent, runs=runs)
     assert len(violations) == 1 and text in violations[0]
 
@@ -77,7 +77,7 @@
         replace_order(holder="node-2"),
     ],
 )
-def test_orders_out_of_turn_are_found(order: OrderBody) -> None:
+def test_orders_in_the_wrong_sequence_are_found(order: OrderBody) -> None:
     assert len(found(orders=(ORDER, order))) == 1
 
 
@@ -96,7 +96,7 @@
     assert find_violations(Observations(sent, runs, most_runs={"key-1": 1})) == []
 
 
-CLOSED = Sent("r-1", "safe", "node-1", "key-1", 10.0, closed_at=10.2, ended_at=10.2)
+CLOSED = CallerRequest("r-1", "safe", "node-1", "key-1", 10.0, closed_at=10.2, ended_at=10.2)
 LATE = Run("r-1", "i-1", 10.8)
 
 
@@ -109,41 +109,43 @@
 @pytest.mark.parametrize(
     "seen",
     [
-        Observations([CLOSED], [LATE], troubles=[Trouble("node-1", 5.0, 8.0)]),
-        Observations([CLOSED], [LATE], troubles=[Trouble("i-1", 10.3)]),
+        Observations([CLOSED], [LATE], troubles=[Disturbance("node-1", 5.0, 8.0)]),
+        Observations([CLOSED], [LATE], troubles=[Disturbance("i-1", 10.3)]),
         Observations([CLOSED], [LATE], lags=[(10.5, 0.15)]),
     ],
 )
-def test_a_late_run_is_allowed_while_its_way_was_disturbed(seen: Observations) -> None:
+def test_a_late_run_is_allowed_if_its_node_or_runner_was_disturbed(seen: Observations) -> None:
     assert find_violations(seen) == []
 
 
 @pytest.mark.parametrize(
     "seen",
     [
-        Observations([CLOSED], [LATE], troubles=[Trouble("node-1", 5.0, 7.0)]),
-        Observations([CLOSED], [LATE], troubles=[Trouble("node-2", 10.0), Trouble("i-2", 10.0)]),
-        Observations([CLOSED], [LATE], troubles=[Trouble("store", 10.0)]),
-        Observations([CLOSED], [LATE], troubles=[Trouble("node-1", 10.0, planned=True)]),
+        Observations([CLOSED], [LATE], troubles=[Disturbance("node-1", 5.0, 7.0)]),
+        Observations(
+            [CLOSED], [LATE], troubles=[Disturbance("node-2", 10.0), Disturbance("i-2", 10.0)]
+        ),
+        Observations([CLOSED], [LATE], troubles=[Disturbance("store", 10.0)]),
+        Observations([CLOSED], [LATE], troubles=[Disturbance("node-1", 10.0, planned=True)]),
         Observations([CLOSED], [LATE], lags=[(9.0, 0.15), (10.5, 0.05)]),
     ],
 )
-def test_other_trouble_does_not_allow_a_late_run(seen: Observations) -> None:
+def test_other_disturbances_do_not_allow_a_late_run(seen: Observations) -> None:
     assert len(find_violations(seen)) == 1
 
 
-def test_a_runner_that_works_on_long_after_the_close_is_found() -> None:
+def test_a_runner_still_working_long_after_the_close_is_found() -> None:
     hung = Observations([CLOSED], [RUN])
-    hung.note_let_go("r-1", "i-1", 10.6)
+    hung.record_abandoned("r-1", "i-1", 10.6)
     assert find_violations(hung) == []
-    hung.note_let_go("r-1", "i-1", 10.8)
+    hung.record_abandoned("r-1", "i-1", 10.8)
     assert "at work" in find_violations(hung)[0]
     hung.sent = [replace(CLOSED, kind="once")]
     assert find_violations(hung) == []
 
 
 BROKEN = replace(CLOSED, closed_at=None, ended_at=10.4)
-STOPPING = Trouble("node-1", 10.1, 12.0, planned=True)
+STOPPING = Disturbance("node-1", 10.1, 12.0, planned=True)
 
 
 def test_a_request_that_ran_and_was_lost_by_a_planned_stop_is_found() -> None:
@@ -152,13 +154,13 @@
     assert find_violations(Observations([BROKEN], [RUN])) == []
     other = replace(STOPPING, target="node-2")
     assert find_violations(Observations([BROKEN], [RUN], troubles=[other])) == []
-    unplanned = [STOPPING, Trouble("i-2", 7.5, 8.0)]
-    assert find_violations(Observations([BROKEN], [RUN], troubles=unplanned)) == []
+    unplanned_disturbances = [STOPPING, Disturbance("i-2", 7.5, 8.0)]
+    assert find_violations(Observations([BROKEN], [RUN], troubles=unplanned_disturbances)) == []
 
 
 def test_a_stop_that_outlasts_its_grace_time_is_found() -> None:
     late = Stop("node-1", 10.0, 18.5)
     assert "after its grace time" in find_violations(Observations(stops=[late]))[0]
     assert find_violations(Observations(stops=[replace(late, ended_at=17.9)])) == []
-    paused = Observations(stops=[late], troubles=[Trouble("node-1", 12.0, 13.0)])
+    paused = Observations(stops=[late], troubles=[Disturbance("node-1", 12.0, 13.0)])
     assert find_violations(paused) == []
--- a/tests/soak/test_regions.py
+++ b/tests/soak/test_regions.py
@@ -1,4 +1,4 @@
-"""The soak's link between two regions: what goes through it, and what its store shows."""
+"""The soak's link between two regions: its traffic and the addresses that the store returns."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 from tests.fleet.builders import APPLICATION
 from tests.processes.fault_proxy import FaultProxy
-from tests.soak.regions import ONE_WAY_SECONDS, DatagramFront, Regions, translate
-from tests.soak.system import SoakedSystem
+from tests.soak.regions import ONE_WAY_LATENCY_SECONDS, DatagramFront, Regions, translate
+from tests.soak.system import SystemUnderTest
 
 SILENCE_SECONDS = 0.3
-# More than there are runners whose end a node has yet to see.
+# More tries than there are ended runners whose end the node may not have detected yet.
 TRIES = 20
 
 
-def test_a_store_shows_the_addresses_of_the_link() -> None:
+def test_a_store_returns_the_addresses_of_the_link() -> None:
     value = base64.b64encode(b'{"address":"127.0.0.1:7"}').decode()
     body = f'{{"items":[{{"key":"k","value":"{value}"}}],"at":3}}'.encode()
     seen = translate(body, lambda text: text[::-1])
@@ -26,19 +26,19 @@
     assert translate(b'{"at":3}', lambda text: "") == b'{"at":3}'
 
 
-def test_datagrams_are_late_and_stop_at_a_cut() -> None:
+def test_datagrams_are_delayed_and_a_cut_drops_them() -> None:
     async def play(receiver: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         receiver.setblocking(False)
         receiver.bind(("127.0.0.1", 0))
         front = DatagramFront()
         await front.open()
-        front.lead_to(f"127.0.0.1:{receiver.getsockname()[1]}")
+        front.forward_to(f"127.0.0.1:{receiver.getsockname()[1]}")
         host, _, port = front.address.partition(":")
         began_at = time.monotonic()
         receiver.sendto(b"a", (host, int(port)))
         assert await loop.sock_recv(receiver, 10) == b"a"
-        assert time.monotonic() - began_at >= ONE_WAY_SECONDS
+        assert time.monotonic() - began_at >= ONE_WAY_LATENCY_SECONDS
         front.is_cut = True
         receiver.sendto(b"b", (host, int(port)))
         await asyncio.sleep(SILENCE_SECONDS)
@@ -51,7 +51,7 @@
         asyncio.run(play(receiver))
 
 
-def test_of_two_cuts_the_last_one_joins_the_link() -> None:
+def test_the_link_works_again_when_the_last_of_two_cuts_ends() -> None:
     async def play(regions: Regions) -> list[bool]:
         await regions.add_node("node-1", "zone-a", "127.0.0.1:7")
         front = regions._nodes["node-1"]
@@ -73,14 +73,14 @@
 
 def test_nodes_reach_runners_of_the_other_region_through_the_link(tmp_path: Path) -> None:
     async def play() -> None:
-        system = SoakedSystem(tmp_path, 2, has_regions=True)
+        system = SystemUnderTest(tmp_path, 2, has_regions=True)
         try:
             await system.start()
             node = system.node("node-1")
             for runner in system.runners_of(APPLICATION):
                 if runner.zone == system._zone_of(node.name):
                     system.end_runner(runner.runner_id)
-            # Each with another path: one request at two ends is taken for their cause.
+            # Each try has its own path: a request under which two runners end counts as fatal.
             calls = (system.deployment.call(node, f"/safe/{number}") for number in range(TRIES))
             answers = [await call for call in calls]
             answer = answers[-1]
--- a/tests/soak/test_restarts.py
+++ b/tests/soak/test_restarts.py
@@ -1,4 +1,4 @@
-"""Runners that start again under their names, beside new weights, at real processes."""
+"""A soak in which runners restart under their names while new weights are announced."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 SECONDS = 8.0
 
 
-def test_real_processes_keep_all_promises_while_runners_start_again(tmp_path: Path) -> None:
+def test_real_processes_keep_all_promises_while_runners_restart(tmp_path: Path) -> None:
     result = run(SEED, SoakPlan(SECONDS, faults=(restart_runners, name_weights)), tmp_path)
     assert result.violations == [], result.faults
     assert {fault.partition(" ")[2] for fault in result.faults} == {
--- a/tests/soak/test_restored_store.py
+++ b/tests/soak/test_restored_store.py
@@ -1,4 +1,4 @@
-"""A store that comes back from older copies, beside ends and pauses of real processes."""
+"""A soak in which the store is restored from older copies while nodes are killed and paused."""
 
 from __future__ import annotations
 
--- a/tests/soak/test_seeded_run.py
+++ b/tests/soak/test_seeded_run.py
@@ -1,4 +1,4 @@
-"""A short soak with a fixed seed, on every run: real processes under faults in series."""
+"""A short soak with a fixed seed that covers every kind of fault."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.soak.fault_series import FAULTS
 from tests.soak.soak import SoakPlan, draw_schedule, has_regions, run
 
-# Its schedule holds every kind of fault, with two regions, a good and a bad version: the first test
-# makes sure of it.
+# With this seed there are two regions, every kind of fault, and both good and bad versions. The
+# first test checks the faults and regions, the second one the versions.
 SEED = 367
 SECONDS = 60.0
 KINDS = {"good", "bad"}
--- a/tests/soak/test_signals.py
+++ b/tests/soak/test_signals.py
@@ -1,4 +1,4 @@
-"""Runners that leave, ask for a backoff or name a limit, at real processes."""
+"""Soaks in which runners leave, ask for a backoff or name a limit, and tests of the checks."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from tests.soak.faults import Fault, kill_node, pause_node
 from tests.soak.observations import (
     Arrival,
+    CallerRequest,
+    Disturbance,
     NamedLimit,
     Observations,
-    Sent,
     SignalSent,
     Stop,
-    Trouble,
 )
 from tests.soak.restart_faults import restart_runners
 from tests.soak.signal_faults import ask_for_backoff, leave_unheard, name_limits
 from tests.soak.signal_promises import (
-    passed_limits,
+    exceeded_limits,
     reached_leaving_runners,
     reached_runners_in_backoff,
 )
 from tests.soak.soak import SoakPlan, run
 
 SEED = 926
-# With it the store goes away in the moment in which all nodes have started.
+# With this seed the store becomes unavailable as soon as all nodes have started.
 SEED_AT_START = 903
 SECONDS = 8.0
 SIGNALS = (leave_unheard, ask_for_backoff)
 LIMIT_SEED = 931
 LIMIT_SEED_BESIDE_OTHERS = 939
 
-TOLD_AT = 20.0
+SIGNAL_AT = 20.0
 BACKOFF = 3.0
 
 
@@ -43,7 +43,7 @@
     [
         pytest.param(SEED, SIGNALS, id="alone"),
         pytest.param(SEED, (*SIGNALS, kill_node, pause_node, restart_runners), id="beside-others"),
-        # With their signals passed over, 340 broken promises in 12 s.
+        # When nodes ignored the signals, 340 promises were broken in 12 s.
         pytest.param(SEED_AT_START, SIGNALS, id="from-the-start"),
     ],
 )
@@ -82,8 +82,10 @@
     assert "runner limit asked" in logged
 
 
-def sent(request_id: str, at: float, node: str = "node-1", status: int | None = 200) -> Sent:
-    return Sent(request_id, "safe", node, "key-1", at, status, ended_at=at + 0.1)
+def sent(
+    request_id: str, at: float, node: str = "node-1", status: int | None = 200
+) -> CallerRequest:
+    return CallerRequest(request_id, "safe", node, "key-1", at, status, ended_at=at + 0.1)
 
 
 def seen_with(
@@ -92,17 +94,17 @@
     *,
     node: str = "node-1",
     born: int = 1,
-    troubles: list[Trouble] | None = None,
+    troubles: list[Disturbance] | None = None,
     stops: list[Stop] | None = None,
     status: int | None = 200,
 ) -> Observations:
-    """Return what is seen when a runner says something and then gets requests."""
-    requests = [sent("r-0", TOLD_AT - 0.1, status=status)]
+    """Return the observations of a runner that gives signals and then gets requests."""
+    requests = [sent("r-0", SIGNAL_AT - 0.1, status=status)]
     requests += [sent(f"r-{at}", at, node) for at in arrivals]
     return Observations(
         requests,
         arrivals=[Arrival(f"r-{at}", "i-1", born, at) for at in arrivals],
-        signals=[SignalSent("r-0", "i-1", 1, TOLD_AT, signals)],
+        signals=[SignalSent("r-0", "i-1", 1, SIGNAL_AT, signals)],
         troubles=troubles or [],
         stops=stops or [],
     )
@@ -117,11 +119,13 @@
         (seen_with(RunnerSignals(leaving=True), [22.1], born=2), False),
         (seen_with(RunnerSignals(leaving=True), [22.1], status=None), False),
         (
-            seen_with(RunnerSignals(leaving=True), [22.1], troubles=[Trouble("node-1", 21, 21.5)]),
+            seen_with(
+                RunnerSignals(leaving=True), [22.1], troubles=[Disturbance("node-1", 21, 21.5)]
+            ),
             False,
         ),
         (
-            seen_with(RunnerSignals(leaving=True), [22.1], troubles=[Trouble("store", 1.0)]),
+            seen_with(RunnerSignals(leaving=True), [22.1], troubles=[Disturbance("store", 1.0)]),
             True,
         ),
         (
@@ -152,15 +156,13 @@
             seen_with(
                 RunnerSignals(backoff_seconds=BACKOFF),
                 [20.6, 21.0, 22.9],
-                troubles=[Trouble("node-1", 22.0, 22.2)],
+                troubles=[Disturbance("node-1", 22.0, 22.2)],
             ),
             False,
         ),
     ],
 )
-def test_a_backoff_that_a_runner_does_not_get_is_found(
-    found: Observations, is_broken: bool
-) -> None:
+def test_too_many_requests_in_a_backoff_are_found(found: Observations, is_broken: bool) -> None:
     assert len(list(reached_runners_in_backoff(found))) == is_broken
 
 
@@ -171,15 +173,15 @@
     node: str = "node-1",
     born: int = 1,
     ended_at: float = 100.0,
-    troubles: list[Trouble] | None = None,
+    troubles: list[Disturbance] | None = None,
 ) -> Observations:
-    """Return what is seen when a runner names a limit and then gets requests."""
+    """Return the observations of a runner that names a limit and then gets requests."""
     found = seen_with(RunnerSignals(limit=limit), arrivals, node=node, born=born, troubles=troubles)
-    found.limits = [NamedLimit("i-1", 1, limit, TOLD_AT - 1.0, ended_at)]
+    found.limits = [NamedLimit("i-1", 1, limit, SIGNAL_AT - 1.0, ended_at)]
     return found
 
 
-def times(count: int, since: float = TOLD_AT + 2.0, over: float = 3.0) -> list[float]:
+def times(count: int, since: float = SIGNAL_AT + 2.0, over: float = 3.0) -> list[float]:
     return [since + over * number / count for number in range(count)]
 
 
@@ -194,13 +196,13 @@
         (limited(times(6), 0.0), True),
         (limited(times(40), node="node-2"), False),
         (limited(times(40), born=2), False),
-        (limited(times(40, TOLD_AT, 0.5)), False),
-        (limited(times(40), ended_at=TOLD_AT + 2.0), False),
+        (limited(times(40, SIGNAL_AT, 0.5)), False),
+        (limited(times(40), ended_at=SIGNAL_AT + 2.0), False),
         (limited(times(24, over=12.0)), False),
         (limited(times(40, over=12.0)), True),
-        (limited(times(40), troubles=[Trouble("node-1", TOLD_AT, TOLD_AT + 0.1)]), False),
-        (limited(times(40), troubles=[Trouble("store", TOLD_AT)]), True),
+        (limited(times(40), troubles=[Disturbance("node-1", SIGNAL_AT, SIGNAL_AT + 0.1)]), False),
+        (limited(times(40), troubles=[Disturbance("store", SIGNAL_AT)]), True),
     ],
 )
-def test_a_limit_that_is_passed_is_found(found: Observations, is_broken: bool) -> None:
-    assert len(list(passed_limits(found))) == is_broken
+def test_an_exceeded_limit_is_found(found: Observations, is_broken: bool) -> None:
+    assert len(list(exceeded_limits(found))) == is_broken
--- a/tests/soak/test_upgrade.py
+++ b/tests/soak/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Nodes of an earlier build beside those of today, replaced one after the other."""
+"""A rolling upgrade from an earlier build, with nodes of both builds running together."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.soak.soak import SoakPlan, run
 from tests.soak.upgrade_faults import upgrade_nodes
 
-# The last build that was landed before this one could run beside it.
+# The last build before rolling upgrades were supported and tested.
 EARLIER_BUILD = "f42427b"
 SEED = 11
 SECONDS = 10.0
@@ -34,14 +34,14 @@
 
 
 @needs_history
-def test_the_sources_of_an_earlier_build_are_its_own(tmp_path: Path) -> None:
+def test_unpacked_sources_are_those_of_the_earlier_commit(tmp_path: Path) -> None:
     source = unpack_build(EARLIER_BUILD, tmp_path)
     assert (source / "hillstack" / "daemon" / "fleet_main.py").exists()
     assert not (source / "hillstack" / "core" / "runner_limit.py").exists()
 
 
 @pytest.mark.parametrize("commit", ["no-such-commit", "", "--help"])
-def test_a_commit_that_is_not_known_is_told_and_leaves_nothing(tmp_path: Path, commit: str) -> None:
+def test_an_unknown_commit_raises_and_writes_nothing(tmp_path: Path, commit: str) -> None:
     with pytest.raises(EarlierBuildError, match="no commit"):
         unpack_build(commit, tmp_path)
     assert list(tmp_path.iterdir()) == []
--- a/tests/soak/test_version_promises.py
+++ b/tests/soak/test_version_promises.py
@@ -1,4 +1,4 @@
-"""The soak's checks of requests that end runners, and of rollouts of software."""
+"""The soak's checks of fatal requests and of software rollouts."""
 
 from __future__ import annotations
 
@@ -16,12 +16,19 @@
 from tests.processes.fault_proxy import FaultProxy
 from tests.soak import fatal_requests
 from tests.soak.fatal_requests import FatalRequests
-from tests.soak.observations import Observations, Rollout, Run, RunnerEnd, Sent, Trouble
+from tests.soak.observations import (
+    CallerRequest,
+    Disturbance,
+    Observations,
+    Rollout,
+    Run,
+    RunnerEnd,
+)
 from tests.soak.promises import find_violations
-from tests.soak.software import CANARY_SLACK, FIRST_VERSION, Software, StatusNotingStore
+from tests.soak.software import CANARY_SLACK, FIRST_VERSION, Software, StatusRecordingStore
 
 ENDS = [RunnerEnd("fatal.1", f"i-{number}", 10.0 + number) for number in range(4)]
-AWAY = Trouble("node-1", 10.5, 11.0)
+AWAY = Disturbance("node-1", 10.5, 11.0)
 GOOD = Rollout(APPLICATION, "v2", 10.0, 20.0, False, ["running", "complete"], decided_at=18.0)
 BAD = replace(GOOD, is_bad=True, states=["running", "reverted"])
 
@@ -33,14 +40,14 @@
         (ENDS[:3], [], True),
         (ENDS[:3], [AWAY], False),
         (ENDS[:3], [replace(AWAY, planned=True)], False),
-        (ENDS[:3], [Trouble("node-1", 1.0, 6.0)], True),
-        (ENDS[:3], [Trouble("i-0", 10.5)], True),
+        (ENDS[:3], [Disturbance("node-1", 1.0, 6.0)], True),
+        (ENDS[:3], [Disturbance("i-0", 10.5)], True),
         (ENDS[:4], [AWAY], True),
         ([*ENDS[:2], RunnerEnd("fatal.2", "i-2", 12.0)], [], False),
     ],
 )
 def test_a_request_that_ends_too_many_runners_is_found(
-    ends: list[RunnerEnd], troubles: list[Trouble], is_broken: bool
+    ends: list[RunnerEnd], troubles: list[Disturbance], is_broken: bool
 ) -> None:
     violations = find_violations(Observations(runner_ends=ends, troubles=troubles))
     assert ["fatal.1: ended" in each for each in violations] == [True] * is_broken
@@ -60,15 +67,15 @@
         (replace(GOOD, states=["running"], decided_at=float("inf")), "not decided"),
     ],
 )
-def test_a_rollout_that_is_told_wrongly_is_found(rollout: Rollout, text: str) -> None:
+def test_a_rollout_with_wrong_states_is_found(rollout: Rollout, text: str) -> None:
     violations = find_violations(Observations(rollouts={"v2": rollout}))
     assert [text in each for each in violations] == [True] * bool(text)
 
 
 def exposed(count: int, began_at: float = 12.0) -> list[str]:
-    """Return what is found when a bad version gets so many of 100 requests."""
+    """Return the violations found when a bad version gets ``count`` of 100 requests."""
     ids = [f"r-{number}" for number in range(100)]
-    sent = [Sent(each, "safe", "node-1", "key-1", 12.0, 500) for each in ids]
+    sent = [CallerRequest(each, "safe", "node-1", "key-1", 12.0, 500) for each in ids]
     runs = [Run(each, "i-9", began_at) for each in ids[:count]]
     return find_violations(Observations(sent, runs, rollouts={"v2": BAD}, software={"i-9": "v2"}))
 
@@ -84,22 +91,24 @@
     ("troubles", "is_broken"),
     [
         ([], True),
-        ([Trouble("node-1", 12.0, 13.0)], False),
-        ([Trouble("store", 12.0, 13.0)], False),
-        ([Trouble("node-2", 12.0, 13.0)], True),
-        ([Trouble("node-1", 1.0, 5.0)], True),
+        ([Disturbance("node-1", 12.0, 13.0)], False),
+        ([Disturbance("store", 12.0, 13.0)], False),
+        ([Disturbance("node-2", 12.0, 13.0)], True),
+        ([Disturbance("node-1", 1.0, 5.0)], True),
     ],
 )
-def test_a_stream_that_a_completion_cuts_is_found(troubles: list[Trouble], is_broken: bool) -> None:
-    sent = Sent("r-1", "stream", "node-1", "key-1", 12.0)
+def test_a_stream_that_a_completion_cuts_is_found(
+    troubles: list[Disturbance], is_broken: bool
+) -> None:
+    sent = CallerRequest("r-1", "stream", "node-1", "key-1", 12.0)
     rollouts = {"v2": replace(GOOD, old_streams=["r-1"])}
     violations = find_violations(Observations([sent], troubles=troubles, rollouts=rollouts))
     assert ["completion cut r-1" in each for each in violations] == [True] * is_broken
 
 
-def test_what_the_operator_is_told_is_noted() -> None:
+def test_rollout_states_reported_to_the_operator_are_recorded() -> None:
     rollouts = {"v2": replace(GOOD, states=[], decided_at=float("inf"))}
-    store = StatusNotingStore(rollouts)
+    store = StatusRecordingStore(rollouts)
     for state in ("running", "reverted"):
         body = msgspec.json.encode(RolloutStatusBody(state, "v2"))
         store.put(names.ROLLOUT_STATUS_PREFIX + APPLICATION, body)
@@ -107,17 +116,17 @@
     assert rollouts["v2"].decided_at < float("inf")
 
 
-def test_a_runner_starts_with_a_version_that_may_be_used() -> None:
+def test_a_runner_starts_with_the_ordered_or_the_current_version() -> None:
     software = Software()
     faults = SoftwareFaults(fail_share=0.5)
     target = software.order(APPLICATION, faults)
-    assert software.usable(APPLICATION, target) == target
+    assert software.version_for_start(APPLICATION, target) == target
     assert software.faults(target) == faults
-    software.decide(APPLICATION, complete=False)
-    assert software.usable(APPLICATION, target) == FIRST_VERSION
+    software.finish_rollout(APPLICATION, complete=False)
+    assert software.version_for_start(APPLICATION, target) == FIRST_VERSION
     target = software.order(APPLICATION, SoftwareFaults())
-    software.decide(APPLICATION, complete=True)
-    assert software.usable(APPLICATION, FIRST_VERSION) == target
+    software.finish_rollout(APPLICATION, complete=True)
+    assert software.version_for_start(APPLICATION, FIRST_VERSION) == target
 
 
 def test_tries_of_a_fatal_request_share_their_name() -> None:
@@ -127,11 +136,11 @@
     request = fatal.add("safe")
     drawn = [fatal.draw(rng) for _ in range(200)]
     assert {each for each in drawn if each} == {request} and None in drawn
-    assert fatal_requests.name_of(f"{request.name}-7f-12") == request.name
-    assert fatal_requests.name_of("safe-7f-12") == ""
+    assert fatal_requests.fatal_name_of(f"{request.name}-7f-12") == request.name
+    assert fatal_requests.fatal_name_of("safe-7f-12") == ""
 
 
-def test_an_address_whose_process_ended_breaks_its_connections_and_refuses() -> None:
+def test_a_closed_address_resets_its_connections_and_refuses_new_ones() -> None:
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while piece := await reader.read(100):
             writer.write(piece)
@@ -145,7 +154,7 @@
         reader, writer = await asyncio.open_connection(host, int(front))
         writer.write(b"a")
         assert await reader.read(1) == b"a"
-        proxy.end("echo")
+        proxy.close_address("echo")
         with pytest.raises(ConnectionResetError):
             await reader.read(1)
         with pytest.raises(OSError):
@@ -161,7 +170,7 @@
         proxy.close()
 
 
-def test_varied_requests_may_end_three_runners_long_after_the_third_end() -> None:
+def test_varied_requests_may_crash_three_runners_long_after_the_third_crash() -> None:
     ends = [RunnerEnd("fatal.varied.1", f"i-{number}", 10.0 * number) for number in range(6)]
     assert not find_violations(Observations(runner_ends=ends))
     more = [*ends, RunnerEnd("fatal.varied.1", "i-9", 70.0)]
--- a/tests/soak/timed_promises.py
+++ b/tests/soak/timed_promises.py
@@ -1,58 +1,58 @@
-"""Promises with a time: what closes and planned stops must have brought about, and when."""
+"""Promises with a time limit after a caller's close and in a graceful stop."""
 
 from __future__ import annotations
 
 from collections import defaultdict
 from collections.abc import Iterator
 
-from tests.soak.observations import Observations, Run, Sent
+from tests.soak.observations import CallerRequest, Observations, Run
 
-# What the users allow between a close and the last that reaches a runner. What the soak's own
-# tasks were late meanwhile comes on top: they note the close too early, or the arrival too late.
+# Maximum time between a caller's close and the last effect on a runner. The lag of the soak's own
+# tasks is added, since they may record the close too early or the arrival too late.
 CLOSE_SECONDS = 0.5
-# A node or a link is held to times only when it was left alone for that long.
+# Time limits apply to a node or a link only if no fault disturbed it for this long before.
 CONTACT_SECONDS = 3.0
-# From SIGTERM to the end of the process.
+# Maximum time from SIGTERM to the end of the process.
 GRACE_SECONDS = 8.0
-# Requests whose runs end with their callers; another one runs once and is let run to its end.
+# Kinds of request that are cancelled when the caller closes; ``once`` requests run to their end.
 CANCELLED_KINDS = frozenset({"safe", "stream"})
 
 
-def sent_after_close(seen: Observations) -> Iterator[str]:
-    """Return the runs that began long after their callers had closed."""
-    for request, run in _runs_of_closed(seen):
-        late = run.began_at - _not_before(request)
+def started_after_close(seen: Observations) -> Iterator[str]:
+    """Return the runs that started too long after their callers had closed the connection."""
+    for request, run in _runs_of_closed_requests(seen):
+        late = run.began_at - _closed_at(request)
         if late > CLOSE_SECONDS + _allowance(seen, request, run, run.began_at):
             yield f"{run.request_id}: began {late:.2f} s after its caller had closed"
 
 
-def at_work_after_close(seen: Observations) -> Iterator[str]:
-    """Return the runs that went on long after their callers had closed, at runners that hang."""
-    for request, run in _runs_of_closed(seen):
-        let_go_at = seen.let_go_at(run.request_id, run.runner_id)
-        if let_go_at is None or request.kind not in CANCELLED_KINDS:
+def continued_after_close(seen: Observations) -> Iterator[str]:
+    """Return the runs at hung runners that went on too long after their callers had closed."""
+    for request, run in _runs_of_closed_requests(seen):
+        abandoned_at = seen.abandoned_at(run.request_id, run.runner_id)
+        if abandoned_at is None or request.kind not in CANCELLED_KINDS:
             continue
-        late = let_go_at - max(_not_before(request), run.began_at)
-        if late > CLOSE_SECONDS + _allowance(seen, request, run, let_go_at):
+        late = abandoned_at - max(_closed_at(request), run.began_at)
+        if late > CLOSE_SECONDS + _allowance(seen, request, run, abandoned_at):
             yield f"{run.request_id}: {run.runner_id} at work {late:.2f} s after the close"
 
 
 def lost_in_planned_stops(seen: Observations) -> Iterator[str]:
-    """Return the requests that ran and got no answer because their node stopped as planned."""
+    """Return the requests that ran and were lost because their node stopped gracefully."""
     ran = {run.request_id for run in seen.runs}
     for request in seen.sent:
         ended_at = request.ended_at
         if request.status is not None or request.closed_at is not None or ended_at is None:
             continue
-        if request.request_id not in ran or not _stops(seen, request, ended_at):
+        if request.request_id not in ran or not _overlaps_planned_stop(seen, request, ended_at):
             continue
-        if any(seen.unplanned(request.sent_at - CONTACT_SECONDS, ended_at)):
+        if any(seen.unplanned_disturbances(request.sent_at - CONTACT_SECONDS, ended_at)):
             continue
         yield f"{request.request_id}: ran, and lost in the planned stop of {request.node}"
 
 
-def late_stops(seen: Observations) -> Iterator[str]:
-    """Return the planned stops that were not over at the end of their grace time."""
+def overlong_stops(seen: Observations) -> Iterator[str]:
+    """Return the graceful stops that took longer than the grace time."""
     for stop in seen.stops:
         took = stop.ended_at - stop.began_at
         allowed = GRACE_SECONDS + seen.lag(stop.began_at, stop.ended_at)
@@ -60,7 +60,7 @@
             yield f"{stop.node}: still there after its grace time, ended after {took:.1f} s"
 
 
-def _runs_of_closed(seen: Observations) -> Iterator[tuple[Sent, Run]]:
+def _runs_of_closed_requests(seen: Observations) -> Iterator[tuple[CallerRequest, Run]]:
     runs: dict[str, list[Run]] = defaultdict(list)
     for run in seen.runs:
         runs[run.request_id].append(run)
@@ -69,20 +69,20 @@
             yield from ((request, run) for run in runs[request.request_id])
 
 
-def _not_before(request: Sent) -> float:
+def _closed_at(request: CallerRequest) -> float:
     return request.closed_at if request.closed_at is not None else request.sent_at
 
 
-def _allowance(seen: Observations, request: Sent, run: Run, until: float) -> float:
-    """Return what may come on top of the time: without an end where the way was disturbed."""
-    since = _not_before(request)
+def _allowance(seen: Observations, request: CallerRequest, run: Run, until: float) -> float:
+    """Return the seconds to add to a limit; infinite if the node or runner was disturbed."""
+    since = _closed_at(request)
     for target in (request.node, run.runner_id):
         if seen.disturbed(target, since - CONTACT_SECONDS, until):
             return float("inf")
     return seen.lag(since, until)
 
 
-def _stops(seen: Observations, request: Sent, ended_at: float) -> bool:
+def _overlaps_planned_stop(seen: Observations, request: CallerRequest, ended_at: float) -> bool:
     return any(
         each.planned
         and each.target == request.node
--- a/tests/soak/upgrade_faults.py
+++ b/tests/soak/upgrade_faults.py
@@ -1,6 +1,6 @@
-"""Nodes that are replaced one after the other by those of another build.
+"""A fault that restarts nodes one after another with another build.
 
-It is drawn only where it is asked for by name, and needs nodes that began with an earlier build.
+It is drawn only if it is chosen by name, and needs nodes that started with an earlier build.
 """
 
 from __future__ import annotations
@@ -10,24 +10,26 @@
 from random import Random
 
 from tests.soak.faults import Fault
-from tests.soak.system import SoakedSystem
-
-MOST_AT_A_TIME = 3
-# Part of the replacements that go back to the earlier build.
-BACK_SHARE = 0.15
-# A start takes about half a second: some nodes are replaced while the one before still starts.
-BETWEEN_SECONDS = (0.0, 1.0)
-
-
-async def upgrade_nodes(system: SoakedSystem, rng: Random) -> None:
-    """Replace some nodes one after the other: by this build mostly, or back by the earlier one."""
-    goes_back = rng.random() < BACK_SHARE
-    names = [name for name in system.node_names() if system.is_earlier(name) != goes_back]
-    for name in rng.sample(names, min(len(names), rng.randrange(1, MOST_AT_A_TIME + 1))):
-        with system.hold(name), system.trouble(name, planned=True):
+from tests.soak.system import SystemUnderTest
+
+MAX_NODES_PER_UPGRADE = 3
+# Share of the faults that return to the earlier build.
+DOWNGRADE_SHARE = 0.15
+# A start takes about 0.5 s, so some nodes are replaced while the previous one is still starting.
+UPGRADE_PAUSE_SECONDS = (0.0, 1.0)
+
+
+async def upgrade_nodes(system: SystemUnderTest, rng: Random) -> None:
+    """Restart some nodes one after another, usually with this build, sometimes the earlier one."""
+    is_downgrade = rng.random() < DOWNGRADE_SHARE
+    names = [
+        name for name in system.node_names() if system.runs_earlier_build(name) != is_downgrade
+    ]
+    for name in rng.sample(names, min(len(names), rng.randrange(1, MAX_NODES_PER_UPGRADE + 1))):
+        with system.suppress_restart(name), system.disturbance(name, planned=True):
             await system.end_node(name, signal.SIGTERM)
-            system.replace_build(name, is_earlier=goes_back)
-        await asyncio.sleep(rng.uniform(*BETWEEN_SECONDS))
+            system.replace_build(name, runs_earlier_build=is_downgrade)
+        await asyncio.sleep(rng.uniform(*UPGRADE_PAUSE_SECONDS))
 
 
 UPGRADE_FAULTS: tuple[Fault, ...] = (upgrade_nodes,)
--- a/tests/soak/version_promises.py
+++ b/tests/soak/version_promises.py
@@ -1,4 +1,4 @@
-"""Promises about requests that end runners, and about rollouts of software."""
+"""Promises about requests that crash runners, and about rollouts of software."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 from tests.soak.software import CANARY_SHARE, CANARY_SLACK, is_decided
 from tests.soak.timed_promises import CONTACT_SECONDS
 
-MOST_ENDS = 2
-# A node that was cut, paused or started between the ends may not know of the first one.
-MOST_ENDS_WITH_NODES_AWAY = 3
-# Sends of a request whose tries differ, once all nodes know of the third end under it.
-MOST_ENDS_LATER = 3
+MAX_ENDS = 2
+# A node that was cut off, paused or started between two crashes may not know of the first one.
+MAX_ENDS_WITH_DISTURBED_NODES = 3
+# Maximum number of crashes under a request whose tries differ, once all nodes know of its third.
+MAX_LATER_ENDS = 3
 
 
 def runners_ended(seen: Observations) -> Iterator[str]:
-    """Return the requests that ended more runners than they may."""
+    """Return the fatal requests that crashed more runners than allowed."""
     by_request: dict[str, list[RunnerEnd]] = defaultdict(list)
     for end in seen.runner_ends:
         by_request[end.fatal].append(end)
     for fatal, ends in by_request.items():
         if is_varied(fatal):
-            yield from _ended_later(fatal, ends)
+            yield from _find_late_ends(fatal, ends)
             continue
-        away = _nodes_away(seen, ends[0].at, ends[-1].at)
-        most = MOST_ENDS_WITH_NODES_AWAY if away else MOST_ENDS
+        away = _any_node_disturbed(seen, ends[0].at, ends[-1].at)
+        most = MAX_ENDS_WITH_DISTURBED_NODES if away else MAX_ENDS
         if len(ends) > most:
             times = ", ".join(f"{end.runner_id} at {end.at:.2f}" for end in ends)
             yield f"{fatal}: ended {len(ends)} runners: {times}"
 
 
-def _ended_later(fatal: str, ends: list[RunnerEnd]) -> Iterator[str]:
-    """Return a request of which too many tries ended a runner long after the third end."""
-    if len(ends) <= MOST_ENDS_WITH_NODES_AWAY:
+def _find_late_ends(fatal: str, ends: list[RunnerEnd]) -> Iterator[str]:
+    """Return a violation if too many tries crashed runners long after the third crash."""
+    if len(ends) <= MAX_ENDS_WITH_DISTURBED_NODES:
         return
-    known_at = ends[MOST_ENDS_WITH_NODES_AWAY - 1].at + CONTACT_SECONDS
+    known_at = ends[MAX_ENDS_WITH_DISTURBED_NODES - 1].at + CONTACT_SECONDS
     later = sum(end.at > known_at for end in ends)
-    if later > MOST_ENDS_LATER:
+    if later > MAX_LATER_ENDS:
         yield f"{fatal}: ended {later} runners later than the third, {len(ends)} in all"
 
 
 def rollouts(seen: Observations) -> Iterator[str]:
-    """Return what went wrong in rollouts of software."""
+    """Return the broken promises of software rollouts."""
     for rollout in seen.rollouts.values():
         name = f"{rollout.service} {rollout.target}"
         decided = [state for state in rollout.states if state != "running"]
@@ -56,12 +56,12 @@
         if rollout.is_bad and "complete" in rollout.states:
             yield f"{name}: bad, and complete"
         if rollout.is_bad:
-            yield from _exposure(seen, rollout, name)
-        yield from _cut_streams(seen, rollout, name)
+            yield from _exposure_violation(seen, rollout, name)
+        yield from _cut_stream_violations(seen, rollout, name)
 
 
-def _exposure(seen: Observations, rollout: Rollout, name: str) -> Iterator[str]:
-    """Return whether a bad version got more than its share while it was on trial."""
+def _exposure_violation(seen: Observations, rollout: Rollout, name: str) -> Iterator[str]:
+    """Return a violation if a bad version got more than its canary share before its deadline."""
     began_at, ends_at = rollout.ordered_at, rollout.deadline
     ran = {run.request_id for run in seen.runs}
     taken = sum(
@@ -78,8 +78,8 @@
         yield f"{name}: bad, and got {exposed} of {taken} requests"
 
 
-def _cut_streams(seen: Observations, rollout: Rollout, name: str) -> Iterator[str]:
-    """Return the streams cut by a completion, but for those of nodes that were out of touch."""
+def _cut_stream_violations(seen: Observations, rollout: Rollout, name: str) -> Iterator[str]:
+    """Return the streams that a rollout's completion cut at nodes that weren't disturbed."""
     nodes = {request.request_id: request.node for request in seen.sent}
     for request_id in rollout.old_streams:
         node = nodes.get(request_id, "")
@@ -88,7 +88,7 @@
             yield f"{name}: its completion cut {request_id} at {node}"
 
 
-def _nodes_away(seen: Observations, since: float, until: float) -> bool:
+def _any_node_disturbed(seen: Observations, since: float, until: float) -> bool:
     return any(
         each.target.startswith(NODE_PREFIX)
         and each.began_at <= until
--- a/tests/soak/weights_faults.py
+++ b/tests/soak/weights_faults.py
@@ -1,6 +1,6 @@
-"""Rollouts of weights that do not get on, beside words between nodes that are late.
+"""A fault that delays datagrams between regions while a rollout of weights makes no progress.
 
-They are drawn only where they are asked for by name: what older seeds play stays as it was.
+It is drawn only if it is chosen by name, so that older seeds give the same schedules as before.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 
 from tests.fleet.builders import ENGINES
 from tests.soak.faults import Fault
-from tests.soak.system import SoakedSystem
-from tests.soak.weights_promises import VERSION_SECONDS
+from tests.soak.system import SystemUnderTest
+from tests.soak.weights_promises import MAX_OLD_WEIGHTS_SECONDS
 
-# How much longer than one way between regions a word takes.
-LATE_SECONDS = (0.3, 0.6)
-# So long after their bound older weights are still there to be used.
-BEYOND_SECONDS = 4.0
+# Delay of each datagram in addition to the one-way latency between regions.
+DATAGRAM_DELAY_SECONDS = (0.3, 0.6)
+# Time past their bound for which engines still have the older weights.
+EXTRA_SECONDS = 4.0
 
 
-async def keep_older_weights(system: SoakedSystem, rng: Random) -> None:
-    """Name weights that no engine loads until long after older ones must not be used any more."""
+async def keep_older_weights(system: SystemUnderTest, rng: Random) -> None:
+    """Announce weights that no engine loads until long after the older weights' bound."""
     engines = system.runners_of(ENGINES)
-    words: AbstractContextManager[None] = contextlib.nullcontext()
+    delays: AbstractContextManager[None] = contextlib.nullcontext()
     if system.regions is not None:
-        words = system.regions.late_words(rng, *LATE_SECONDS)
+        delays = system.regions.delayed_datagrams(rng, *DATAGRAM_DELAY_SECONDS)
     for engine in engines:
         engine.faults = replace(engine.faults, keep_weights=True)
-    with words:
+    with delays:
         system.next_weights()
-        await asyncio.sleep(VERSION_SECONDS + BEYOND_SECONDS)
+        await asyncio.sleep(MAX_OLD_WEIGHTS_SECONDS + EXTRA_SECONDS)
     for engine in engines:
         engine.faults = replace(engine.faults, keep_weights=False)
 
--- a/tests/soak/weights_promises.py
+++ b/tests/soak/weights_promises.py
@@ -1,4 +1,7 @@
-"""The promise on older weights: none is begun on a bounded time after newer ones were named."""
+"""The promise on older weights: no request starts on them past a bound.
+
+The bound is a fixed time after newer weights were announced.
+"""
 
 from __future__ import annotations
 
@@ -7,21 +10,21 @@
 from tests.soak.observations import STORE, Observations, Run
 from tests.soak.timed_promises import CONTACT_SECONDS
 
-# The nodes' setting, which the soak leaves as it is.
-VERSION_SECONDS = 8.0
+# Default of the nodes' setting, which the soak doesn't change.
+MAX_OLD_WEIGHTS_SECONDS = 8.0
 
 
-def begun_on_older_weights(seen: Observations) -> Iterator[str]:
-    """Return the runs that began too late on weights that were not the newest.
+def started_on_older_weights(seen: Observations) -> Iterator[str]:
+    """Return the runs that started on older weights past the bound.
 
-    The time counts only while nothing disturbs the store, the runner or the node that sent it.
+    A run isn't counted if the store, the runner or the node that sent the request was disturbed.
     """
     nodes = {request.request_id: request.node for request in seen.sent}
     for run in seen.runs:
         named_at = _superseded_at(seen, run)
         if named_at is None:
             continue
-        late = run.began_at - named_at - VERSION_SECONDS
+        late = run.began_at - named_at - MAX_OLD_WEIGHTS_SECONDS
         if late <= seen.lag(named_at, run.began_at):
             continue
         targets = (STORE, run.runner_id, nodes.get(run.request_id, ""))
@@ -34,7 +37,7 @@
 
 
 def _superseded_at(seen: Observations, run: Run) -> float | None:
-    """Return when newer weights than those of a run were first named; None if they were not."""
+    """Return when newer weights than those of a run were first announced; None if never."""
     if not run.weights:
         return None
     newer = [at for version, at in seen.weights_named.items() if version > run.weights]
