--- a/tests/soak/observations.py
+++ b/tests/soak/observations.py
@@ -1,6 +1,6 @@
 """Records of what callers, runners and faults did in a soak, observed from outside the nodes.
 
-All times are those of ``time.monotonic`` in the process of the soak.
+All times except ``born`` are those of ``time.monotonic`` in the process of the soak.
 """
 
 from __future__ import annotations
@@ -238,12 +238,12 @@
         return any(each.target == target for each in self.unplanned_disturbances(since, until))
 
     def unplanned_disturbances(self, since: float, until: float) -> Iterator[Disturbance]:
-        """Return the unplanned disturbances within a period."""
+        """Return the unplanned disturbances that overlap a period."""
         for each in self.troubles:
             if not each.planned and each.began_at <= until and each.ended_at >= since:
                 yield each
 
-    def runs_earlier_build(self, node: str, at: float) -> bool:
+    def ran_earlier_build(self, node: str, at: float) -> bool:
         """Return whether a node ran an earlier build at a time."""
         return any(
             build.node == node and build.began_at <= at <= build.ended_at
--- a/tests/soak/recovery.py
+++ b/tests/soak/recovery.py
@@ -13,10 +13,10 @@
 from tests.soak.callers import Callers
 from tests.soak.system import SystemUnderTest
 
-# For nodes that the last fault ended to restart, possibly many at once on a busy machine.
+# Time for nodes that the last fault ended to restart, perhaps many at once on a busy machine.
 START_SECONDS = 30.0
 CONSECUTIVE_ANSWERS = 10
-# For each node to give that many successful answers in a row, beside the callers of the soak.
+# Time for each node to give that many successful answers in a row, beside the soak's callers.
 SERVE_SECONDS = 15.0
 # Runners are listed again within 2 s of the store's return, a configuration takes effect within
 # 2 s, and a runner is suspected for at most 4 s.
@@ -60,10 +60,12 @@
             )
 
     async def _check_ready(self, node: NodeProcess, ends_at: float) -> None:
-        async def is_ready() -> str:
+        async def find_unready() -> str:
             return "" if await self._system.deployment.readiness(node) == 200 else "not ready"
 
-        await self._wait_until_nothing_missing(is_ready, ends_at, f"{node.name} is not ready again")
+        await self._wait_until_nothing_missing(
+            find_unready, ends_at, f"{node.name} is not ready again"
+        )
 
     async def _check_state(self, session: aiohttp.ClientSession, node: NodeProcess) -> None:
         """Wait until a node has applied all listed runners and the newest configuration."""
@@ -111,10 +113,10 @@
         self._record("served", time.monotonic() - self._ready_at)
 
     async def _wait_until_nothing_missing(
-        self, find_missing_entries: Callable[[], Awaitable[str]], ends_at: float, text: str
+        self, find_missing: Callable[[], Awaitable[str]], ends_at: float, text: str
     ) -> float:
         """Wait until nothing is missing; return the seconds since all nodes were ready."""
-        while missing := await find_missing_entries():
+        while missing := await find_missing():
             if time.monotonic() >= ends_at:
                 self.violations.append(f"{text}: {missing}")
                 break
--- a/tests/soak/signal_promises.py
+++ b/tests/soak/signal_promises.py
@@ -35,13 +35,13 @@
 LIMIT_GAP_SECONDS = 0.001
 
 # Node, runner and start time of the runner's process.
-Pair = tuple[str, str, int]
+NodeRunnerProcess = tuple[str, str, int]
 
 
 def reached_leaving_runners(seen: Observations) -> Iterator[str]:
     """Return requests that reached a runner long after their node got its leaving signal."""
     sent = {request.request_id: request for request in seen.sent}
-    notified: dict[Pair, SignalSent] = {}
+    notified: dict[NodeRunnerProcess, SignalSent] = {}
     for signal in seen.signals:
         request = sent.get(signal.request_id)
         # If the caller got no answer, the node may not have received the signal either.
@@ -70,7 +70,7 @@
         late = arrival.at - left_at
         if late <= LEAVE_SECONDS + seen.lag(left_at, arrival.at):
             continue
-        if seen.runs_earlier_build(request.node, arrival.at):
+        if seen.ran_earlier_build(request.node, arrival.at):
             continue
         since = left_at - CONTACT_SECONDS
         targets = (request.node, arrival.runner_id, STORE)
@@ -81,7 +81,7 @@
 def reached_runners_in_backoff(seen: Observations) -> Iterator[str]:
     """Return the backoffs in which a runner got more requests from a node than are allowed."""
     sent = {request.request_id: request for request in seen.sent}
-    arrivals: dict[Pair, list[Arrival]] = defaultdict(list)
+    arrivals: dict[NodeRunnerProcess, list[Arrival]] = defaultdict(list)
     for arrival in seen.arrivals:
         request = sent.get(arrival.request_id)
         if request is not None:
@@ -122,7 +122,7 @@
         named_at = _named_since(limits[process], arrival.at)
         if request is None or named_at is None:
             continue
-        if seen.runs_earlier_build(request.node, arrival.at):
+        if seen.ran_earlier_build(request.node, arrival.at):
             # Earlier builds don't support runners' limits.
             continue
         notified_at = min(
@@ -155,15 +155,15 @@
 
 def _limit_notifications(
     seen: Observations, sent: dict[str, CallerRequest]
-) -> dict[Pair, list[float]]:
+) -> dict[NodeRunnerProcess, list[float]]:
     """Return when each node forwarded answers in which each runner process names a limit."""
-    notified: dict[Pair, list[float]] = defaultdict(list)
+    notified: dict[NodeRunnerProcess, list[float]] = defaultdict(list)
     for signal in seen.signals:
         request = sent.get(signal.request_id)
         if signal.signals.limit is None or request is None or request.status is None:
             continue
-        pair = request.node, signal.runner_id, signal.born
-        notified[pair].append(_answered_at(request, signal))
+        key = request.node, signal.runner_id, signal.born
+        notified[key].append(_answered_at(request, signal))
     return notified
 
 
