--- a/tests/builders.py
+++ b/tests/builders.py
@@ -12,7 +12,7 @@
 
 
 class Signers:
-    """Partners with keys, who sign bundles."""
+    """Partners with generated keys that sign bundles."""
 
     def __init__(self, names: tuple[str, ...] = ("alpha", "beta"), version: int = 1) -> None:
         pairs = {name: generate_key() for name in names}
@@ -21,7 +21,7 @@
         self.keyset = Keyset(version=version, threshold=len(names), keys=public)
 
     def sign(self, bundle: Bundle, names: tuple[str, ...] | None = None) -> SignedBundle:
-        """Return the bundle signed by some partners, by default by all."""
+        """Return the bundle with the signatures of the named partners, by default of all."""
         unsigned = SignedBundle(payload=bundle.canonical().decode())
         signatures = tuple(
             sign(unsigned.signed_bytes(), name, self.private[name])
@@ -74,7 +74,7 @@
 
 
 def child_of(parent: Bundle, **changes: Any) -> Bundle:
-    """Return a bundle that descends from another."""
+    """Return the next version of a bundle, which names the given one as its parent."""
     content = {
         "version": parent.version + 1,
         "parent_digest": parent.digest(),
@@ -84,7 +84,7 @@
 
 
 def make_member(node_id: str, zone: str = "zone-a", **changes: Any) -> Member:
-    """Return a live member."""
+    """Return a member in state ``ALIVE``."""
     fields: dict[str, Any] = {
         "node_id": node_id,
         "region": "region",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings shared by all tests: hypothesis draws the same examples on every run; known failures."""
+"""Settings shared by all tests: deterministic hypothesis examples and known failures."""
 
 from __future__ import annotations
 
--- a/tests/fleet/builders.py
+++ b/tests/fleet/builders.py
@@ -43,7 +43,7 @@
 
 
 def rev(number: int, era: int = 0) -> StoreRevision:
-    """Return a revision of the store."""
+    """Return a revision of the store with the given number and era."""
     return StoreRevision(era, number)
 
 
--- a/tests/fleet/deployment.py
+++ b/tests/fleet/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment on loopback: the stand-ins in this process, nodes as processes of their own."""
+"""A deployment on loopback: emulated store and runners in this process, nodes as processes."""
 
 from __future__ import annotations
 
@@ -41,34 +41,34 @@
 POLL_SECONDS = 0.02
 
 
-# Ports that were handed out: none twice, also when its process has ended.
-_used_ports: set[int] = set()
+# Ports that ``free_port`` has returned. None is returned twice, even if its process has ended.
+_returned_ports: set[int] = set()
 
 
 def free_port() -> int:
-    """Return a port that is free for TCP and UDP, and that the system gives to nobody else.
+    """Return a port that is free for TCP and UDP and lies outside the ephemeral range.
 
-    One of those that the system hands out could belong to another socket by the time when the
-    process that is told of it listens; many processes then take one another's.
+    The system could assign an ephemeral port to another socket before the process that is
+    configured with the port listens on it. With many processes such collisions are likely.
     """
     while True:
         (port,) = free_ports(1)
-        if port not in _used_ports:
-            _used_ports.add(port)
+        if port not in _returned_ports:
+            _returned_ports.add(port)
             return port
 
 
-async def until(condition: Callable[[], bool], what: str) -> None:
-    """Wait for a condition, generously."""
-    ends_at = time.monotonic() + WAIT_SECONDS
+async def until(condition: Callable[[], bool], description: str) -> None:
+    """Wait until a condition holds, for at most ``WAIT_SECONDS``."""
+    deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
-        assert time.monotonic() < ends_at, f"not in time: {what}"
+        assert time.monotonic() < deadline, f"timed out waiting for: {description}"
         await asyncio.sleep(POLL_SECONDS)
 
 
 @dataclass
 class NodeProcess:
-    """A node as a process."""
+    """A node that runs as a process, with its addresses and its log."""
 
     name: str
     callers: str
@@ -78,7 +78,7 @@
     log_path: Path
 
     def listens(self) -> bool:
-        """Return whether callers can connect, as early in its start perhaps."""
+        """Return whether callers can connect; this is so before the node is ready."""
         host, _, port = self.callers.rpartition(":")
         with socket.socket() as probe:
             return probe.connect_ex((host, int(port))) == 0
@@ -93,7 +93,7 @@
 
 @dataclass
 class Answer:
-    """What a caller got."""
+    """The answer that a caller received."""
 
     status: int
     body: bytes
@@ -102,7 +102,7 @@
 
 @dataclass
 class Deployment:
-    """Store, runners and nodes."""
+    """An emulated store, emulated runners and the node processes that use them."""
 
     folder: Path
     store: FleetStore = field(default_factory=FleetStore)
@@ -115,8 +115,8 @@
     _servers: list[tuple[uvicorn.Server, asyncio.Task[None]]] = field(default_factory=list)
 
     async def start(self) -> None:
-        # Each call has a connection of its own: a stopping node closes those that rest, and a call
-        # that crosses that close would be repeated by a real caller.
+        # Each call opens a new connection. A stopping node closes idle connections, and a call sent
+        # on one of them at that moment would fail; a real caller would retry it.
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(force_close=True))
         self.store_address = await self.serve(self.store.app())
         self.configure()
@@ -134,7 +134,7 @@
             await task
 
     def configure(self, **changes: Any) -> None:
-        """Write the next configuration."""
+        """Write the next version of the configuration to the store."""
         engine = EngineBody(8, 100_000, 1_000.0, 1_000.0, [ModelName(MODEL)])
         routes = [
             RouteBody("safe", HOST, "/safe/", "safe", 5_000, 400, service=APPLICATION, attempts=2),
@@ -167,7 +167,7 @@
         self.store.put(names.WEIGHTS_PREFIX + MODEL, body)
 
     def order_rollout(self, service: str, target: str, over_seconds: float = 12.0) -> None:
-        """Order a rollout as the operator does."""
+        """Write the order of a rollout to the store, as an operator does."""
         body = msgspec.json.encode(RolloutOrderBody(service, target, over_seconds))
         self.store.put(names.ROLLOUTS_PREFIX + service, body)
 
@@ -182,7 +182,11 @@
     async def start_runner(
         self, runner: FleetRunner, front: Callable[[str], str] = lambda address: address
     ) -> None:
-        """Start a runner and list it, at the address that ``front`` returns for its own."""
+        """Start a runner and list it in the store.
+
+        The listed address is what ``front`` returns for the address on which the runner listens,
+        such as the address of a proxy.
+        """
         self.runners[runner.runner_id] = runner
         self.addresses[runner.runner_id] = front(await self.serve(runner.app()))
         self.list_runner(runner.runner_id)
@@ -192,7 +196,7 @@
         self.store.put(names.RUNNERS_PREFIX + runner_id, entry)
 
     async def add_node(self, name: str, **bounds: Any) -> NodeProcess:
-        """Start a node and wait until it is ready."""
+        """Start a node process and wait until it is ready."""
         node = self.launch(name, **bounds)
         await self.wait_ready(node)
         return node
@@ -211,19 +215,19 @@
         main: str = "hillstack.daemon.fleet_main",
         **bounds: Any,
     ) -> NodeProcess:
-        """Start a node.
+        """Start a node process.
 
         Args:
-            name: Its name.
-            store: Another address of the store than its own.
-            metrics_port: Where it tells its metrics; a free port by default.
-            peers_port: Where it listens for peers; a free port by default.
-            zone: Its zone.
-            region_of_zone: Region of each zone; all are one region by default.
-            descriptors: How many it may have open.
-            source: Where its package is found; this repository's own by default.
-            main: The module that it runs.
-            bounds: Its bounds, by their names in the settings.
+            name: Name of the node.
+            store: Address of the store; the deployment's own store by default.
+            metrics_port: Port on which the node serves its metrics; a free port by default.
+            peers_port: Port on which the node listens for peers; a free port by default.
+            zone: Zone of the node.
+            region_of_zone: Region of each zone; all zones form one region by default.
+            descriptors: Number of file descriptors that the node may have open.
+            source: Directory of the package ``hillstack``; this repository's ``src`` by default.
+            main: The module that the process runs.
+            bounds: Values of the section ``bounds`` of the settings, by their names there.
         """
         callers, readiness = (f"127.0.0.1:{free_port()}" for _ in range(2))
         metrics_port = metrics_port or free_port()
@@ -272,70 +276,76 @@
             return None
 
     async def wait_ready(self, node: NodeProcess, status: int = 200) -> None:
-        ends_at = time.monotonic() + WAIT_SECONDS
+        deadline = time.monotonic() + WAIT_SECONDS
         while await self.readiness(node) != status:
-            assert time.monotonic() < ends_at, f"{node.name}: not {status} in time"
+            assert time.monotonic() < deadline, f"{node.name}: readiness is not {status} in time"
             await asyncio.sleep(POLL_SECONDS)
 
     async def call(
         self, node: NodeProcess, path: str, request_id: str = "r-1", **headers: str
     ) -> Answer:
-        """Send a request to a node; headers are given by the adapter's names."""
-        own = {
+        """Send a request to a node.
+
+        ``headers`` are added to the usual ones or replace them; their names are the constants of
+        ``hillstack.platform.names``.
+        """
+        sent_headers = {
             "Host": HOST,
             names.REQUEST_ID: request_id,
             names.API_KEY: KEY,
             names.DEADLINE: "5000",
         }
         if path.startswith("/stream/"):
-            own |= {names.MODEL: MODEL, names.PROMPT_PARTS: "a1:800,b2:50"}
-            own |= {names.TOKEN_USAGE: "850,80"}
-        own |= headers
+            sent_headers |= {names.MODEL: MODEL, names.PROMPT_PARTS: "a1:800,b2:50"}
+            sent_headers |= {names.TOKEN_USAGE: "850,80"}
+        sent_headers |= headers
         async with self.session.post(
-            f"http://{node.callers}{path}", data=b"body", headers=own
+            f"http://{node.callers}{path}", data=b"body", headers=sent_headers
         ) as response:
             body = await response.read()
             return Answer(response.status, body, CIMultiDict(response.headers))
 
     async def call_when_listening(self, node: NodeProcess, path: str) -> Answer:
-        """Call as soon as the node takes connections."""
-        ends_at = time.monotonic() + WAIT_SECONDS
+        """Send a request as soon as the node accepts connections."""
+        deadline = time.monotonic() + WAIT_SECONDS
         while True:
             try:
                 return await self.call(node, path)
             except aiohttp.ClientConnectorError:
-                assert time.monotonic() < ends_at, f"{node.name}: does not listen in time"
+                assert time.monotonic() < deadline, f"{node.name}: does not listen in time"
 
     async def call_until(self, node: NodeProcess, path: str, status: int) -> Answer:
-        """Call until the answer has a status."""
-        ends_at = time.monotonic() + WAIT_SECONDS
+        """Repeat a request until the answer has the given status."""
+        deadline = time.monotonic() + WAIT_SECONDS
         while (answer := await self.call(node, path)).status != status:
-            assert time.monotonic() < ends_at, f"not {status} in time"
+            assert time.monotonic() < deadline, f"not {status} in time"
             await asyncio.sleep(POLL_SECONDS)
         return answer
 
-    def stop_node(self, node: NodeProcess, number: signal.Signals = signal.SIGTERM) -> None:
-        node.process.send_signal(number)
+    def stop_node(self, node: NodeProcess, signal_number: signal.Signals = signal.SIGTERM) -> None:
+        """Send a signal to a node, by default the one that asks for a planned stop."""
+        node.process.send_signal(signal_number)
 
     async def ended(self, node: NodeProcess) -> int:
+        """Wait until the process of a node has ended; return its exit code."""
         await until(lambda: node.process.poll() is not None, f"{node.name} ends")
         return int(node.process.returncode)
 
     async def serve(self, app: Any) -> str:
-        """Serve an application; return its address."""
+        """Serve an ASGI application in this process; return its address."""
         config = uvicorn.Config(
             app, host="127.0.0.1", port=0, ws="none", lifespan="off", log_config=None
         )
         server = uvicorn.Server(config)
         task = asyncio.create_task(server._serve())
         self._servers.append((server, task))
-        await until(lambda: server.started, "stand-in listens")
+        await until(lambda: server.started, "the emulated service listens")
         return f"127.0.0.1:{server.servers[0].sockets[0].getsockname()[1]}"
 
 
 @contextlib.asynccontextmanager
 async def deployment(folder: Path) -> AsyncIterator[Deployment]:
-    """Run a deployment, and end all that it started."""
+    """Run a deployment, and stop everything that it has started."""
     running = Deployment(folder)
     await running.start()
     try:
--- a/tests/fleet/fake_runners.py
+++ b/tests/fleet/fake_runners.py
@@ -1,4 +1,4 @@
-"""Runners without sockets for tests in virtual time."""
+"""Fakes of runners, peers, limiters and callers, without sockets, for tests in virtual time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 @dataclass
 class FakeAnswer:
-    """An answer made of pieces; an exception among them breaks it off, a number is a pause."""
+    """An answer made of pieces.
+
+    Bytes are parts of the body, a float is a pause in seconds, an exception breaks the answer off.
+    """
 
     pieces: list[bytes | float | Exception]
     status: int = 200
@@ -36,13 +39,13 @@
         while self.pieces:
             piece = self.pieces[0]
             if isinstance(piece, float):
-                # A pause that is cut short goes on at the next call, as on a socket.
+                # A cancelled pause continues with the next call, as a read from a socket would.
                 wake_at = asyncio.get_running_loop().time() + piece
                 try:
                     await asyncio.sleep(piece)
                 except asyncio.CancelledError:
-                    left = wake_at - asyncio.get_running_loop().time()
-                    self.pieces[0] = max(0.0, left)
+                    remaining = wake_at - asyncio.get_running_loop().time()
+                    self.pieces[0] = max(0.0, remaining)
                     raise
                 self.pieces.pop(0)
                 continue
@@ -63,7 +66,7 @@
 
 
 class FakeClient:
-    """Answers each dispatch with the behaviour of its runner."""
+    """Answers each dispatch with the behaviour of its runner, and records the dispatches."""
 
     def __init__(self) -> None:
         self.behaviours: dict[str, Behaviour] = {}
@@ -110,7 +113,7 @@
 
 
 def begins(after: float, *pieces: bytes | float | Exception) -> Behaviour:
-    """Answer with a head that comes after some seconds."""
+    """Return a behaviour that answers with the given pieces after ``after`` seconds."""
 
     async def behave(request: ServingRequest, dispatch: Dispatch) -> FakeAnswer:
         await asyncio.sleep(after)
@@ -128,7 +131,7 @@
 
 
 class FakePeers:
-    """Takes notices and keeps them."""
+    """Records the notices that a node sends to its peers."""
 
     def __init__(self) -> None:
         self.placements: list[PlacementNotice] = []
@@ -157,7 +160,7 @@
 
 
 class FakeLimiter:
-    """Lets all pass, or answers each request with the wait that is set."""
+    """Records who takes tokens, and returns ``wait`` as the seconds to wait; 0 grants them."""
 
     def __init__(self) -> None:
         self.wait = 0.0
@@ -174,7 +177,7 @@
 
 @dataclass
 class FakeSink:
-    """Keeps the answer to the caller, who takes some seconds to read it."""
+    """Records the answer to a caller that needs ``reading_seconds`` to read each write."""
 
     reading_seconds: float = 0.0
     status: int | None = None
--- a/tests/stateful/conftest.py
+++ b/tests/stateful/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of the state machines' tests."""
+"""Settings of the tests that run state machines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 @pytest.fixture(autouse=True)
-def no_garbage_of_earlier_tests() -> Iterator[None]:
-    """Free what earlier tests left: a coroutine freed while a source is parsed fails the parser."""
+def collect_garbage_of_earlier_tests() -> Iterator[None]:
+    """Collect the garbage of earlier tests before each test.
+
+    A coroutine that is freed while Python source is parsed makes the parser fail.
+    """
     gc.collect()
     yield
