--- a/tests/fleet/rollout_bench.py
+++ b/tests/fleet/rollout_bench.py
@@ -1,4 +1,4 @@
-"""Nodes that decide a rollout, a store and what they see, in virtual time."""
+"""Nodes that decide a rollout, an in-memory store and simulated answers, in virtual time."""
 
 from __future__ import annotations
 
@@ -43,11 +43,11 @@
 APPLY_SECONDS = 2.0
 TTL = 2.0
 CALL_SECONDS = 0.05
-LOST_SECONDS = 0.5
+ANSWER_TIMEOUT_SECONDS = 0.5
 REPORT_SECONDS = 0.5
 RUNNERS_EACH = 3
-# Answers a second on the service, of which the target gets a tenth.
-RATE = 120.0
+# Answers per second of the whole service; the target version gives a tenth of them.
+ANSWERS_PER_SECOND = 120.0
 STATUS = {
     RolloutStage.CANARY: "running",
     RolloutStage.SHIFTING: "running",
@@ -62,14 +62,17 @@
 
 @dataclass
 class FakeStore:
-    """Keys, leases, an order and a record, behind calls that may fail, be lost or come late.
+    """Keys, leases, one order and one record, behind calls that can fail or take effect late.
 
     Attributes:
-        down: Refuses all calls.
-        lose: So many of the next writes take effect, and their answers are lost.
-        hold: So many of the next writes take effect only when they are let go.
-        told: All statuses that were written: time, state, target.
-        told_of: The revision of the order that each of them answers.
+        ends: When each lease ends, by its identifier.
+        down: Whether all calls fail.
+        lose: Number of next writes that take effect and whose answers are lost.
+        hold: Number of next writes that are kept in ``held`` and take effect only when a test
+            passes them to ``take``.
+        refused: Number of writes whose conditions did not hold.
+        told: All statuses written for the operator: time, state and target.
+        told_of: Revision of the order to which each status in ``told`` belongs.
         records: All records that were written, with their times.
     """
 
@@ -131,12 +134,12 @@
         if self.hold > 0:
             self.hold -= 1
             self.held.append((record, fence, tell_operator))
-            await asyncio.sleep(LOST_SECONDS)
+            await asyncio.sleep(ANSWER_TIMEOUT_SECONDS)
             raise PlatformOutcomeUnknownError("no answer", step="write", peer="store")
         revision = self.take(record, fence, tell_operator)
         if self.lose > 0:
             self.lose -= 1
-            await asyncio.sleep(LOST_SECONDS)
+            await asyncio.sleep(ANSWER_TIMEOUT_SECONDS)
             raise PlatformOutcomeUnknownError("no answer", step="write", peer="store")
         return revision
 
@@ -147,13 +150,13 @@
     def take(
         self, record: RolloutRecord, fence: StoreRevision, tell_operator: bool
     ) -> StoreRevision | None:
-        """Carry a write out if its conditions hold."""
+        """Apply a write of a record if its order, its revision and its fence are current."""
         self.expire()
         order = self.order.revision if self.order is not None else NO_REVISION
-        known = self.record.revision if self.record is not None else NO_REVISION
+        recorded = self.record.revision if self.record is not None else NO_REVISION
         duty = self.keys.get(duty_key(record.service))
-        held = duty[0].mod_revision if duty is not None else NO_REVISION
-        if (order, known, held) != (record.order_revision, record.revision, fence):
+        duty_revision = duty[0].mod_revision if duty is not None else NO_REVISION
+        if (order, recorded, duty_revision) != (record.order_revision, record.revision, fence):
             self.refused += 1
             return None
         self.revision += 1
@@ -174,14 +177,16 @@
         return self.record.revision
 
     def expire(self) -> None:
-        over = {lease for lease, end in self.ends.items() if self.scheduler.now >= end}
-        self.ends = {lease: end for lease, end in self.ends.items() if lease not in over}
-        self.keys = {k: v for k, v in self.keys.items() if v[1] not in over}
+        """Remove the leases that have ended, and the keys attached to them."""
+        expired = {lease for lease, end in self.ends.items() if self.scheduler.now >= end}
+        self.ends = {lease: end for lease, end in self.ends.items() if lease not in expired}
+        self.keys = {k: v for k, v in self.keys.items() if v[1] not in expired}
 
     def holder(self) -> str | None:
+        """Return the name of the node that holds the duty."""
         self.expire()
-        found = self.keys.get(duty_key(APPLICATION))
-        return found[0].value.decode() if found is not None else None
+        held = self.keys.get(duty_key(APPLICATION))
+        return held[0].value.decode() if held is not None else None
 
     async def _call(self) -> None:
         await asyncio.sleep(CALL_SECONDS)
@@ -191,19 +196,22 @@
 
 
 @dataclass
-class Observed:
-    """What one node keeps of all reports, and its judge."""
+class NodeObservations:
+    """The evidence that one node has gathered from all reports, and its judge of each order."""
 
     scheduler: Scheduler
     state: FleetState
-    kept: dict[str, tuple[StoreRevision, RolloutEvidence]] = field(default_factory=dict)
+    evidence_by_service: dict[str, tuple[StoreRevision, RolloutEvidence]] = field(
+        default_factory=dict
+    )
     judges: dict[StoreRevision, tuple[RolloutJudge, OrderAge]] = field(default_factory=dict)
 
     def of(self, order: RolloutOrder) -> RolloutEvidence:
-        known = self.kept.get(order.service)
-        if known is None or known[0] != order.revision:
-            known = self.kept[order.service] = (order.revision, RolloutEvidence())
-        return known[1]
+        """Return the evidence of an order; evidence of an earlier order is dropped."""
+        stored = self.evidence_by_service.get(order.service)
+        if stored is None or stored[0] != order.revision:
+            stored = self.evidence_by_service[order.service] = (order.revision, RolloutEvidence())
+        return stored[1]
 
     def evidence(self, service: str) -> RolloutEvidence | None:
         order = self.state.rollouts.order(service)
@@ -234,15 +242,23 @@
 
 @dataclass
 class Node:
-    """One node that may hold the duty."""
+    """One node that may hold the duty.
+
+    Attributes:
+        hears_store: Whether the node receives the changes of the store.
+        receives_reports: Whether the node receives the reports of its peers.
+        old_running: Requests that the node reports as running on runners of other versions.
+        says_bad: Whether the node reports that it judges the target version as bad.
+        counted: Answers and failures by revision of the order and by version.
+    """
 
     name: str
     state: FleetState
     duty: SoftwareRolloutDuty
-    observed: Observed
+    observed: NodeObservations
     loop: Any
     hears_store: bool = True
-    hears_peers: bool = True
+    receives_reports: bool = True
     alive: bool = True
     old_running: int = 0
     says_bad: bool = False
@@ -250,7 +266,7 @@
     counted: dict[tuple[StoreRevision, str], list[float]] = field(default_factory=dict)
 
     def talks(self) -> bool:
-        """Return whether it answers requests and tells of them."""
+        """Return whether the node serves requests and sends reports of their outcomes."""
         return self.alive and not self.loop.frozen
 
 
@@ -261,11 +277,11 @@
 
 
 class RolloutBench:
-    """Nodes and a store; every half second the nodes tell each other what they saw.
+    """Nodes and a store; the nodes send reports to each other every half second.
 
     Attributes:
-        failing: Share of the target's answers that fail.
-        asked: Whether the service has requests.
+        failing: Share of the target version's answers that are failures.
+        asked: Whether the service gets requests.
     """
 
     def __init__(self, *names: str) -> None:
@@ -279,13 +295,14 @@
             self.add_node(name)
 
     def add_node(self, name: str) -> Node:
+        """Start a node that knows all runners and nodes; it may hold the duty."""
         entries = [entry(f"old-{n}", OLD) for n in range(RUNNERS_EACH)]
         entries += [entry(f"new-{n}", NEW) for n in range(RUNNERS_EACH)]
         state = make_state(make_table(make_route()), *entries)
         state.node_id = name
         for other in self.names:
             state.apply(NodeListed(other, "10.0.0.2:1", "zone-a"), self.scheduler.now)
-        observed = Observed(self.scheduler, state)
+        observed = NodeObservations(self.scheduler, state)
         duty = SoftwareRolloutDuty(
             state,
             self.store,
@@ -303,16 +320,18 @@
         return node
 
     def order(self, target: str = NEW, over: float = OVER_SECONDS) -> RolloutOrder:
+        """Write an order to the store."""
         self.store.revision += 1
         order = RolloutOrder(APPLICATION, target, over, rev(self.store.revision))
         self.store.order = order
         return order
 
     def tell_order(self, order: RolloutOrder) -> None:
-        """Tell all nodes of an order, as one that knows it does while the store is down."""
+        """Announce an order to all nodes, as a node that knows it does while the store is down."""
         self.tell(RolloutOrdered(order))
 
     def withdraw(self) -> None:
+        """Delete the order from the store and announce that to all nodes."""
         self.store.revision += 1
         self.store.order = None
         self.tell(RolloutWithdrawn(APPLICATION, rev(self.store.revision)))
@@ -325,6 +344,7 @@
             self.tell(RunnerUnlisted(f"{prefix}-{n}", None))
 
     def tell(self, event: StoreEvent) -> None:
+        """Apply an event of the store at all nodes that follow the store."""
         for node in self.nodes:
             if node.alive and node.hears_store:
                 node.state.apply(event, self.scheduler.now)
@@ -338,71 +358,71 @@
         return next((n for n in self.nodes if n.name == name and n.alive), None)
 
     def run(self, seconds: float) -> None:
-        """Let time pass; what the store holds and what nodes say is heard each half second."""
+        """Let time pass; nodes receive the store's content and reports every half second."""
         end = self.scheduler.now + seconds
         while self.scheduler.now < end - 1e-9:
             self.scheduler.run_until(min(end, self.scheduler.now + REPORT_SECONDS))
-            self._answer(REPORT_SECONDS)
+            self._count_answers(REPORT_SECONDS)
             if not self.store.down:
-                self._tell_store()
-            self._tell_peers()
+                self._deliver_store()
+            self._send_reports()
 
     def states(self) -> list[str]:
-        """Return all that the operator was told, in order."""
+        """Return the states of all statuses written for the operator, in order."""
         return [state for _, state, _ in self.store.told]
 
     def stage(self) -> RolloutStage | None:
         return self.store.record.stage if self.store.record is not None else None
 
-    def _tell_store(self) -> None:
+    def _deliver_store(self) -> None:
         if self.store.order is not None:
             self.tell(RolloutOrdered(self.store.order))
         if self.store.record is not None:
             self.tell(RolloutRecorded(self.store.record))
         self.tell(RolloutDutyHeld(APPLICATION, self.store.holder()))
 
-    def _answer(self, seconds: float) -> None:
+    def _count_answers(self, seconds: float) -> None:
         order = self.store.order
         if order is None or not self.asked:
             return
         answering = [node for node in self.nodes if node.talks()]
         for node in answering:
             for version, share in ((OLD, 0.9), (order.target, 0.1)):
-                answered = share * RATE * seconds / len(answering)
+                answered = share * ANSWERS_PER_SECOND * seconds / len(answering)
                 counted = node.counted.setdefault((order.revision, version), [0.0, 0.0])
                 counted[0] += answered
                 counted[1] += answered * (self.failing if version == order.target else 0.0)
 
-    def _tell_peers(self) -> None:
-        for teller in self.nodes:
-            order = teller.state.rollouts.order(APPLICATION)
-            if not teller.talks() or order is None:
+    def _send_reports(self) -> None:
+        for sender in self.nodes:
+            order = sender.state.rollouts.order(APPLICATION)
+            if not sender.talks() or order is None:
                 continue
-            report = self._report(teller, order)
-            for hearer in self.nodes:
-                if not hearer.alive or not hearer.hears_peers:
+            report = self._report(sender, order)
+            for receiver in self.nodes:
+                if not receiver.alive or not receiver.receives_reports:
                     continue
-                known = hearer.state.rollouts.order(APPLICATION)
+                known = receiver.state.rollouts.order(APPLICATION)
                 if known is not None and known.revision == order.revision:
-                    evidence = hearer.observed.of(known)
-                    evidence.take(teller.name, teller.incarnation, report, self.scheduler.now)
+                    evidence = receiver.observed.of(known)
+                    evidence.take(sender.name, sender.incarnation, report, self.scheduler.now)
 
-    def _report(self, teller: Node, order: RolloutOrder) -> RolloutReport:
+    def _report(self, sender: Node, order: RolloutOrder) -> RolloutReport:
         outcomes = []
-        for (revision, version), (answered, failed) in teller.counted.items():
+        for (revision, version), (answered, failed) in sender.counted.items():
             if revision == order.revision:
                 delays = [0] * DELAY_BUCKETS
                 delays[4] = int(answered)
                 outcomes.append(
                     OutcomeCounts(version, "r", False, int(answered), int(failed), delays)
                 )
-        stage = teller.state.rollouts.stage(APPLICATION) or RolloutStage.CANARY
-        old_running = teller.old_running
+        stage = sender.state.rollouts.stage(APPLICATION) or RolloutStage.CANARY
+        old_running = sender.old_running
         return RolloutReport(
             APPLICATION,
             order.revision.number,
             stage.value,
             old_running,
             outcomes,
-            teller.says_bad,
+            sender.says_bad,
         )
--- a/tests/fleet/rollout_traffic.py
+++ b/tests/fleet/rollout_traffic.py
@@ -1,4 +1,4 @@
-"""Callers and runners of two versions around nodes, and a checker of what may be sent."""
+"""Requests and runners of two versions for simulated nodes, and checks of the requests sent."""
 
 from __future__ import annotations
 
@@ -33,17 +33,18 @@
 SHARE, SLACK = 0.1, 50.0
 OVER_SECONDS = 12.0
 ROLLBACK_SECONDS = 5.0
-PROOF = 50
-OFTEN, RARE = "/app/", "/rare/"
+PROOF_ANSWERS = 50
+FREQUENT, RARE = "/app/", "/rare/"
 RARE_SHARE = 0.15
 WORK_SECONDS = 0.05
-# A judge for these tests: plain thresholds, far from what a good version shows.
-LEAST_FAILURES = 10
-LEAST_ANSWERS = 20
+# Thresholds of the judge of these tests; a good version stays far below them.
+MIN_FAILURES = 10
+MIN_ANSWERS = 20
 SLOW_BUCKET = 7
-LOOK_SECONDS = 0.2
+EVALUATION_SECONDS = 0.2
 
-# Path, time since the order: whether the answer is a failure, and how many times slower it is.
+# Maps a path and the seconds since the order to whether the answer is a failure and to a factor by
+# which it is slower.
 Behaviour = Callable[[str, float], tuple[bool, float]]
 
 
@@ -52,17 +53,17 @@
 
 
 class ThresholdJudge:
-    """Says bad after some failures, or where half of the answers are slow."""
+    """Judges a version as bad after some failures, or if more than half of its answers are slow."""
 
     def __init__(self, order: RolloutOrder, ordered_at: float) -> None:
         self._target = order.target
         self._verdict = Verdict.UNDECIDED
-        self._looked_at = float("-inf")
+        self._evaluated_at = float("-inf")
         self.ordered_at = ordered_at
         self.looks = 0
 
     def is_due(self, now: float) -> bool:
-        return now - self._looked_at >= LOOK_SECONDS
+        return now - self._evaluated_at >= EVALUATION_SECONDS
 
     def note_ordered_at(self, ordered_at: float) -> None:
         self.ordered_at = min(self.ordered_at, ordered_at)
@@ -71,41 +72,45 @@
         return RolloutOpinion(self._verdict, f"{self.looks} looks")
 
     def look(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
-        self._looked_at = now
+        self._evaluated_at = now
         self.looks += 1
-        self._verdict = self._judged(totals)
+        self._verdict = self._evaluate(totals)
         return self._verdict
 
-    def _judged(self, totals: Mapping[OutcomeKey, OutcomeTotals]) -> Verdict:
+    def _evaluate(self, totals: Mapping[OutcomeKey, OutcomeTotals]) -> Verdict:
         of_target = [total for key, total in totals.items() if key.version == self._target]
         answered = sum(total.answered for total in of_target)
         slow = sum(sum(total.delays[SLOW_BUCKET:]) for total in of_target)
-        if sum(total.failed for total in of_target) >= LEAST_FAILURES:
+        if sum(total.failed for total in of_target) >= MIN_FAILURES:
             return Verdict.BAD
-        if answered >= LEAST_ANSWERS and slow > answered / 2:
+        if answered >= MIN_ANSWERS and slow > answered / 2:
             return Verdict.BAD
         return Verdict.UNDECIDED
 
 
 def rollout_table() -> RoutingTable:
     rare = make_route(RouteKind.UNSAFE, prefix=RARE, attempts=1)
-    return make_table(make_route(prefix=OFTEN, attempts=3), rare)
+    return make_table(make_route(prefix=FREQUENT, attempts=3), rare)
 
 
 @dataclass
-class SeenSend:
-    """A request sent to a runner of the target version."""
+class TargetSend:
+    """A request sent to a runner of the target version.
+
+    Attributes:
+        is_connected: Whether the sending node was alive and not cut off.
+    """
 
     at: float
     node_id: str
     route: str
     runner_id: str
-    in_touch: bool
+    is_connected: bool
 
 
 @dataclass
 class _Client:
-    """Runners as one node reaches them."""
+    """The client of one node, which passes its requests to the simulated runners."""
 
     traffic: RolloutTraffic
     node: SimulatedNode
@@ -116,13 +121,16 @@
 
 @dataclass
 class RolloutTraffic:
-    """Traffic of one service under a rollout.
+    """Traffic of one service during a rollout.
 
     Attributes:
-        sent: What the target version got.
-        bad_at: When it answered badly.
-        busy_from: It behaves badly while so many requests run at a runner.
-        statuses: Answers to callers, 0 for none.
+        behaviour: How the target version answers.
+        busy_from: Number of requests running at a runner from which on the target version follows
+            ``behaviour``; with fewer it behaves well.
+        requests: Number of requests that arrived between the order and its deadline.
+        sent: Requests that were sent to the target version.
+        bad_at: When the target version gave failed or slow answers.
+        statuses: Number of answers to callers by status; 0 counts requests without an answer.
     """
 
     network: NodeNetwork
@@ -133,7 +141,7 @@
     seed: int = 5
     ordered_at: float = float("inf")
     requests: int = 0
-    sent: list[SeenSend] = field(default_factory=list)
+    sent: list[TargetSend] = field(default_factory=list)
     bad_at: list[float] = field(default_factory=list)
     statuses: Counter[int] = field(default_factory=Counter)
     observers: dict[str, RolloutObserver] = field(default_factory=dict)
@@ -155,10 +163,10 @@
         self.network.store.put(names.RUNNERS_PREFIX + runner_id, msgspec.json.encode(body))
 
     def attach(self, node: SimulatedNode) -> None:
-        """Let a node, which may be a new process, serve and observe."""
+        """Give a node, which may be a new process, a request pipeline and a rollout observer."""
         clock = self.network.scheduler.clock
         rng = Random(f"{node.node_id}/{self.network.scheduler.now}")
-        # It has read nothing of the store yet.
+        # The node has not read the store yet.
         node.state.freshness = Freshness(math.inf)
         node.state.exposure = VersionExposure(SHARE, SLACK)
         placement = RunnerPlacement(node.state, node.exchange, node.zone, rng)
@@ -174,6 +182,7 @@
         self.network.scheduler.spawn(node.loop, observer.run())
 
     def restart(self, node_id: str) -> SimulatedNode:
+        """Replace a node by a new process."""
         node = self.network.add(node_id, self.network.nodes[node_id].zone)
         self.attach(node)
         return node
@@ -188,12 +197,13 @@
         return revision
 
     def record(self, stage: str, order_revision: int) -> None:
+        """Write a record of the rollout's stage, as the node that holds the duty does."""
         body = RolloutRecordBody(NEW, order_revision, stage)
         key = names.ROLLOUT_RECORDS_PREFIX + APPLICATION
         self.network.store.put(key, msgspec.json.encode(body))
 
     def play(self, seconds: float, rate: float = 120.0) -> None:
-        """Let requests come at random nodes for some seconds."""
+        """Let requests arrive at random nodes for some seconds."""
         scheduler = self.network.scheduler
         at, end = scheduler.now, scheduler.now + seconds
         while (at := at + self._rng.expovariate(rate)) < end:
@@ -202,7 +212,7 @@
 
     def _arrive(self) -> None:
         node = self.network.nodes[self._rng.choice(sorted(self.network.nodes))]
-        path = RARE if self._rng.random() < RARE_SHARE else OFTEN
+        path = RARE if self._rng.random() < RARE_SHARE else FREQUENT
         now = self.network.scheduler.now
         self.requests += self.ordered_at <= now <= self.ordered_at + OVER_SECONDS
         self.network.scheduler.spawn(node.loop, self._serve(node, path))
@@ -220,13 +230,14 @@
     async def run(
         self, node: SimulatedNode, request: ServingRequest, dispatch: Dispatch
     ) -> FakeAnswer:
+        """Answer a request as its runner would; record it if it reached the target version."""
         now = self.network.scheduler.now
         if not dispatch.runner_id.startswith(NEW):
             await asyncio.sleep(WORK_SECONDS)
             return FakeAnswer([b"body"])
-        in_touch = node.alive and not node.cut
-        seen = SeenSend(now, node.node_id, request.path[:-1], dispatch.runner_id, in_touch)
-        self.sent.append(seen)
+        is_connected = node.alive and not node.cut
+        send = TargetSend(now, node.node_id, request.path[:-1], dispatch.runner_id, is_connected)
+        self.sent.append(send)
         failed, slowness = self.behaviour(request.path, now - self.ordered_at)
         self.running[dispatch.runner_id] += 1
         if self.running[dispatch.runner_id] < self.busy_from:
@@ -240,12 +251,15 @@
         return FakeAnswer([b"body"], status=500 if failed else 200)
 
     def assert_bounded(self) -> None:
-        """Check what the target version got, over all nodes."""
+        """Check that all nodes together sent the target version no more than its bound."""
         assert len(self.sent) <= SHARE * self.requests + SLACK
 
     def assert_closed_in_time(self, within: float = ROLLBACK_SECONDS) -> None:
-        """Check that no node in touch sends anything later than a time after the proof."""
+        """Check that connected nodes send the target version nothing more soon after the proof.
+
+        The proof is the moment of the bad answer number ``PROOF_ANSWERS``.
+        """
         assert self.bad_at
-        proof = sorted(self.bad_at)[min(PROOF, len(self.bad_at)) - 1]
-        late = [send for send in self.sent if send.in_touch and send.at > proof + within]
+        proof = sorted(self.bad_at)[min(PROOF_ANSWERS, len(self.bad_at)) - 1]
+        late = [send for send in self.sent if send.is_connected and send.at > proof + within]
         assert not late
--- a/tests/fleet/runner_limit_traffic.py
+++ b/tests/fleet/runner_limit_traffic.py
@@ -1,4 +1,4 @@
-"""Requests of many nodes to one runner that names a limit, and a checker of what reaches it."""
+"""Requests of many nodes to one runner that names a limit, and counts of those that reach it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.fleet.builders import ENGINES, make_request, make_route
 from tests.fleet.node_network import NodeNetwork, SimulatedNode
 
-# What is under way when a node is told is free, and what it sends so soon after that.
+# Requests that a node sends within this time after it was first informed of the limit don't count.
 FREE_SECONDS = 0.5
 ANSWER_SECONDS = (0.02, 0.6)
 
@@ -31,68 +31,70 @@
 
 @dataclass
 class _NodeSide:
-    """What a node does with the runner's word.
+    """The parts of one node that read and apply a runner's limit.
 
     Attributes:
-        told_at: When the first answer came that names a limit.
+        informed_at: When the node received the first answer that names a limit.
     """
 
     node: SimulatedNode
     limits: RunnerLimits
     intake: SignalIntake
-    told_at: float | None = None
+    informed_at: float | None = None
 
 
 @dataclass
 class RunnerTraffic:
-    """Sends requests that would all go to one runner, where its limit does not forbid it.
+    """Sends requests to one runner as far as the limit of the runner admits them.
 
     Attributes:
         limit: The limit that the runner names, over time.
-        arrived: When requests reached it, and of which time on its node was told then.
-        elsewhere: When requests went to other runners since this one had no room.
+        entry_node_count: Number of nodes, chosen at random, at which requests arrive.
+        arrived: When requests reached the runner, each with ``informed_at`` of its node.
+        sent_elsewhere: When requests went to other runners because the limit left no room.
+        delays: Seconds that each request waited for the decision about the limit.
     """
 
     network: NodeNetwork
     limit: LimitOverTime
     runner_id: str = "i-0"
     seed: int = 1
-    homes: int = 1_000
+    entry_node_count: int = 1_000
     arrived: list[tuple[float, float | None]] = field(default_factory=list)
-    elsewhere: list[float] = field(default_factory=list)
+    sent_elsewhere: list[float] = field(default_factory=list)
     delays: list[float] = field(default_factory=list)
     _sides: dict[int, _NodeSide] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self._rng = Random(self.seed)
         names = sorted(self.network.nodes)
-        self._homes = self._rng.sample(names, min(self.homes, len(names)))
+        self._entry_nodes = self._rng.sample(names, min(self.entry_node_count, len(names)))
         self._job = Job(
             make_request(), make_route(), ENGINES, None, 0, self.network.scheduler.now + 1e9,
             EventFraming(None),
         )  # fmt: skip
 
     def send(self, seconds: float, per_second: float) -> None:
-        """Let requests come at random over the next seconds, at random nodes."""
+        """Let requests arrive at random times in the next seconds, at random nodes."""
         scheduler = self.network.scheduler
         at, end = scheduler.now, scheduler.now + seconds
         while (at := at + self._rng.expovariate(per_second)) < end:
             scheduler.at(at, self._arrive)
 
     def counted(self) -> list[float]:
-        """Return when those requests reached the runner whose nodes were told long enough ago."""
+        """Return when requests reached the runner whose nodes had been informed for long enough."""
         return [
             at
-            for at, told_at in self.arrived
-            if told_at is not None and at >= told_at + FREE_SECONDS
+            for at, informed_at in self.arrived
+            if informed_at is not None and at >= informed_at + FREE_SECONDS
         ]
 
     def used(self, since: float, until: float) -> int:
-        """Return how many requests reached the runner in a time."""
+        """Return how many requests reached the runner between two moments."""
         return sum(since <= at < until for at, _ in self.arrived)
 
     def worst_window(self) -> int:
-        """Return the most requests that count in any window."""
+        """Return the largest number of counted requests in any window of the tolerance."""
         inside: deque[float] = deque()
         worst = 0
         for at in sorted(self.counted()):
@@ -115,37 +117,37 @@
         return side
 
     def _arrive(self) -> None:
-        node = self.network.nodes.get(self._rng.choice(self._homes))
+        node = self.network.nodes.get(self._rng.choice(self._entry_nodes))
         if node is None or node.loop.frozen:
             return
-        self.network.scheduler.spawn(node.loop, self._ask(self._side(node)))
+        self.network.scheduler.spawn(node.loop, self._send(self._side(node)))
 
-    async def _ask(self, side: _NodeSide) -> None:
+    async def _send(self, side: _NodeSide) -> None:
         scheduler = self.network.scheduler
         runner = side.node.state.pool.get(self.runner_id)
         assert runner is not None
-        began_at = scheduler.now
-        is_admitted = runner.accepts(began_at) and await side.limits.admits(self._job, runner)
+        arrived_at = scheduler.now
+        is_admitted = runner.accepts(arrived_at) and await side.limits.admits(self._job, runner)
         now = scheduler.now
-        self.delays.append(now - began_at)
+        self.delays.append(now - arrived_at)
         if not is_admitted:
-            self.elsewhere.append(now)
+            self.sent_elsewhere.append(now)
             return
-        self.arrived.append((now, side.told_at))
-        made_at = now + self._rng.uniform(*ANSWER_SECONDS) / 2
-        ends_at = made_at + self._rng.uniform(*ANSWER_SECONDS) / 2
-        signals = RunnerSignals(limit=self.limit(made_at))
+        self.arrived.append((now, side.informed_at))
+        answered_at = now + self._rng.uniform(*ANSWER_SECONDS) / 2
+        received_at = answered_at + self._rng.uniform(*ANSWER_SECONDS) / 2
+        signals = RunnerSignals(limit=self.limit(answered_at))
 
         def answer() -> None:
             if side.node.alive and not side.node.loop.frozen:
                 self._take_answer(side, signals, now)
 
-        scheduler.at(ends_at, answer)
+        scheduler.at(received_at, answer)
 
     def _take_answer(self, side: _NodeSide, signals: RunnerSignals, asked_at: float) -> None:
         now = self.network.scheduler.now
-        if signals.limit is not None and side.told_at is None:
-            side.told_at = now
+        if signals.limit is not None and side.informed_at is None:
+            side.informed_at = now
         source = AnswerSource(AnswerKind.REQUEST, 200, now - asked_at, is_whole=True)
 
         def take() -> None:
--- a/tests/fleet/test_runner_limits.py
+++ b/tests/fleet/test_runner_limits.py
@@ -562,7 +562,7 @@
 
 
 def test_a_node_with_all_the_traffic_gets_most_of_the_limit(network: NodeNetwork) -> None:
-    traffic = RunnerTraffic(network, constant(4.0), homes=1)
+    traffic = RunnerTraffic(network, constant(4.0), entry_node_count=1)
     traffic.send(20.0, 20.0)
     network.run(21.0)
     assert traffic.worst_window() <= allowed(4.0)
@@ -661,7 +661,7 @@
 
     network.carry = carry_known  # type: ignore[method-assign]
     traffic = RunnerTraffic(network, constant(2.0))
-    traffic._homes = sorted(set(network.nodes) - earlier)
+    traffic._entry_nodes = sorted(set(network.nodes) - earlier)
     traffic.send(20.0, 30.0)
     network.run(21.0)
     assert traffic.worst_window() <= allowed(2.0)
