--- a/tests/fleet/test_callers_leave.py
+++ b/tests/fleet/test_callers_leave.py
@@ -1,4 +1,4 @@
-"""Callers that close or cancel: nothing more of their request is sent, and what runs is ended."""
+"""Callers that disconnect: their request is not sent again, and its attempts are cancelled."""
 
 from __future__ import annotations
 
@@ -41,34 +41,35 @@
 )
 
 LEFT_AT = 0.1
-# The rules allow half a second.
-GONE_BY = LEFT_AT + 0.5
+# A request must end within half a second after its caller has disconnected.
+ENDED_BY = LEFT_AT + 0.5
 
 
-def leave(bench: Bench, request: ServingRequest) -> None:
-    """Serve a request until its caller leaves, and for as long as its end may take."""
+def serve_until_caller_leaves(bench: Bench, request: ServingRequest) -> None:
+    """Serve a request whose caller disconnects at ``LEFT_AT``; check the end at ``ENDED_BY``."""
     task = bench.run(bench.pipeline.serve(request, FakeSink()), until=LEFT_AT)
     assert not task.done()
     task.cancel()
-    bench.scheduler.run_until(GONE_BY)
+    bench.scheduler.run_until(ENDED_BY)
     assert task.cancelled()
     assert bench.pipeline.active == 0
 
 
 def attempts(bench: Bench) -> int:
+    """Return the number of attempts that run at all runners."""
     return sum(runner.attempts.load().running for runner in bench.state.pool.all())
 
 
-def test_one_that_leaves_at_the_start_gate_is_sent_nowhere() -> None:
+def test_a_request_whose_caller_leaves_at_the_start_gate_is_not_sent() -> None:
     bench = make_bench(i_1=answers(b"ok"))
     bench.state.start_gate = StartGate()
-    leave(bench, make_request())
+    serve_until_caller_leaves(bench, make_request())
     bench.state.start_gate.open()
     bench.scheduler.run_until(5.0)
     assert bench.client.dispatches == []
 
 
-def test_one_that_leaves_while_tokens_are_asked_for_is_sent_nowhere() -> None:
+def test_a_request_whose_caller_leaves_while_tokens_are_requested_is_not_sent() -> None:
     bench = make_bench(i_1=answers(b"ok"))
 
     class SlowLimiter:
@@ -82,15 +83,15 @@
     bench.pipeline._limiter = SlowLimiter()
     tenants = {KEY: TenantEntry("tenant-1", limit=TenantLimit(1.0, 1.0))}
     bench.state.table = make_table(make_route(), version=2, keys=tenants)
-    leave(bench, make_request())
+    serve_until_caller_leaves(bench, make_request())
     bench.scheduler.run_until(5.0)
     assert bench.client.dispatches == []
 
 
-def test_one_that_leaves_during_a_second_attempt_ends_it() -> None:
+def test_a_caller_that_leaves_during_a_second_attempt_cancels_it() -> None:
     behave = breaks_off_then(refuses(RefusalCause.FULL), hangs())
     bench = make_bench(i_1=behave, i_22=behave)
-    leave(bench, make_request())
+    serve_until_caller_leaves(bench, make_request())
     bench.scheduler.run_until(5.0)
     assert len(bench.client.dispatches) == 2
     assert len(bench.client.cancelled) == 1
@@ -98,10 +99,12 @@
 
 
 @pytest.mark.parametrize("then", [hangs(), answers(EVENTS[1], 100.0)])
-def test_one_that_leaves_while_its_stream_is_resumed_ends_it(then: Behaviour) -> None:
+def test_a_caller_that_leaves_while_its_stream_is_resumed_cancels_the_attempt(
+    then: Behaviour,
+) -> None:
     behave = breaks_off_then(answers(EVENTS[0], RESET), then)
     bench = make_stream_bench(i_1=behave, i_22=behave)
-    leave(bench, stream_request())
+    serve_until_caller_leaves(bench, stream_request())
     bench.scheduler.run_until(5.0)
     assert len(bench.client.dispatches) == 2
     assert all(answer.closed for answer in bench.client.answers)
@@ -109,7 +112,7 @@
     assert attempts(bench) == 0
 
 
-def test_an_answer_whose_head_comes_as_the_caller_leaves_is_given_up() -> None:
+def test_an_answer_whose_head_arrives_as_the_caller_leaves_is_closed() -> None:
     bench = make_bench()
     serving: list[asyncio.Task[Any]] = []
 
@@ -121,13 +124,13 @@
     bench = make_bench(i_1=answer_as_the_caller_leaves)
     work = bench.pipeline.serve(make_request(), FakeSink())
     serving.append(bench.scheduler.spawn(bench.scheduler.new_loop(), work))
-    bench.scheduler.run_until(GONE_BY)
+    bench.scheduler.run_until(ENDED_BY)
     assert serving[0].cancelled()
     assert [answer.closed for answer in bench.client.answers] == [True]
 
 
 class RecordingServing:
-    """Notes which requests it is asked to serve."""
+    """Records the requests that it is asked to serve, and answers them."""
 
     def __init__(self) -> None:
         self.served: list[str] = []
@@ -148,7 +151,7 @@
     async def main() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         address = listener.getsockname()
-        # Both the request and its close wait in the socket when the node begins to read.
+        # The request and the close of its connection wait in the socket before the server reads.
         for number in range(20):
             with socket.create_connection(address) as caller:
                 caller.sendall(raw_request(f"left-{number}"))
@@ -161,8 +164,12 @@
         )
         server = make_server(ingress, f"127.0.0.1:{address[1]}")
         running = asyncio.create_task(server._serve([listener]))
-        await until(lambda: "stays" in serving.served, "the one that stays is served")
-        await until(lambda: len(server.server_state.connections) <= 1, "the others are closed")
+        await until(
+            lambda: "stays" in serving.served, "the request of the connected caller is served"
+        )
+        await until(
+            lambda: len(server.server_state.connections) <= 1, "the other connections are closed"
+        )
         assert serving.served == ["stays"]
         staying.close()
         server.should_exit = True
@@ -172,7 +179,7 @@
     asyncio.run(main())
 
 
-def test_a_loop_that_was_held_up_is_behind_until_it_has_read_what_waited() -> None:
+def test_an_event_loop_that_was_blocked_counts_as_behind_for_a_while() -> None:
     now = 0.0
     lag = LoopLag(lambda: now)
     assert lag.is_behind()
@@ -200,7 +207,7 @@
     asyncio.run(main())
 
 
-def test_a_process_that_reloads_ends_the_runs_of_callers_that_leave(tmp_path: Path) -> None:
+def test_a_process_that_reloads_cancels_requests_whose_callers_leave(tmp_path: Path) -> None:
     async def scenario(running: Deployment) -> None:
         hung = await running.add_runner("i-1", APPLICATION)
         hung.faults.hang = True
@@ -211,19 +218,21 @@
             asyncio.create_task(running.call(node, "/safe/x", "r-1")),
             asyncio.create_task(running.call(node, "/stream/x", "r-2")),
         ]
-        await until(lambda: (hung.ran, engine.ran) == (["r-1"], ["r-2"]), "both run")
+        await until(lambda: (hung.ran, engine.ran) == (["r-1"], ["r-2"]), "both requests run")
         running.stop_node(node, signal.SIGHUP)
         await until(lambda: "settings read again" in node.messages(), "reload")
         running.stop_node(node, signal.SIGHUP)
         for call in calls:
             call.cancel()
-        await until(lambda: (hung.left, engine.left) == (["r-1"], ["r-2"]), "both are ended")
+        await until(
+            lambda: (hung.left, engine.left) == (["r-1"], ["r-2"]), "both requests are cancelled"
+        )
         assert (hung.ran, engine.ran) == (["r-1"], ["r-2"])
 
     play(tmp_path, scenario)
 
 
-def test_a_process_that_loads_serves_no_caller_that_left(tmp_path: Path) -> None:
+def test_a_starting_process_serves_no_request_whose_caller_has_left(tmp_path: Path) -> None:
     async def scenario(running: Deployment) -> None:
         runner = await running.add_runner("i-1")
         node = running.launch("node-1")
--- a/tests/fleet/test_node_process.py
+++ b/tests/fleet/test_node_process.py
@@ -1,4 +1,4 @@
-"""The real daemon over loopback, before stand-ins of the store and the runners."""
+"""The node process over loopback, with an emulated store and emulated runners."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     asyncio.run(main())
 
 
-def test_a_request_is_served_whole_with_the_runners_words(tmp_path: Path) -> None:
+def test_a_request_is_answered_with_body_and_signature_of_the_runner(tmp_path: Path) -> None:
     async def scenario(running: Deployment) -> None:
         runner = await running.add_runner("i-1")
         node = await running.add_node("node-1")
@@ -45,7 +45,7 @@
     play(tmp_path, scenario)
 
 
-def test_a_stream_that_breaks_goes_on_at_another_runner(tmp_path: Path) -> None:
+def test_a_broken_stream_continues_at_another_runner(tmp_path: Path) -> None:
     async def scenario(running: Deployment) -> None:
         runners = [await running.add_runner(name, ENGINES) for name in ("i-1", "i-2")]
         node = await running.add_node("node-1")
@@ -65,28 +65,28 @@
         first = await running.add_node("node-1")
         await until(lambda: first.messages().count("cache listed") == 2, "caches are listed")
         await running.call(first, "/stream/x")
-        keeps = next(runner for runner in runners if runner.ran)
+        cache_holder = next(runner for runner in runners if runner.ran)
         other = next(runner for runner in runners if not runner.ran)
         running.stop_node(first, signal.SIGKILL)
         await running.ended(first)
         second = await running.add_node("node-1")
         await until(lambda: second.messages().count("cache listed") == 4, "caches are listed again")
         await running.call(second, "/stream/x", "r-2")
-        assert (keeps.ran, other.ran) == (["r-1", "r-2"], [])
+        assert (cache_holder.ran, other.ran) == (["r-1", "r-2"], [])
         attempts = [line for line in second.log() if line["message"] == "attempt"]
         assert [line["cached"] for line in attempts] == [0, 850]
 
     play(tmp_path, scenario)
 
 
-def test_a_runner_that_lost_its_memory_is_seen_to_have_lost_it(tmp_path: Path) -> None:
+def test_the_loss_of_a_runners_cache_is_noticed(tmp_path: Path) -> None:
     async def scenario(running: Deployment) -> None:
         runner = await running.add_runner("i-1", ENGINES)
         node = await running.add_node("node-1")
         await until(lambda: "cache listed" in node.messages(), "the cache is listed")
         await running.call(node, "/stream/x")
         runner.cache.restart()
-        await until(lambda: "cache lost" in node.messages(), "the loss is seen")
+        await until(lambda: "cache lost" in node.messages(), "the loss is noticed")
         await running.call(node, "/stream/x", "r-2")
         attempts = [line for line in node.log() if line["message"] == "attempt"]
         assert [line["cached"] for line in attempts] == [0, 0]
@@ -95,8 +95,8 @@
 
 
 def test_a_node_without_the_store_sends_callers_elsewhere_until_it_is_back(tmp_path: Path) -> None:
-    # NEWS-2: the store may refuse some machines while it serves the others. Their keys can't be
-    # trusted; callers that stay would only be refused.
+    # The store may refuse some machines while it serves others (NEWS-2). A node that it refuses
+    # can't check keys, so it would only refuse callers that keep their connections to it.
     async def scenario(running: Deployment) -> None:
         await running.add_runner("i-1")
         node = await running.add_node("node-1", revoke_ms=2_500)
@@ -123,7 +123,9 @@
             runner.faults.hang = True
         answer = await running.call(node, "/once/x", **{names.DEADLINE: "2000"})
         assert answer.status == 504
-        await until(lambda: sum(len(r.left) for r in runners) == 1, "the runner is let go")
+        await until(
+            lambda: sum(len(r.left) for r in runners) == 1, "the request is cancelled at the runner"
+        )
         assert sum(len(runner.ran) for runner in runners) == 1
 
     play(tmp_path, scenario)
@@ -137,12 +139,12 @@
         call = asyncio.create_task(running.call(node, "/once/x"))
         await until(lambda: runner.ran == ["r-1"], "the request runs")
         call.cancel()
-        await until(lambda: runner.left == ["r-1"], "the runner is let go")
+        await until(lambda: runner.left == ["r-1"], "the request is cancelled at the runner")
 
     play(tmp_path, scenario)
 
 
-def test_refusals_that_promise_name_a_time(tmp_path: Path) -> None:
+def test_a_refusal_of_a_request_that_was_not_run_names_a_retry_time(tmp_path: Path) -> None:
     async def scenario(running: Deployment) -> None:
         runner = await running.add_runner("i-1")
         node = await running.add_node("node-1")
@@ -158,7 +160,9 @@
     async def scenario(running: Deployment) -> None:
         runners = [await running.add_runner(f"i-{n}", ENGINES) for n in range(3)]
         nodes = [await running.add_node(f"node-{n}") for n in range(2)]
-        await until(lambda: running.store.value(names.DUTY_KEY) is not None, "a holder")
+        await until(
+            lambda: running.store.value(names.DUTY_KEY) is not None, "a node holds the duty"
+        )
         running.name_weights(2)
         await until(lambda: all(runner.weights == 2 for runner in runners), "version 2")
         running.name_weights(3)
@@ -175,7 +179,9 @@
     async def scenario(running: Deployment) -> None:
         runner = await running.add_runner("i-1", ENGINES)
         nodes = [await running.add_node(f"node-{n}") for n in range(2)]
-        await until(lambda: running.store.value(names.DUTY_KEY) is not None, "a holder")
+        await until(
+            lambda: running.store.value(names.DUTY_KEY) is not None, "a node holds the duty"
+        )
         running.name_weights(2)
         await until(lambda: runner.weights == 2, "version 2")
         holder = runner.orders[-1].holder
@@ -237,7 +243,8 @@
         node = await running.add_node("node-1")
         running.list_runner("i-1", state="draining")
         await until(
-            lambda: any(line.get("draining") for line in node.log()), "the node knows of it"
+            lambda: any(line.get("draining") for line in node.log()),
+            "the node knows that the runner drains",
         )
         for number in range(6):
             await running.call(node, "/safe/x", request_id=f"r-{number}")
@@ -261,7 +268,7 @@
     play(tmp_path, scenario)
 
 
-def test_settings_are_read_again_and_bad_ones_refused(tmp_path: Path) -> None:
+def test_settings_are_reloaded_and_invalid_ones_refused(tmp_path: Path) -> None:
     async def scenario(running: Deployment) -> None:
         await running.add_runner("i-1")
         node = await running.add_node("node-1")
@@ -281,7 +288,7 @@
 def test_a_reload_that_is_asked_for_during_the_start_is_carried_out_after_it(
     tmp_path: Path,
 ) -> None:
-    # SIGHUP ends a process that has not said otherwise, and a start takes half a second.
+    # SIGHUP terminates a process without a handler for it, and a start takes half a second.
     async def scenario(running: Deployment) -> None:
         await running.add_runner("i-1")
         node = running.launch("node-1")
@@ -301,7 +308,8 @@
 def test_a_node_whose_metrics_port_is_taken_serves_and_tells_its_metrics_later(
     tmp_path: Path,
 ) -> None:
-    # A soak's node ended by itself, without a word in its log: another socket had its metrics port.
+    # Guards against a node that exits without a log line because another socket has its metrics
+    # port, as seen in a soak.
     async def scenario(running: Deployment) -> None:
         await running.add_runner("i-1")
         with socket.socket() as holder:
@@ -310,7 +318,7 @@
             node = running.launch("node-1", metrics_port=holder.getsockname()[1])
             await until(
                 lambda: node.process.poll() is not None or "metrics not told" in node.messages(),
-                "a word on the port, or the end",
+                "a log line on the port, or the end of the process",
             )
             assert node.process.poll() is None
             await running.wait_ready(node)
@@ -325,7 +333,7 @@
     play(tmp_path, scenario)
 
 
-def test_metrics_tell_of_requests_attempts_and_beliefs(tmp_path: Path) -> None:
+def test_metrics_count_requests_and_attempts(tmp_path: Path) -> None:
     async def scenario(running: Deployment) -> None:
         await running.add_runner("i-1", ENGINES)
         node = await running.add_node("node-1")
@@ -346,7 +354,7 @@
     play(tmp_path, scenario)
 
 
-def test_hosts_are_told_apart(tmp_path: Path) -> None:
+def test_requests_are_routed_by_host(tmp_path: Path) -> None:
     async def scenario(running: Deployment) -> None:
         await running.add_runner("i-1", APPLICATION)
         node = await running.add_node("node-1")
--- a/tests/fleet/test_rollout_process.py
+++ b/tests/fleet/test_rollout_process.py
@@ -1,4 +1,4 @@
-"""A rollout of software before the real daemon, with runners of two versions as stand-ins."""
+"""A software rollout with node processes and emulated runners of two versions."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 SHARE = 0.1
 SLACK = 10
 CALLS = 150
-# Canaries come in bursts: the calls are spread over two of them.
+# Canaries are sent in bursts; the calls are spread over two periods of bursts.
 PAUSE_SECONDS = 2 * BURST_PERIOD_SECONDS / CALLS
 
 Scenario = Callable[[Deployment], Awaitable[None]]
@@ -38,7 +38,7 @@
     """Start old runners and nodes, order a rollout and start the new runners."""
     for number in range(2):
         await running.add_runner(f"o-{number}", software=OLD)
-    # Second tries of failed canaries draw on the budget of retries: all of them have room.
+    # Retries of failed canaries use the retry budget; this slack suffices for all of them.
     bounds = {"canary_share": SHARE, "canary_slack": SLACK, "retry_slack": 100.0}
     nodes = [await running.add_node(f"node-{number}", **bounds) for number in range(2)]
     running.order_rollout(APPLICATION, NEW, over_seconds=60.0)
@@ -48,7 +48,7 @@
 
 
 def record(running: Deployment, stage: str) -> None:
-    """Write how far the rollout is, as its holder does."""
+    """Write the stage of the rollout to the store, as the node that holds the duty does."""
     revision = next(
         item.rev for item in running.store._items.values() if item.key.startswith("op/rollout")
     )
@@ -59,7 +59,7 @@
 async def call_many(
     running: Deployment, nodes: list[NodeProcess], pause: float = PAUSE_SECONDS
 ) -> Counter[str]:
-    """Return who answered with which status."""
+    """Send ``CALLS`` requests; count answers by first letter of the runner's name and by status."""
     answers: Counter[str] = Counter()
     for number in range(CALLS):
         answer = await running.call(nodes[number % len(nodes)], "/safe/x", f"r-{number}")
@@ -69,6 +69,7 @@
 
 
 def sent_to_new(running: Deployment) -> int:
+    """Return how many requests the runners of the new version have run."""
     return sum(len(runner.ran) for runner in running.runners.values() if runner.software == NEW)
 
 
--- a/tests/fleet/test_runner_limits_process.py
+++ b/tests/fleet/test_runner_limits_process.py
@@ -1,17 +1,15 @@
-"""Runners that name how many requests a second they take from all nodes together.
-
-Seen: two engines in need had named such a limit, and got more than it allows from nodes that they
-had told: 29 requests in 4 s where 2.3 a second allow 19, and 12 where 1 a second allows 11.
-
-How it came about: on an ordinary day an engine that is preferred gets five to eight requests a
-second, from seven nodes. It named its limit in each answer; they went on at the pace of before.
-
-Cause: the limit was not read. And a node that reads it can't keep it: it does not see what the
-others send, so a part of its own, or the whole limit, lets the sum pass or leaves it unused.
-
-What proved it: all sends were first tries, at each node, and the logs had no word of the limit. At
-one engine three calls more were counted than requests were sent: questions on what it keeps count
-too. In the tests below each node alone sends more than a limit, and all calls are counted.
+"""Runners that limit the requests per second that they accept from all nodes together.
+
+Guards against nodes that don't read the limit in a runner's answers, or that keep to it each on its
+own. An engine that is preferred gets five to eight requests per second, from seven nodes. While the
+limit was not read, one engine got 29 requests in 4 s where 2.3 per second allow 19, and another got
+12 where 1 per second allows 11. A node can't keep to the limit on its own since it doesn't see what
+the others send: if each node uses the whole limit the sum exceeds it, and if each uses a fixed part
+some of the limit is left unused.
+
+Queries of an engine's cache count against its limit as well: one engine counted three more calls
+than the requests sent to it. In these tests each node alone sends more than a limit allows, and all
+calls are counted.
 """
 
 from __future__ import annotations
@@ -30,16 +28,16 @@
 
 NODES = 3
 RUNNERS = 3
-# Requests under way when a limit begins are free, and so is what follows so soon.
+# Calls within this time after a limit begins don't count.
 FREE_SECONDS = 0.5
 MEASURED_SECONDS = 6.0
-# In some 4 s a runner may get half as much again as its limit allows, and five requests more.
+# In about 4 s a runner may get half as much again as its limit allows, plus five requests.
 OVERSHOOT = 1.5
 SLACK = 5
 
 
 class Callers:
-    """Callers that send requests to all nodes in turn, some at a time, until they are stopped."""
+    """Concurrent callers, spread over the nodes, that send requests until they are stopped."""
 
     def __init__(self, running: Deployment, nodes: list[NodeProcess], path: str) -> None:
         self._running = running
@@ -49,9 +47,9 @@
         self._tasks: list[asyncio.Task[None]] = []
         self.statuses: list[int] = []
 
-    def start(self, at_a_time: int, pause_seconds: float) -> None:
+    def start(self, concurrency: int, pause_seconds: float) -> None:
         self._tasks = [
-            asyncio.create_task(self._call(caller, pause_seconds)) for caller in range(at_a_time)
+            asyncio.create_task(self._call(caller, pause_seconds)) for caller in range(concurrency)
         ]
 
     async def stop(self) -> None:
@@ -67,8 +65,8 @@
             await asyncio.sleep(pause_seconds)
 
 
-async def calls_while_limited(limited: list[FleetRunner], limits: list[float]) -> list[int]:
-    """Let runners name limits; return how many calls of any kind each gets in some seconds."""
+async def count_calls_under_limits(limited: list[FleetRunner], limits: list[float]) -> list[int]:
+    """Let runners name limits; return how many calls of any kind each gets while measured."""
     for runner, limit in zip(limited, limits, strict=True):
         runner.faults.limit = limit
     await asyncio.sleep(FREE_SECONDS)
@@ -88,9 +86,9 @@
 def test_a_runner_gets_what_its_limit_allows_from_all_nodes_together(
     tmp_path: Path, service: str, path: str, limits: list[float]
 ) -> None:
-    """All calls count: requests, and at an engine questions on what it keeps.
+    """All calls count: requests and, at an engine, queries of its cache.
 
-    Those are limited that got most requests before.
+    The runners that got the most requests before are the ones with a limit.
     """
 
     async def scenario(running: Deployment) -> None:
@@ -101,7 +99,7 @@
         await until(lambda: all(len(r.called_at) > 10 for r in runners), "all runners are used")
         began_at = time.monotonic()
         by_use = sorted(runners, key=lambda runner: len(runner.arrived), reverse=True)
-        called = await calls_while_limited(by_use[: len(limits)], limits)
+        called = await count_calls_under_limits(by_use[: len(limits)], limits)
         seconds = time.monotonic() - began_at
         await callers.stop()
         allowed = [OVERSHOOT * limit * seconds + SLACK for limit in limits]
