--- a/tests/fleet/test_restored_beliefs.py
+++ b/tests/fleet/test_restored_beliefs.py
@@ -1,4 +1,4 @@
-"""What a node goes on believing when the store comes back from an older copy."""
+"""What a node retains of its state when the store is restored from an older copy."""
 
 from __future__ import annotations
 
@@ -52,57 +52,61 @@
     return make_state(make_table(make_route()), make_entry("i-1", revision=50, era=3))
 
 
-def listed(state: FleetState, revision: int, era: int, *, draining: bool = False) -> None:
+def apply_entry(state: FleetState, revision: int, era: int, *, draining: bool = False) -> None:
+    """Apply the entry of runner ``i-1`` as the store lists it."""
     entry = make_entry("i-1", revision=revision, era=era, draining=draining)
     state.apply(RunnerListed(entry), 0.0)
 
 
 def accepts(state: FleetState, now: float = 0.0) -> bool:
+    """Return whether the node sends requests to runner ``i-1``."""
     return [runner.runner_id for runner in state.pool.accepting(APPLICATION, now)] == ["i-1"]
 
 
-def test_a_leave_that_the_copy_lacks_holds(state: FleetState) -> None:
-    listed(state, 60, 3, draining=True)
-    listed(state, 50, 4)
+def test_a_leave_that_the_copy_lacks_stays_in_effect(state: FleetState) -> None:
+    apply_entry(state, 60, 3, draining=True)
+    apply_entry(state, 50, 4)
     assert not accepts(state)
 
 
-def test_a_runner_that_says_ready_after_a_restore_is_used_again(state: FleetState) -> None:
-    listed(state, 60, 3, draining=True)
-    listed(state, 50, 4)
-    listed(state, 61, 4)
+def test_a_runner_that_writes_that_it_is_ready_after_a_restore_is_used_again(
+    state: FleetState,
+) -> None:
+    apply_entry(state, 60, 3, draining=True)
+    apply_entry(state, 50, 4)
+    apply_entry(state, 61, 4)
     assert accepts(state)
 
 
-def test_an_entry_of_a_lower_revision_counts_after_a_restore(state: FleetState) -> None:
-    listed(state, 40, 4, draining=True)
+def test_an_entry_with_a_lower_revision_is_applied_after_a_restore(state: FleetState) -> None:
+    apply_entry(state, 40, 4, draining=True)
     assert not accepts(state)
 
 
-def test_a_runner_that_was_gone_is_used_once_it_has_outlived_its_entry(state: FleetState) -> None:
+def test_a_removed_runner_is_used_if_its_restored_entry_does_not_lapse(state: FleetState) -> None:
     state.apply(RunnerUnlisted("i-1", rev(60, era=3)), 0.0)
-    listed(state, 50, 4)
+    apply_entry(state, 50, 4)
     assert not accepts(state)
     state.expire(LAPSE_SECONDS)
     assert accepts(state, LAPSE_SECONDS)
 
 
-def test_a_runner_that_was_gone_and_writes_again_is_used_at_once(state: FleetState) -> None:
+def test_a_removed_runner_that_writes_again_is_used_at_once(state: FleetState) -> None:
     state.apply(RunnerUnlisted("i-1", rev(60, era=3)), 0.0)
-    listed(state, 50, 4)
-    listed(state, 58, 4)
+    apply_entry(state, 50, 4)
+    apply_entry(state, 58, 4)
     assert accepts(state)
 
 
-def test_a_runner_whose_entry_lapses_from_the_copy_stays_gone(state: FleetState) -> None:
+def test_a_removed_runner_whose_restored_entry_lapses_stays_removed(state: FleetState) -> None:
     state.apply(RunnerUnlisted("i-1", rev(60, era=3)), 0.0)
-    listed(state, 50, 4)
+    apply_entry(state, 50, 4)
     state.apply(RunnerUnlisted("i-1", rev(55, era=4)), 1.0)
     state.expire(2 * LAPSE_SECONDS)
     assert not accepts(state, 2 * LAPSE_SECONDS)
 
 
-def test_a_process_that_ended_is_not_put_in_the_place_of_the_next_one(state: FleetState) -> None:
+def test_an_ended_process_does_not_replace_its_successor(state: FleetState) -> None:
     first = replace(make_entry("i-1/1", revision=50, era=3), listed_as="i-1", started_ms=1)
     second = replace(make_entry("i-1/2", revision=60, era=3), listed_as="i-1", started_ms=2)
     for entry in (first, second, replace(first, revision=rev(50, era=4))):
@@ -115,7 +119,7 @@
     state.note_restored(0.0)
     state.retain_runners(set(), 0.1, rev(40, era=4))
     assert accepts(state, 0.2)
-    listed(state, 41, 4)
+    apply_entry(state, 41, 4)
     state.expire(5.0)
     assert accepts(state, 5.0)
 
@@ -127,8 +131,8 @@
     return known
 
 
-# Guards against a condemned version that is tried anew since the store has lost the verdict.
-def test_a_condemned_version_stays_closed_when_its_order_is_written_again(
+# Guards against a rejected version that gets requests again because the store lost the verdict.
+def test_a_rejected_version_stays_closed_when_its_order_is_written_again(
     rollouts: SoftwareRollouts,
 ) -> None:
     rollouts.condemn(SERVICE, ORDER.identity)
@@ -149,7 +153,7 @@
     assert not rollouts.has_lost_record(SERVICE)
 
 
-def test_an_earlier_stage_of_the_copy_undoes_nothing(rollouts: SoftwareRollouts) -> None:
+def test_an_earlier_stage_in_the_copy_does_not_undo_a_revert(rollouts: SoftwareRollouts) -> None:
     rollouts.take_record(REVERTED)
     rollouts.take_order(replace(ORDER, revision=rev(83, era=4)))
     canary = replace(
@@ -162,8 +166,8 @@
     rollouts.take_record(canary)
     assert rollouts.stage(SERVICE) is RolloutStage.REVERTED
     assert rollouts.has_lost_record(SERVICE)
-    kept = rollouts.record(SERVICE)
-    assert kept is not None and kept.revision == rev(84, era=4)
+    retained = rollouts.record(SERVICE)
+    assert retained is not None and retained.revision == rev(84, era=4)
 
 
 def test_another_order_after_a_restore_is_another_rollout(rollouts: SoftwareRollouts) -> None:
@@ -182,7 +186,7 @@
     assert rollouts.access(SERVICE, "v2") is VersionAccess.CLOSED
 
 
-def test_an_order_that_is_written_again_gives_no_second_exposure(state: FleetState) -> None:
+def test_an_order_that_is_written_again_grants_no_second_exposure(state: FleetState) -> None:
     state.exposure.share, state.exposure._slack = 0.05, 40.0
     state.apply(RolloutOrdered(ORDER), 0.0)
     for _ in range(10):
@@ -211,7 +215,7 @@
 
 @given(st.data())
 def test_a_change_was_acknowledged_after_what_is_proved(data: st.DataObject) -> None:
-    """Whatever is lost and given out again, no change is taken for a later one than it is."""
+    """No change is dated later than it was made, even if revisions are lost and assigned again."""
     proofs = StoreProofs()
     era, number, now = 0, 1, 0.0
     acknowledged = {1: 0.0}
--- a/tests/fleet/test_runner_restarts.py
+++ b/tests/fleet/test_runner_restarts.py
@@ -1,4 +1,4 @@
-"""A runner that starts again under its name is another process: nothing of the one before holds."""
+"""A restarted runner is a new process: no state of the previous process applies to it."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 def write(
     state: FleetState, born: int | None, revision: int, *, weights: int = 1, now: float = 10.0
 ) -> None:
-    """Take over an entry of the runner as its process writes it to the directory."""
+    """Apply an entry of the runner as its process writes it to the directory."""
     body: dict[str, object] = {
         "service": ENGINES,
         "address": "10.0.0.9:8000",
@@ -69,32 +69,32 @@
     return [runner.runner_id for runner in state.pool.accepting(ENGINES, now)]
 
 
-def test_nothing_that_is_believed_of_a_process_holds_for_the_next_one() -> None:
+def test_no_state_of_a_process_applies_to_the_next_one() -> None:
     state = make_fleet()
-    before = runner_of(state, FIRST)
+    previous = runner_of(state, FIRST)
     pool = state.pool
-    pool.note_loading(before, MODEL, 4, 9.0)
-    pool.observe_weights(before, MODEL, 4)
-    pool.sent(before, "r-1/1", OwnAttempt(5_000, 6_000, 9.0, 9.5), 1_000.0)
-    pool.note_peer_load(before, "node-2", RunnerLoad(3, 1, 900), 9.0)
-    pool.failed(before, 9.9)
+    pool.note_loading(previous, MODEL, 4, 9.0)
+    pool.observe_weights(previous, MODEL, 4)
+    pool.sent(previous, "r-1/1", OwnAttempt(5_000, 6_000, 9.0, 9.5), 1_000.0)
+    pool.note_peer_load(previous, "node-2", RunnerLoad(3, 1, 900), 9.0)
+    pool.failed(previous, 9.9)
     state.index.note(FIRST, "salt", [PART])
     write(state, 2_000, 11, weights=3)
     after = runner_of(state, SECOND)
     assert usable(state) == [SECOND]
-    assert before.has_ended and not before.stays(10.0)
+    assert previous.has_ended and not previous.stays(10.0)
     assert (after.weights_after_load(MODEL), after.running(10.0)) == (3, 0)
     assert (after.prefill_wait(10.0), after.failures) == (0.0, 0)
     for runner_id in (FIRST, SECOND):
         assert state.index.matched_tokens(runner_id, "salt", [PART]) == 0
 
 
-def test_late_words_of_the_directory_on_the_process_before_are_passed_over() -> None:
+def test_late_directory_events_of_the_previous_process_are_ignored() -> None:
     state = make_fleet()
     write(state, 2_000, 12)
     write(state, 1_000, 11)
     assert usable(state) == [SECOND]
-    # The entry of the process before has lapsed, which was heard after the next one's.
+    # The lapse of the first process's entry arrives after the entry of the second process.
     state.apply(RunnerUnlisted("i-1", rev(11)), 10.0)
     assert usable(state) == [SECOND]
     state.apply(RunnerUnlisted("i-1", rev(13)), 10.0)
@@ -105,14 +105,14 @@
     assert usable(state) == [SECOND]
 
 
-def test_a_write_of_the_process_before_that_is_carried_out_late_lasts_until_the_next_one() -> None:
+def test_a_late_write_of_the_previous_process_is_in_effect_until_the_next_write() -> None:
     state = make_fleet()
     write(state, 2_000, 12)
     after = runner_of(state, SECOND)
     state.index.note(SECOND, "salt", [PART])
     write(state, 1_000, 13)
     assert usable(state) == [FIRST]
-    # The process that lives may be at work: what it does is not given up.
+    # The second process is alive and may be at work, so its requests are not given up.
     assert not after.has_ended
     write(state, 2_000, 14)
     assert usable(state) == [SECOND]
@@ -126,7 +126,7 @@
     assert usable(state) == ["i-1#500"]
 
 
-def test_words_of_peers_on_the_process_before_change_nothing_at_the_next_one() -> None:
+def test_notices_of_peers_on_the_previous_process_do_not_change_the_next_one() -> None:
     state = make_fleet()
     write(state, 2_000, 11)
     reader = NoticeReader(state, "zone-a")
@@ -148,7 +148,7 @@
     assert state.index.matched_tokens(SECOND, "salt", [PART]) == 0
 
 
-def test_a_process_that_a_peer_saw_followed_by_another_gets_nothing_more() -> None:
+def test_a_process_that_a_peer_reports_as_replaced_gets_no_requests() -> None:
     state = make_fleet()
     notice = NodeNotice(PROTOCOL_VERSION, "node-2", restarted=[FIRST])
     assert notice.is_urgent() and notice.is_news()
@@ -158,7 +158,7 @@
     assert usable(state) == [SECOND]
 
 
-def test_each_process_that_was_followed_by_another_is_told_once() -> None:
+def test_each_replaced_process_is_reported_once() -> None:
     state = make_fleet()
     ended: list[str] = []
     state.handle_restarted(lambda runner: ended.append(runner.runner_id))
@@ -170,7 +170,7 @@
     assert ended == [FIRST, SECOND]
 
 
-def test_an_entry_that_does_not_say_when_its_process_started_names_none_that_does() -> None:
+def test_an_entry_without_a_start_time_names_no_process_with_one() -> None:
     state = make_fleet()
     write(state, None, 11)
     assert usable(state) == []
@@ -178,19 +178,19 @@
     assert usable(state) == [FIRST]
 
 
-def test_without_a_start_a_runner_is_its_name() -> None:
+def test_without_a_start_time_a_runner_is_identified_by_its_name() -> None:
     state = make_fleet(born=None)
     assert usable(state) == ["i-1"]
     runner_of(state, "i-1").weights[MODEL] = 4
     write(state, None, 11)
     assert usable(state) == ["i-1"]
     assert runner_of(state, "i-1").weights_version(MODEL) == 4
-    # It is compared with another start of the same name only: one that has it came later.
+    # An entry with a start time replaces one without, whatever its start time is.
     write(state, 500, 12)
     assert usable(state) == ["i-1#500"]
 
 
-def test_only_an_answer_of_a_later_process_says_that_one_has_ended() -> None:
+def test_only_an_answer_of_a_later_process_shows_that_a_process_has_ended() -> None:
     check_process(FIRST, 1_000, "report")
     check_process(FIRST, 0, "report")
     check_process("i-1", 5_000, "report")
@@ -202,7 +202,7 @@
 
 
 @given(st.text(), st.integers(0, 10**14), st.text(), st.integers(0, 10**14))
-def test_identifiers_of_processes_are_told_apart_and_lead_back(
+def test_process_identifiers_are_distinct_and_reversible(
     instance: str, born: int, other: str, other_born: int
 ) -> None:
     runner_id = runner_id_of(instance, born)
@@ -211,7 +211,7 @@
     assert (runner_id == runner_id_of(other, other_born)) == same
 
 
-def test_two_ends_under_one_name_are_two() -> None:
+def test_two_crashes_of_processes_of_one_name_are_counted_separately() -> None:
     record = RunnerEndRecord()
     record.note_end(FIRST, 9.0, {7: RunAtEnd(0.1)}, 9.0)
     assert record.suspicion(7, 9.5) is Suspicion.SUSPECT
--- a/tests/stateful/test_restored_store.py
+++ b/tests/stateful/test_restored_store.py
@@ -1,4 +1,4 @@
-"""Nodes that follow a store which comes back from older copies of itself at any moment."""
+"""Nodes that follow a store which may be restored from an older copy at any moment."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 ZONES = 2
 RUNNERS = ("i-0", "i-1", "i-2", "i-3")
 NODE_NAMES = st.sampled_from([f"node-{number}" for number in range(NODES)])
-# In which a change is known everywhere, and what a restart adds to it.
+# Time within which all nodes know a change, and time to settle after the last fault.
 BOUND_SECONDS = 2.0
 SETTLE_SECONDS = 6.0
-# Runners and operator write again within that, and entries of runners that are gone lapse.
+# Interval at which runners write their entries, and time after which the entry of a stopped runner
+# lapses.
 HEARTBEAT_SECONDS = 1.2
 LAPSE_SECONDS = 3.6
 
 
 class RestoredStore(RuleBasedStateMachine):
-    """A few nodes, a store, its operator and runners."""
+    """A few nodes, a store, an operator and runners."""
 
     def __init__(self) -> None:
         super().__init__()
         self.network = NodeNetwork(NODES, ZONES)
-        # What runners and operator have said last, whatever the store has kept of it.
+        # What runners and operator wrote last, whether or not the store still has it.
         self.runners = dict.fromkeys(RUNNERS, "ready")
         self.weights = 1
         self.seq = 1
@@ -46,9 +47,9 @@
         self.network.run(SETTLE_SECONDS)
         self.lapse()
         self.network.run(SETTLE_SECONDS)
-        unknown = self.differing()
+        differences = self.find_differences()
         self.network.close()
-        assert not unknown
+        assert not differences
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 1.5]))
     def pass_time(self, seconds: float) -> None:
@@ -107,13 +108,13 @@
         self.newest.pop(name, None)
         self.network.add(name, self.network.nodes[name].zone)
 
-    @precondition(lambda self: not self.is_disturbed())
+    @precondition(lambda self: not self.has_fault())
     @rule()
     def leaves_are_known_in_time(self) -> None:
         self.network.run(BOUND_SECONDS + HEARTBEAT_SECONDS)
         self.write_again()
         self.network.run(BOUND_SECONDS)
-        assert not self.wrongly_used()
+        assert not self.leaving_but_used()
 
     @invariant()
     def no_node_goes_back_to_older_weights(self) -> None:
@@ -122,12 +123,12 @@
             assert newest >= self.newest.get(name, 0)
             self.newest[name] = newest
 
-    def is_disturbed(self) -> bool:
+    def has_fault(self) -> bool:
         store = self.network.store
         return store.down_for != set() or any(n.cut for n in self.network.nodes.values())
 
-    def wrongly_used(self) -> list[tuple[str, str]]:
-        """Return the nodes that would use a runner that leaves."""
+    def leaving_but_used(self) -> list[tuple[str, str]]:
+        """Return the pairs of a node and a leaving runner to which it would send requests."""
         now = self.network.scheduler.now
         return [
             (name, runner.runner_id)
@@ -136,8 +137,8 @@
             if runner.accepts(now) and self.runners.get(runner.runner_id) == "draining"
         ]
 
-    def differing(self) -> list[tuple[str, str]]:
-        """Return what nodes know otherwise than runners and operator have said."""
+    def find_differences(self) -> list[tuple[str, str]]:
+        """Return where nodes differ from what runners and operator wrote last."""
         now = self.network.scheduler.now
         ready = {name for name, state in self.runners.items() if state == "ready"}
         found = []
@@ -159,13 +160,13 @@
         self.network.store.put(f"{names.WEIGHTS_PREFIX}{MODEL}", body)
 
     def write_again(self) -> None:
-        """Let operator and runners write what the store may have lost."""
+        """Let operator and runners write again what the store may have lost."""
         self.write_weights()
         for runner_id in self.runners:
             self.write(runner_id)
 
     def lapse(self) -> None:
-        """Let the entries of runners that have ended lapse."""
+        """Remove the entries of runners that have ended."""
         for key in list(self.network.store.items):
             runner_id = key.removeprefix(names.RUNNERS_PREFIX)
             if key.startswith(names.RUNNERS_PREFIX) and runner_id not in self.runners:
--- a/tests/stateful/test_runner_restarts.py
+++ b/tests/stateful/test_runner_restarts.py
@@ -1,4 +1,4 @@
-"""Restarts of a runner under one name, as two nodes hear of them: late, lost and repeated."""
+"""Restarts of a runner under one name, of which two nodes learn late, repeatedly or not at all."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
 
 NAME = "i-1"
 NODES = st.sampled_from([0, 1])
-# What is told of a process names its number, so that it can be told from words on another one.
+# Factor by which the weights version of each process encodes the number of the process, so that
+# state of one process can be told from that of another.
 WEIGHTS_OF_PROCESS = 100
 
 
 def entry_of(process: int, revision: int) -> RunnerEntry:
-    """Return the runner's entry as one of its processes writes it."""
+    """Return the entry of the runner that one of its processes writes."""
     return RunnerEntry(
         runner_id_of(NAME, process),
         ENGINES,
@@ -54,8 +55,8 @@
         self.history: list[StoreEvent] = []
         self.notices: list[NodeNotice] = []
         self.states: list[FleetState] = []
-        # The latest revision that each node has heard of, of an entry.
-        self.heard = [rev(0), rev(0)]
+        # The latest revision of an entry that each node has received.
+        self.latest_received = [rev(0), rev(0)]
         for number in range(2):
             state = make_state(make_table(make_route()))
             state.node_id = f"node-{number}"
@@ -76,7 +77,7 @@
         self.write(self.process)
 
     @rule()
-    def write_of_the_process_before_is_carried_out_late(self) -> None:
+    def write_of_the_previous_process_is_applied_late(self) -> None:
         self.write(max(1, self.process - 1))
 
     @rule()
@@ -85,16 +86,16 @@
         self.history.append(RunnerUnlisted(NAME, rev(self.revision)))
 
     @rule(node=NODES, which=st.integers(0, 200))
-    def hear_of_the_directory(self, node: int, which: int) -> None:
-        """Hear any change, also one that is older than what is known, or was heard before."""
+    def receive_directory_event(self, node: int, which: int) -> None:
+        """Apply any change, even one that is outdated or was applied before."""
         event = self.history[which % len(self.history)]
         if isinstance(event, RunnerListed):
-            self.heard[node] = max(self.heard[node], event.entry.revision)
+            self.latest_received[node] = max(self.latest_received[node], event.entry.revision)
         self.states[node].apply(event, self.now)
 
     @rule(node=NODES)
-    def tell_of_the_process_in_use(self, node: int) -> None:
-        """Tell the peer what is believed of the process that this node uses."""
+    def notify_peer_of_the_process_in_use(self, node: int) -> None:
+        """Send the peer a notice on the process that this node uses."""
         runner = self.states[node].pool.listed_as(NAME)
         if runner is None:
             return
@@ -115,7 +116,7 @@
 
     @rule(node=NODES)
     def a_later_process_answers(self, node: int) -> None:
-        """Hear of the latest process by its answer, before the directory, and tell the peer."""
+        """Learn of the latest process from an answer, before the directory; notify the peer."""
         runner = self.states[node].pool.listed_as(NAME)
         if runner is None or runner.entry.started_ms >= self.process:
             return
@@ -124,8 +125,8 @@
         self.notices.append(notice)
 
     @rule(node=NODES, which=st.integers(0, 200))
-    def hear_a_peer(self, node: int, which: int) -> None:
-        # A node is not told what it said itself: neither its peers nor its relay send that back.
+    def receive_notice_of_peer(self, node: int, which: int) -> None:
+        # A node never receives its own notices: neither its peers nor its relay send them back.
         others = [notice for notice in self.notices if notice.node_id != f"node-{node}"]
         if not others:
             return
@@ -140,12 +141,12 @@
         for node, state in enumerate(self.states):
             state.expire(self.now)
             if not state.pool.is_outdated(entry_of(0, 0)):
-                # The last process was gone for long: the name is forgotten.
-                self.heard[node] = rev(0)
+                # The node has forgotten the name, since its last process was unlisted for long.
+                self.latest_received[node] = rev(0)
 
     @rule()
-    def both_nodes_hear_the_latest(self) -> None:
-        """After the runner's next heartbeat both nodes use its latest process, and no other."""
+    def both_nodes_receive_the_latest_entry(self) -> None:
+        """After the next heartbeat of the runner both nodes use its latest process only."""
         self.heartbeat()
         for state in self.states:
             state.apply(self.history[-1], self.now)
@@ -153,7 +154,7 @@
             assert [r.entry.started_ms for r in state.pool.accepting(ENGINES, later)] == [
                 self.process
             ]
-        self.heard = [rev(self.revision), rev(self.revision)]
+        self.latest_received = [rev(self.revision), rev(self.revision)]
 
     @invariant()
     def at_most_one_process_of_a_name_is_known(self) -> None:
@@ -161,7 +162,7 @@
             assert len(state.pool.all()) <= 1
 
     @invariant()
-    def what_is_believed_of_a_process_is_its_own(self) -> None:
+    def state_of_a_process_comes_from_that_process(self) -> None:
         for state in self.states:
             for runner in state.pool.all():
                 process = runner.entry.started_ms
@@ -171,10 +172,10 @@
                 assert {part.part_id for _, part in parts} <= {f"part-{process}"}
 
     @invariant()
-    def no_process_is_used_after_a_later_entry_was_heard_of(self) -> None:
-        for state, heard in zip(self.states, self.heard, strict=True):
+    def no_process_is_used_after_a_later_entry_was_received(self) -> None:
+        for state, latest_received in zip(self.states, self.latest_received, strict=True):
             for runner in state.pool.all():
-                assert runner.entry.revision >= heard
+                assert runner.entry.revision >= latest_received
 
 
 TestRestartsUnderOneName = RestartsUnderOneName.TestCase
--- a/tests/stateful/test_runner_signals.py
+++ b/tests/stateful/test_runner_signals.py
@@ -1,4 +1,4 @@
-"""Runners that leave or ask for a backoff: signals, entries and hints in any order."""
+"""Runners that leave or ask for a backoff, with signals, entries and hints in any order."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class SignalsInAnyOrder(RuleBasedStateMachine):
-    """Two runners that start again under their names, a directory, and one node.
+    """Two runners that restart under their names, a directory, and one node.
 
-    The model holds what each process has said to the node; the node may forget nothing of it, and
-    nothing else may count against a process.
+    The model records the signals that each process has sent to the node. The node must not forget
+    any of them, and must not hold back a process for any other reason.
     """
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         self.history: list[StoreEvent] = []
         self.state: FleetState = make_state(make_table(make_route()))
         for name in RUNNERS:
-            self.start_again(name)
+            self.restart(name)
             self.state.apply(self.history[-1], self.now)
 
     def latest(self, name: str) -> str:
@@ -59,7 +59,7 @@
         self.history.append(RunnerListed(entry))
 
     @rule(name=NAMES)
-    def start_again(self, name: str) -> None:
+    def restart(self, name: str) -> None:
         self.process[name] += 1
         self.write(name, self.process[name])
 
@@ -68,11 +68,11 @@
         self.write(name, self.process[name])
 
     @rule(name=NAMES)
-    def write_of_an_earlier_start_is_carried_out_late(self, name: str) -> None:
+    def write_of_the_previous_process_is_applied_late(self, name: str) -> None:
         self.write(name, max(1, self.process[name] - 1))
 
     @rule(name=NAMES)
-    def say_to_the_directory_that_it_leaves(self, name: str) -> None:
+    def write_to_the_directory_that_it_leaves(self, name: str) -> None:
         self.write(name, self.process[name], draining=True)
 
     @rule(name=NAMES)
@@ -81,12 +81,12 @@
         self.history.append(RunnerUnlisted(name, rev(self.revision)))
 
     @rule(which=st.integers(0, 300))
-    def hear_of_the_directory(self, which: int) -> None:
-        """Hear any change, also an old one, or one that was heard before."""
+    def receive_directory_event(self, which: int) -> None:
+        """Apply any change, even one that is outdated or was applied before."""
         self.state.apply(self.history[which % len(self.history)], self.now)
 
     @rule()
-    def read_the_whole_list_anew(self) -> None:
+    def reload_directory(self) -> None:
         listed = {name for name in RUNNERS if self.process[name] % 2}
         self.state.retain_runners(listed, self.now, rev(self.revision))
 
@@ -95,8 +95,8 @@
         self.state.store_regained(self.now)
 
     @rule(name=NAMES, back=st.integers(0, 1))
-    def answer_says_that_it_leaves(self, name: str, back: int) -> None:
-        """Hear it of the latest process, or late of the one before."""
+    def answer_signals_that_it_leaves(self, name: str, back: int) -> None:
+        """Receive the signal from the latest process, or late from the previous one."""
         runner_id = runner_id_of(name, max(1, self.process[name] - back))
         self.left.add(runner_id)
         self.state.pool.hear(runner_id, RunnerSignals(leaving=True), SOURCE, self.now)
@@ -110,7 +110,7 @@
 
     @rule(name=NAMES)
     def answer_without_a_signal(self, name: str) -> None:
-        """Hear success or a plain refusal of an attempt that was under way."""
+        """Receive a success and a refusal without a backoff for attempts that were under way."""
         runner = self.state.pool.get(self.latest(name))
         if runner is not None:
             self.state.pool.heard(runner, self.now)
@@ -118,7 +118,7 @@
             self.state.pool.shed(runner, self.now)
 
     @rule(name=NAMES, back=st.integers(0, 1))
-    def hear_a_peer(self, name: str, back: int) -> None:
+    def receive_notice_of_peer(self, name: str, back: int) -> None:
         runner_id = runner_id_of(name, max(1, self.process[name] - back))
         notice = NodeNotice(PROTOCOL_VERSION, "node-2", leaving=[runner_id])
         NoticeReader(self.state, "zone-a").take(notice, self.now)
@@ -129,25 +129,25 @@
         self.state.expire(self.now)
 
     @rule(name=NAMES)
-    def a_later_start_is_used_at_once(self, name: str) -> None:
-        """Nothing that was said before keeps requests from the next process."""
-        self.start_again(name)
+    def next_process_is_used_at_once(self, name: str) -> None:
+        """Signals of earlier processes keep no requests from the next one."""
+        self.restart(name)
         self.state.apply(self.history[-1], self.now)
         runner = self.state.pool.get(self.latest(name))
         assert runner is not None and runner.accepts(self.now)
 
     @invariant()
-    def who_leaves_or_backs_off_gets_no_request(self) -> None:
+    def runners_that_leave_or_back_off_get_no_request(self) -> None:
         for runner in self.state.pool.accepting(ENGINES, self.now):
             assert runner.runner_id not in self.left
             assert self.now >= self.backoff_until.get(runner.runner_id, 0.0)
 
     @invariant()
-    def nobody_else_is_held_back(self) -> None:
+    def no_other_runner_is_held_back(self) -> None:
         held_back = {r.runner_id for r in self.state.pool.held_back(ENGINES, self.now)}
-        said = self.left | {r for r, until in self.backoff_until.items() if self.now < until}
+        signalled = self.left | {r for r, until in self.backoff_until.items() if self.now < until}
         listed = {runner.runner_id for runner in self.state.pool.all()}
-        assert held_back == said & listed
+        assert held_back == signalled & listed
 
 
 TestSignalsInAnyOrder = SignalsInAnyOrder.TestCase
