--- a/tests/fleet/test_runner_limits.py
+++ b/tests/fleet/test_runner_limits.py
@@ -1,6 +1,6 @@
-"""Limits that runners name for all nodes together: what an answer says, who hears it, what is sent.
+"""Limits that runners name for all nodes together: reading, exchange between nodes, and effect.
 
-``test_runner_limits_process`` tells what happened before they were kept.
+``test_runner_limits_process`` describes the failures seen while nodes ignored the limits.
 """
 
 from __future__ import annotations
@@ -71,10 +71,11 @@
     *,
     is_whole: bool = True,
 ) -> AnswerSource:
+    """Return the source of an answer with status 200."""
     return AnswerSource(kind, 200, asked_seconds_ago, is_whole=is_whole)
 
 
-# What an answer says.
+# Reading a limit from an answer.
 
 
 @pytest.mark.parametrize(
@@ -97,28 +98,28 @@
         ("9" * 400, MAX_LIMIT),
     ],
 )
-def test_a_limit_is_a_decimal_number_and_whatever_else_it_says_is_none(
+def test_a_limit_is_a_decimal_number_and_any_other_text_is_no_limit(
     text: str, limit: float | None
 ) -> None:
     assert limit_of(text) == limit
 
 
 @pytest.mark.parametrize("status", [200, 421, 429, 500, 503, 504])
-def test_answers_of_any_status_name_it(status: int) -> None:
+def test_answers_of_any_status_name_a_limit(status: int) -> None:
     assert signals_of(status, {names.REQUEST_LIMIT: "2"}).limit == 2.0
 
 
-def test_a_runner_that_takes_none_is_asked_seldom() -> None:
+def test_a_runner_with_limit_zero_is_probed_seldom() -> None:
     limit = RunnerLimit()
     limit.take(0.0, REQUEST, NOW)
     assert limit.in_force(NOW) == 0.0
     assert limit.rate_to_use(NOW) == LEAST_RATE
 
 
-# Which answer counts.
+# Which answer is in effect.
 
 
-def test_an_answer_without_it_ends_it() -> None:
+def test_an_answer_without_a_limit_ends_the_limit() -> None:
     limit = RunnerLimit()
     assert limit.take(2.0, answer(), NOW)
     assert not limit.take(2.0, answer(), NOW + 1)
@@ -127,7 +128,7 @@
     assert limit.in_force(NOW + 3) is None
 
 
-def test_one_that_was_asked_for_before_the_limit_came_does_not_end_it() -> None:
+def test_an_answer_requested_before_the_limit_was_named_does_not_end_it() -> None:
     limit = RunnerLimit()
     limit.take(2.0, answer(0.1), NOW)
     assert not limit.take(None, answer(0.3), NOW + 0.1)
@@ -135,7 +136,7 @@
     assert limit.take(None, answer(0.05), NOW + 0.1)
 
 
-def test_an_old_answer_that_comes_late_does_not_bring_it_back() -> None:
+def test_a_late_answer_does_not_restore_an_ended_limit() -> None:
     limit = RunnerLimit()
     limit.take(2.0, answer(), NOW)
     limit.take(None, answer(0.1), NOW + 1)
@@ -144,21 +145,21 @@
     assert limit.take(2.0, answer(0.1), NOW + 1.2)
 
 
-def test_of_two_limits_that_of_the_request_sent_later_counts() -> None:
+def test_of_two_limits_the_one_requested_later_is_in_effect() -> None:
     limit = RunnerLimit()
     limit.take(0.5, answer(0.1), NOW)
     assert not limit.take(8.0, answer(0.5), NOW + 0.1)
     assert limit.in_force(NOW + 0.1) == 0.5
 
 
-def test_a_failure_or_a_refusal_without_it_does_not_end_it() -> None:
+def test_a_failure_or_a_refusal_without_a_limit_does_not_end_the_limit() -> None:
     limit = RunnerLimit()
     limit.take(2.0, answer(), NOW)
     assert not limit.take(None, answer(is_whole=False), NOW + 1)
     assert limit.in_force(NOW + 1) == 2.0
 
 
-def test_other_answers_end_it_only_where_they_have_named_it() -> None:
+def test_answers_of_another_kind_end_a_limit_only_if_that_kind_has_named_it() -> None:
     limit = RunnerLimit()
     limit.take(2.0, answer(), NOW)
     assert not limit.take(None, answer(kind=AnswerKind.CACHE), NOW + 1)
@@ -166,7 +167,7 @@
     assert limit.take(None, answer(kind=AnswerKind.CACHE), NOW + 3)
 
 
-def test_the_next_process_is_free_of_it() -> None:
+def test_the_next_process_has_no_limit() -> None:
     pool = RunnerPool()
     pool.update(make_entry("i-1"))
     pool.hear_limit("i-1", 2.0, REQUEST, NOW)
@@ -179,7 +180,7 @@
     assert not pool.limited(NOW + 60.0)
 
 
-def test_it_holds_for_a_process_that_the_directory_drops_and_lists_again() -> None:
+def test_a_limit_stays_in_effect_for_a_process_that_is_unlisted_and_listed_again() -> None:
     pool = RunnerPool()
     pool.update(make_entry("i-1", revision=1))
     pool.hear_limit("i-1", 2.0, REQUEST, NOW)
@@ -190,19 +191,17 @@
     assert runner is not None and runner.signals.limit.in_force(NOW + 60.0) == 2.0
 
 
-# What peers say.
+# Notices of peers.
 
 
-def test_a_peers_word_of_a_limit_lapses() -> None:
+def test_a_limit_reported_by_a_peer_lapses() -> None:
     limit = RunnerLimit()
     assert not limit.hint(2.0, 0.1, NOW)
     assert limit.in_force(NOW) == 2.0
     assert limit.in_force(NOW + HINT_SECONDS) is None
 
 
-def test_a_peers_word_of_a_lower_limit_counts_and_of_a_higher_one_only_if_it_is_surely_later() -> (
-    None
-):
+def test_a_peer_lowers_a_limit_at_once_and_raises_it_only_if_its_report_is_surely_later() -> None:
     limit = RunnerLimit()
     limit.take(2.0, REQUEST, NOW)
     limit.hint(8.0, 1.0, NOW + 1)
@@ -213,7 +212,7 @@
     assert limit.in_force(NOW + 2) == 8.0
 
 
-def test_a_peers_word_that_is_older_than_the_end_is_known_better() -> None:
+def test_a_peers_report_older_than_the_end_of_a_limit_is_rejected_as_outdated() -> None:
     limit = RunnerLimit()
     limit.take(2.0, REQUEST, NOW)
     limit.take(None, answer(0.1), NOW + 1)
@@ -222,7 +221,7 @@
     assert not limit.hint(2.0, 0.1, NOW + 1.2)
 
 
-def test_a_peers_word_that_it_has_ended_lets_one_request_ask() -> None:
+def test_a_peers_report_of_an_end_lets_one_request_probe_the_limit() -> None:
     limit = RunnerLimit()
     limit.take(2.0, REQUEST, NOW)
     limit.hint_end(0.1, NOW + 1)
@@ -231,14 +230,14 @@
     assert limit.take(None, REQUEST, NOW + 1.1)
 
 
-def test_a_peers_word_of_an_end_before_the_latest_answer_says_nothing() -> None:
+def test_a_peers_report_of_an_end_before_the_latest_answer_is_ignored() -> None:
     limit = RunnerLimit()
     limit.take(2.0, REQUEST, NOW)
     limit.hint_end(1.0, NOW + 0.5)
     assert not limit.take_probe()
 
 
-def test_a_peers_word_of_an_end_ends_what_was_known_from_peers_alone() -> None:
+def test_a_peers_report_of_an_end_ends_a_limit_known_from_peers_alone() -> None:
     limit = RunnerLimit()
     limit.hint(2.0, 0.0, NOW)
     limit.hint_end(0.0, NOW + 1)
@@ -251,32 +250,36 @@
     outdated: list[str] = []
     reader.handle_outdated_limits(outdated.append)
 
-    def tell(rate: float, age_ms: int, now: float) -> None:
-        told = [LimitNotice("i-1", rate, age_ms), LimitNotice("i-unknown", rate, age_ms)]
-        reader.take(NodeNotice(PROTOCOL_VERSION, "node-2", limits=told), now)
+    def receive(rate: float, age_ms: int, now: float) -> None:
+        notices = [LimitNotice("i-1", rate, age_ms), LimitNotice("i-unknown", rate, age_ms)]
+        reader.take(NodeNotice(PROTOCOL_VERSION, "node-2", limits=notices), now)
 
-    tell(2.0, 10, NOW)
+    receive(2.0, 10, NOW)
     assert state.pool.limit_of("i-1", NOW) == 2.0
     assert state.pool.limit_of("i-unknown", NOW) is None
-    tell(NO_LIMIT, 10, NOW + 1)
+    receive(NO_LIMIT, 10, NOW + 1)
     assert state.pool.limit_of("i-1", NOW + 1) is None
     state.pool.hear_limit("i-1", 2.0, REQUEST, NOW + 2)
     state.pool.hear_limit("i-1", None, REQUEST, NOW + 3)
-    tell(2.0, 500, NOW + 3.1)
+    receive(2.0, 500, NOW + 3.1)
     assert outdated == ["i-1"]
 
 
-# What becomes of requests.
+# Effect on requests.
 
 
 class LimitedBench:
-    """A pipeline over fake runners, of which some name limits; a fake sum says what has room."""
+    """A pipeline over fake runners, some of which name limits, with a fake limiter.
+
+    Attributes:
+        limiter: Replaces the token buckets that all nodes share.
+    """
 
     def __init__(self, bench: Bench, *limited: str) -> None:
         self.bench = bench
-        self.sum = FakeLimiter()
+        self.limiter = FakeLimiter()
         self.limits = RunnerLimits(
-            bench.state.pool, self.sum, FleetMetrics(), bench.scheduler.clock
+            bench.state.pool, self.limiter, FleetMetrics(), bench.scheduler.clock
         )
         bench.pipeline._runner_limits = self.limits
         for runner_id in limited:
@@ -286,28 +289,28 @@
         return [dispatch.runner_id for dispatch in self.bench.client.dispatches]
 
 
-def test_a_request_that_has_room_is_sent_and_counted() -> None:
+def test_a_request_within_the_limit_is_sent_and_counted() -> None:
     limited = LimitedBench(make_bench(i_1=answers(b"a")), "i-1")
     sink, error = limited.bench.serve(make_request())
     assert (sink.status, error) == (200, None)
-    assert [(name, cost) for name, cost, _ in limited.sum.taken] == [("i-1", 1.0)]
+    assert [(name, cost) for name, cost, _ in limited.limiter.taken] == [("i-1", 1.0)]
 
 
-def test_without_room_it_goes_elsewhere_at_once_and_the_runner_is_passed_over() -> None:
+def test_without_room_a_request_goes_to_another_runner_at_once() -> None:
     bench = make_bench(i_1=answers(b"a"), i_2=answers(b"b"))
     limited = LimitedBench(bench, "i-1")
-    limited.sum.wait = 30.0
+    limited.limiter.wait = 30.0
     for _ in range(20):
         began_at = bench.scheduler.now
         sink, error = bench.serve(make_request(), 0.01)
         assert (sink.status, error) == (200, None)
         assert bench.scheduler.now - began_at <= 0.011
     assert limited.sent_to() == ["i-2"] * 20
-    assert len(limited.sum.taken) <= 1
+    assert len(limited.limiter.taken) <= 1
 
 
-def test_each_attempt_takes_room_of_its_own() -> None:
-    """First tries, repeats after a refusal and after a break: each reaches a runner."""
+def test_each_attempt_takes_tokens() -> None:
+    """First attempts and retries after a refusal or a broken connection each reach a runner."""
     full = refuses(RefusalCause.FULL)
     limited = LimitedBench(
         make_bench(i_1=full, i_2=breaks(), i_3=answers(b"c")), "i-1", "i-2", "i-3"
@@ -315,31 +318,31 @@
     limited.bench.state.budget.on_request("application", 0.0)
     sink, _ = limited.bench.serve(make_request())
     assert sink.status == 200
-    assert [name for name, _, _ in limited.sum.taken] == limited.sent_to()
+    assert [name for name, _, _ in limited.limiter.taken] == limited.sent_to()
     assert len(limited.sent_to()) >= 2
 
 
-def test_a_stream_that_goes_on_elsewhere_takes_room_there() -> None:
+def test_a_stream_resumed_at_another_runner_takes_tokens_there() -> None:
     bench = make_stream_bench(i_1=answers(EVENTS[0], RESET), i_2=answers(EVENTS[0], RESET))
     limited = LimitedBench(bench, "i-1", "i-2")
     bench.serve(make_request("/gen/x", parts=PARTS))
-    assert [name for name, _, _ in limited.sum.taken] == limited.sent_to()
+    assert [name for name, _, _ in limited.limiter.taken] == limited.sent_to()
 
 
-def test_where_all_are_limited_a_request_waits_if_it_is_in_time() -> None:
+def test_a_request_waits_for_room_if_all_runners_are_limited_and_it_is_still_in_time() -> None:
     bench = make_bench(i_1=answers(b"a"))
     limited = LimitedBench(bench, "i-1")
-    limited.sum.wait = 0.2
-    bench.scheduler.at(0.1, lambda: setattr(limited.sum, "wait", 0.0))
+    limited.limiter.wait = 0.2
+    bench.scheduler.at(0.1, lambda: setattr(limited.limiter, "wait", 0.0))
     sink, error = bench.serve(make_request())
     assert (sink.status, error) == (200, None)
     assert limited.sent_to() == ["i-1"]
 
 
-def test_where_all_are_limited_for_longer_it_is_refused_at_once_with_when_to_return() -> None:
+def test_a_request_is_refused_with_a_retry_time_if_all_runners_are_limited_for_longer() -> None:
     bench = make_bench(i_1=answers(b"a"), i_2=answers(b"b"))
     limited = LimitedBench(bench, "i-1", "i-2")
-    limited.sum.wait = 3.0
+    limited.limiter.wait = 3.0
     waits: list[float] = []
     for _ in range(20):
         _, error = bench.serve(make_request(), 0.01)
@@ -348,10 +351,10 @@
     assert limited.sent_to() == []
     assert min(waits) >= 0.5 * LONGEST_PAUSE_SECONDS
     assert max(waits) - min(waits) >= 0.1
-    assert len(limited.sum.taken) == 2
+    assert len(limited.limiter.taken) == 2
 
 
-def test_a_silent_sum_keeps_no_request_waiting() -> None:
+def test_a_limiter_that_does_not_answer_delays_no_request() -> None:
     bench = make_bench(i_1=answers(b"a"), i_2=answers(b"b"))
     limited = LimitedBench(bench, "i-1")
 
@@ -359,7 +362,7 @@
         await asyncio.sleep(1_000.0)
         return 0.0
 
-    limited.sum.take = never  # type: ignore[method-assign]
+    limited.limiter.take = never  # type: ignore[method-assign]
     for _ in range(6):
         sink, error = bench.serve(make_request(), ANSWER_SECONDS + 0.01)
         assert (sink.status, error) == (200, None)
@@ -367,20 +370,20 @@
     assert SILENT_SECONDS > ANSWER_SECONDS
 
 
-def test_it_is_back_in_use_as_soon_as_an_answer_names_no_limit() -> None:
+def test_a_runner_is_used_again_as_soon_as_an_answer_names_no_limit() -> None:
     bench = make_bench(i_1=answers(b"a"))
     limited = LimitedBench(bench, "i-1")
-    limited.sum.wait = 3.0
+    limited.limiter.wait = 3.0
     bench.serve(make_request(), 0.01)
     bench.state.pool.hear_limit("i-1", None, REQUEST, bench.scheduler.now)
     sink, error = bench.serve(make_request(), 0.01)
     assert (sink.status, error) == (200, None)
 
 
-def test_a_peers_word_of_the_end_lets_one_request_through_without_room() -> None:
+def test_a_peers_report_of_an_end_lets_one_request_pass_without_room() -> None:
     bench = make_bench(i_1=answers(b"a"), i_2=answers(b"b"))
     limited = LimitedBench(bench, "i-1")
-    limited.sum.wait = 3.0
+    limited.limiter.wait = 3.0
     bench.state.pool.hint_limit_end("i-1", 0.0, bench.scheduler.now + 1.0)
     bench.scheduler.run_until(1.0)
     for _ in range(10):
@@ -388,11 +391,11 @@
     assert limited.sent_to().count("i-1") == 1
 
 
-# Calls that are no requests.
+# Calls that are not requests of callers.
 
 
 class FakeFeed:
-    """Notes when it is asked."""
+    """A cache feed that records when it is queried."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
@@ -412,7 +415,7 @@
 
 
 @pytest.mark.parametrize(("rate", "most"), [(1.0, 3), (8.0, 17), (0.0, 3)])
-def test_questions_on_cached_parts_use_a_small_part_of_a_limit(rate: float, most: int) -> None:
+def test_cache_queries_use_a_small_part_of_a_limit(rate: float, most: int) -> None:
     scheduler, pool = Scheduler(), RunnerPool()
     pool.update(make_entry("i-1", ENGINES))
     feed = FakeFeed(scheduler)
@@ -425,39 +428,41 @@
 
     task = scheduler.spawn(scheduler.new_loop(), follow())
     scheduler.run_until(10.0)
-    free = len(feed.asked_at)
-    assert free >= 30
+    unlimited = len(feed.asked_at)
+    assert unlimited >= 30
     pool.hear_limit("i-1", rate, REQUEST, 10.0)
     scheduler.run_until(30.0)
-    assert 1 <= len(feed.asked_at) - free <= most
+    assert 1 <= len(feed.asked_at) - unlimited <= most
     pool.hear_limit("i-1", None, REQUEST, 30.0)
     before = len(feed.asked_at)
     scheduler.run_until(33.0)
-    assert len(feed.asked_at) - before >= 8, "followed as before, soon after the end"
+    assert len(feed.asked_at) - before >= 8, (
+        "queried as often as before, soon after the limit has ended"
+    )
     task.cancel()
     assert LONGEST_FEED_PAUSE_SECONDS <= 10.0
 
 
-def test_a_question_on_cached_parts_is_not_sent_without_room() -> None:
+def test_a_cache_query_is_not_sent_without_room() -> None:
     scheduler, pool = Scheduler(), RunnerPool()
     pool.update(make_entry("i-1", ENGINES))
     pool.hear_limit("i-1", 1.0, REQUEST, 0.0)
-    total = FakeLimiter()
-    total.wait = 0.5
+    limiter = FakeLimiter()
+    limiter.wait = 0.5
     feed = FakeFeed(scheduler)
-    limits = RunnerLimits(pool, total, FleetMetrics(), scheduler.clock)
+    limits = RunnerLimits(pool, limiter, FleetMetrics(), scheduler.clock)
     task = scheduler.spawn(
         scheduler.new_loop(), LimitedFeed(feed, limits, pool, scheduler.clock).listing(HOLDER)
     )
     scheduler.run_until(60.0)
     assert feed.asked_at == []
-    total.wait = 0.0
+    limiter.wait = 0.0
     scheduler.run_until(62.0)
     assert len(feed.asked_at) == 1 and task.done()
 
 
 class FakeOrders:
-    """Notes when it is asked."""
+    """Records when a report is queried or an order is sent."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
@@ -472,14 +477,14 @@
         return OrderOutcome.TAKEN
 
 
-def test_orders_and_reports_come_first_and_wait_for_room_for_a_short_time_only() -> None:
+def test_orders_and_reports_have_priority_and_wait_only_briefly_for_room() -> None:
     scheduler, pool = Scheduler(), RunnerPool()
     pool.update(make_entry("i-1", ENGINES))
     pool.hear_limit("i-1", 1.0, REQUEST, 0.0)
-    total = FakeLimiter()
-    total.wait = 3.0
+    limiter = FakeLimiter()
+    limiter.wait = 3.0
     sender = FakeOrders(scheduler)
-    limits = RunnerLimits(pool, total, FleetMetrics(), scheduler.clock)
+    limits = RunnerLimits(pool, limiter, FleetMetrics(), scheduler.clock)
     orders = LimitedOrders(sender, limits)
     order = WeightsOrder("i-1", "10.0.0.1:1", "model-a", 2, "node-1", 1, 0)
 
@@ -493,10 +498,10 @@
     first, second = sender.asked_at
     assert first <= ORDER_PATIENCE_SECONDS + 0.01
     assert second <= 2 * ORDER_PATIENCE_SECONDS + 0.02
-    assert {rank for _, _, rank in total.taken} == {CALL_RANK}
+    assert {rank for _, _, rank in limiter.taken} == {CALL_RANK}
 
 
-# Many nodes.
+# Limits over many nodes.
 
 
 def make_network(
@@ -516,17 +521,18 @@
 
 
 def allowed(limit: float) -> float:
+    """Return the most requests that may reach a runner in a window of the tolerance."""
     return RUNNER_TOLERANCE.allowed(TenantLimit(limit, burst=0.0))
 
 
-def test_what_is_allowed_is_what_the_runners_pages_say() -> None:
+def test_the_tolerance_is_the_documented_one() -> None:
     assert [allowed(limit) for limit in (0.0, 1.0, 2.0, 8.0)] == [5.0, 11.0, 17.0, 53.0]
 
 
 @pytest.mark.parametrize("count", [3, 7, 12, 30])
 @pytest.mark.parametrize("limit", [0.0, 0.5, 1.0, 2.3, 8.0, 40.0])
-def test_all_nodes_together_keep_to_a_limit_and_use_most_of_it(count: int, limit: float) -> None:
-    """Each node alone would send all of the limit, and they hear of it at different times."""
+def test_all_nodes_together_respect_a_limit_and_use_most_of_it(count: int, limit: float) -> None:
+    """Each node alone would use up the limit, and nodes learn of the limit at different times."""
     network = make_network(count)
     traffic = RunnerTraffic(network, constant(limit))
     traffic.send(30.0, 3.0 * limit + 20.0)
@@ -538,8 +544,8 @@
 
 
 @pytest.mark.parametrize("limit", [0.5, 1.0, 2.3])
-def test_many_holders_give_out_no_more_than_one_would(limit: float) -> None:
-    """Twelve zones have a holder each; a request of each one at once would be too many."""
+def test_many_holders_grant_no_more_than_one_holder_would(limit: float) -> None:
+    """Twelve zones have a holder each; one request from each at the same time would be too many."""
     network = make_network(36, 12)
     traffic = RunnerTraffic(network, constant(limit))
     traffic.send(40.0, 60.0)
@@ -550,7 +556,7 @@
 
 
 def test_full_buckets_of_many_holders_hold_no_more_than_the_slack() -> None:
-    """Where each holds a part of a request, none lets one pass that is not all there."""
+    """A holder that has tokens for a part of a request only must not grant the request."""
     limit, holders = TenantLimit(1.0, burst=0.0), 12
     taken = 0
     for number in range(holders):
@@ -585,16 +591,19 @@
 
     assert between(12.0, 20.0) <= 2 * allowed(0.5)
     assert 0.6 * 8 * 7.0 <= between(23.0, 30.0) <= 2 * allowed(8.0)
-    assert between(31.5, 40.0) >= 0.9 * 8.5 * 40.0, "all nodes have heard of the end"
+    assert between(31.5, 40.0) >= 0.9 * 8.5 * 40.0, "all nodes know that the limit has ended"
 
 
-def test_the_end_is_heard_by_all_within_a_second(network: NodeNetwork) -> None:
+def test_all_nodes_learn_of_the_end_of_a_limit_within_a_second(network: NodeNetwork) -> None:
     traffic = RunnerTraffic(network, lambda now: 1.0 if now < 15.0 else None)
     traffic.send(25.0, 30.0)
     network.run(26.0)
-    heard_at = min(at for at in traffic.counted() if at >= 15.0)
+    first_after_end_at = min(at for at in traffic.counted() if at >= 15.0)
     counted = traffic.counted()
-    assert sum(heard_at + 1.5 <= at < heard_at + 4.5 for at in counted) >= 0.9 * 3.0 * 30.0
+    assert (
+        sum(first_after_end_at + 1.5 <= at < first_after_end_at + 4.5 for at in counted)
+        >= 0.9 * 3.0 * 30.0
+    )
 
 
 def test_an_outage_of_the_store_changes_nothing(network: NodeNetwork) -> None:
@@ -607,7 +616,9 @@
 
 
 @pytest.mark.parametrize("limit", [1.0, 2.3])
-def test_nodes_that_are_cut_off_keep_to_their_own_part(network: NodeNetwork, limit: float) -> None:
+def test_nodes_that_are_cut_off_use_their_own_share_only(
+    network: NodeNetwork, limit: float
+) -> None:
     traffic = RunnerTraffic(network, constant(limit))
     traffic.send(30.0, 40.0)
     cut = sorted(network.nodes)[:3]
@@ -620,7 +631,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_no_mix_of_faults_lets_more_reach_a_runner_than_is_allowed(seed: int) -> None:
-    """Nodes are cut, paused, killed and healed at random, and datagrams are lost."""
+    """Nodes are cut off, paused, killed and healed at random, and datagrams are lost."""
     rng = Random(seed)
     count, loss = rng.choice((7, 12, 24)), rng.choice((0.0, 0.02, 0.05))
     network = make_network(count, loss=loss, own_loops=True)
@@ -635,7 +646,7 @@
     assert traffic.worst_window() <= allowed(limit)
 
 
-def test_a_node_that_starts_is_told_of_limits_before_it_has_sent_anything(
+def test_a_starting_node_learns_of_limits_before_it_sends_a_request(
     network: NodeNetwork,
 ) -> None:
     traffic = RunnerTraffic(network, constant(1.0))
@@ -646,10 +657,10 @@
     assert node.state.pool.limit_of("i-0", network.scheduler.now) == 1.0
 
 
-def test_beside_holders_of_an_earlier_build_the_others_keep_to_their_own_part(
+def test_beside_holders_of_an_earlier_build_the_others_use_their_own_share_only(
     network: NodeNetwork,
 ) -> None:
-    """They drop questions that they do not know, send what they like, and hand over no time."""
+    """Those holders drop datagrams of unknown kinds, ignore limits and transfer no state."""
     earlier = set(sorted(network.nodes)[::2])
     new_kinds = range(DatagramKind.RUNNER_TOKEN_QUESTION, DatagramKind.RUNNER_TRANSFER_ANSWER + 1)
     carry = network.carry
@@ -675,10 +686,10 @@
         node.loop, node.runner_limits.take("i-0", TenantLimit(1.0, burst=0.0), 1.0, 0)
     )
     network.run(1.0)
-    assert waiting.done(), "nobody waits for a limit that has ended"
+    assert waiting.done(), "a request does not wait for a limit that has ended"
 
 
-def test_signals_say_nothing_without_a_limit() -> None:
+def test_signals_are_empty_without_a_limit() -> None:
     assert not RunnerSignals()
     assert RunnerSignals(limit=0.0)
 
@@ -691,22 +702,25 @@
     assert runner.accepts(NOW + 1.0)
 
 
-# A word that one node alone was told.
+# A signal that only one node has received.
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_what_one_node_alone_was_told_does_not_lapse_at_the_others(seed: int) -> None:
-    """With each heartbeat told again at a chance only, it lapsed for seconds at a time."""
+    """Guards against hints that lapse at the peers for seconds at a time.
+
+    That happened while the node repeated its signals with each heartbeat only by chance.
+    """
     network = make_network(7)
-    teller, *others = network.nodes.values()
-    teller.exchange._rng.seed(seed)
-    pool = teller.state.pool
+    sender, *others = network.nodes.values()
+    sender.exchange._rng.seed(seed)
+    pool = sender.state.pool
     leaving, limited = pool.get("i-1"), pool.get("i-2")
     assert leaving is not None and limited is not None
     pool.hear("i-1", RunnerSignals(leaving=True), "request r-0: status 200", 0.0)
     pool.hear_limit("i-2", 1.0, REQUEST, network.scheduler.now)
-    network.at_node(teller, lambda: teller.exchange.leaving(leaving))
-    network.at_node(teller, lambda: teller.exchange.limit_changed("i-2", limited.signals.limit))
+    network.at_node(sender, lambda: sender.exchange.leaving(leaving))
+    network.at_node(sender, lambda: sender.exchange.limit_changed("i-2", limited.signals.limit))
     network.run(1.0)
     for _ in range(120):
         network.run(0.25)
--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -1,6 +1,6 @@
-"""What runners say of themselves in their answers: who hears it, and for how long it holds.
+"""Signals in the answers of runners: reading, duration, effect on requests, and notices to peers.
 
-``test_runner_signals_process`` tells what happened before that was taken in.
+``test_runner_signals_process`` describes the failures seen while nodes ignored them.
 """
 
 from __future__ import annotations
@@ -76,8 +76,8 @@
 FULL = refuses(RefusalCause.FULL)
 
 
-class Heard:
-    """Keeps what runners say."""
+class RecordingSink:
+    """Records the signals and unknown fields of answers."""
 
     def __init__(self) -> None:
         self.signals: list[tuple[str, RunnerSignals, str]] = []
@@ -90,7 +90,7 @@
         self.unknown.append((runner_id, name, value))
 
 
-# What an answer says.
+# Reading signals from an answer.
 
 
 @pytest.mark.parametrize(
@@ -115,13 +115,13 @@
         ("9" * 400, MAX_BACKOFF_SECONDS),
     ],
 )
-def test_a_backoff_is_read_in_seconds_and_whatever_else_it_says_is_bounded(
+def test_a_backoff_is_read_in_seconds_and_bounded_and_any_other_text_is_no_backoff(
     text: str, seconds: float
 ) -> None:
     assert backoff_of(text) == seconds
 
 
-def test_only_a_refusal_for_want_of_room_asks_for_a_backoff() -> None:
+def test_only_a_refusal_with_status_503_asks_for_a_backoff() -> None:
     headers = {names.RETRY_AFTER: "3", names.LEAVING: "1"}
     assert signals_of(503, headers) == RunnerSignals(leaving=True, backoff_seconds=3.0)
     for status in (200, 421, 429, 500, 504):
@@ -129,8 +129,8 @@
     assert not signals_of(503, {names.LEAVING: "0"})
 
 
-def test_the_word_of_another_one_at_its_address_is_not_its_own() -> None:
-    heard = Heard()
+def test_signals_of_another_runner_at_the_same_address_are_attributed_to_that_runner() -> None:
+    heard = RecordingSink()
     reader = SignalReader(heard)
     headers = {names.LEAVING: "1", names.INSTANCE: "i-2"}
     reader.read("i-1#1000", 421, headers, Asked(AnswerKind.REQUEST, "r-1"))
@@ -139,7 +139,7 @@
     assert heard.signals == [("i-2#1000", LEAVING, "request r-2: status 421")]
 
 
-def test_a_field_that_nobody_reads_is_counted_and_logged_once(
+def test_an_unknown_field_is_counted_and_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     metrics = FleetMetrics()
@@ -154,7 +154,7 @@
     assert b'unknown_answer_fields_total{field="server-news"} 3.0' in metrics.text()
 
 
-def test_fields_that_an_application_makes_up_are_bounded() -> None:
+def test_the_number_of_counted_unknown_fields_is_bounded() -> None:
     metrics = FleetMetrics()
     reader = SignalReader(SignalIntake(RunnerPool(), metrics, lambda: NOW))
     for number in range(100):
@@ -162,11 +162,11 @@
     assert metrics.text().count(b"unknown_answer_fields_total{") == 32
 
 
-def test_all_answers_of_a_runner_are_heard(tmp_path: Path) -> None:
-    """Successes, failures, refusals, heads of streams, reports, orders, and what is cached."""
+def test_signals_are_read_from_all_answers_of_a_runner(tmp_path: Path) -> None:
+    """These are heads of streams, failures, refusals, reports, orders and cache feed answers."""
 
     async def scenario(running: Deployment) -> list[str]:
-        heard = Heard()
+        heard = RecordingSink()
         session = make_runner_session()
         client = HttpRunnerClient(session, heard)
         runner = await running.add_runner("i-1", ENGINES)
@@ -174,7 +174,7 @@
         address = running.addresses["i-1"]
         await ask_everything(client, HttpCacheFeed(session, heard), runner, address)
         await session.close()
-        assert all((name, word) == ("i-1", LEAVING) for name, word, _ in heard.signals)
+        assert all((name, signal) == ("i-1", LEAVING) for name, signal, _ in heard.signals)
         return [source for _, _, source in heard.signals]
 
     async def main() -> list[str]:
@@ -196,7 +196,7 @@
 async def ask_everything(
     client: HttpRunnerClient, feed: HttpCacheFeed, runner: FleetRunner, address: str
 ) -> None:
-    """Ask a runner for each kind of answer that it gives."""
+    """Send a runner a request for each kind of answer that it gives."""
     dispatch = Dispatch("i-1", address, 5.0, weights_version=1)
     (await client.send(make_request(request_id="success"), dispatch)).close()
     runner.faults.status = 500
@@ -214,10 +214,12 @@
     await feed.changes(holder, 0, 0.0)
 
 
-def test_a_report_of_the_next_start_says_nothing_of_the_one_before(tmp_path: Path) -> None:
+def test_a_report_of_the_next_process_carries_no_signals_of_the_previous_one(
+    tmp_path: Path,
+) -> None:
     async def main() -> None:
         async with deployment(tmp_path) as running:
-            heard = Heard()
+            heard = RecordingSink()
             session = make_runner_session()
             client = HttpRunnerClient(session, heard)
             runner = await running.add_runner("i-1", ENGINES)
@@ -227,23 +229,24 @@
                 await client.report("i-1#1000", running.addresses["i-1"])
             assert heard.signals == []
             await client.report("i-1#2000", running.addresses["i-1"])
-            assert [word[0] for word in heard.signals] == ["i-1#2000"]
+            assert [signal[0] for signal in heard.signals] == ["i-1#2000"]
             await session.close()
 
     asyncio.run(main())
 
 
-# How long it holds.
+# How long a signal is in effect.
 
 
 def listed(pool: RunnerPool, runner_id: str) -> Runner:
+    """Return a runner that the pool lists."""
     runner = pool.get(runner_id)
     assert runner is not None
     return runner
 
 
 def test_the_directory_does_not_undo_that_a_runner_leaves() -> None:
-    """Entries that say ready, old or new, and the list taken anew after an outage."""
+    """Neither old or new entries with state ready nor a reload after an outage undo the signal."""
     state = make_state(make_table(make_route()), make_entry("i-1"))
     assert state.pool.hear("i-1", LEAVING, SOURCE, NOW)
     for revision in (0, 1, 2, 3):
@@ -260,7 +263,7 @@
     assert not listed(state.pool, "i-1").stays(forgotten_at)
 
 
-def test_a_word_that_comes_while_its_runner_is_not_listed_holds_once_it_is() -> None:
+def test_a_signal_received_while_its_runner_is_unlisted_applies_once_it_is_listed() -> None:
     pool = RunnerPool()
     pool.hear("i-1", LEAVING, SOURCE, NOW)
     pool.update(make_entry("i-1"))
@@ -272,19 +275,19 @@
     assert listed(pool, "i-1").signals.backoff_until == NOW + 3.0
 
 
-def test_the_next_start_under_the_same_name_is_free_of_it() -> None:
+def test_signals_do_not_apply_to_the_next_process_of_the_same_name() -> None:
     pool = RunnerPool()
     pool.update(make_entry("i-1#1000"))
     for signals in (LEAVING, BACKOFF):
         pool.hear("i-1#1000", signals, SOURCE, NOW)
     pool.update(make_entry("i-1#2000", revision=2))
     assert listed(pool, "i-1#2000").accepts(NOW)
-    # An answer of the one before comes late.
+    # An answer of the previous process arrives late.
     pool.hear("i-1#1000", LEAVING, SOURCE, NOW)
     assert listed(pool, "i-1#2000").accepts(NOW)
 
 
-def test_the_latest_end_of_several_backoffs_counts() -> None:
+def test_the_latest_end_of_several_backoffs_is_in_effect() -> None:
     received = ReceivedSignals()
     assert received.take(BACKOFF, SOURCE, NOW)
     assert not received.take(RunnerSignals(backoff_seconds=1.0), SOURCE, NOW + 0.1)
@@ -308,7 +311,7 @@
     assert runner.accepts(NOW + 3.0)
 
 
-def test_what_is_kept_of_runners_that_are_gone_is_bounded() -> None:
+def test_the_number_of_unlisted_runners_with_stored_signals_is_bounded() -> None:
     pool = RunnerPool()
     for number in range(MAX_PROCESSES + 10):
         pool.hear(f"i-{number}", LEAVING, SOURCE, NOW)
@@ -327,30 +330,34 @@
     assert [runner.runner_id for runner in plan.next_loads(view)] == ["i-2"]
 
 
-# What becomes of requests.
+# Effect on requests.
+
 
+class SignalBench(Bench):
+    """A pipeline over fake runners that send signals in their answers.
 
-class SayingBench(Bench):
-    """A pipeline over fake runners that say things of themselves."""
+    Attributes:
+        notified: Runners of whose leave the node notifies its peers.
+    """
 
     def __post_init__(self) -> None:
         super().__post_init__()
         self.metrics = FleetMetrics()
-        self.told: list[str] = []
+        self.notified: list[str] = []
         self.intake = SignalIntake(
             self.state.pool,
             self.metrics,
             self.scheduler.clock,
-            lambda runner: self.told.append(runner.runner_id),
+            lambda runner: self.notified.append(runner.runner_id),
         )
 
-    def says(self, behaviour: Behaviour, *signals: RunnerSignals) -> Behaviour:
-        """Return a behaviour that says things in its answers, one after the other."""
-        left = list(signals)
+    def with_signals(self, behaviour: Behaviour, *signals: RunnerSignals) -> Behaviour:
+        """Return a behaviour that adds one of the signals to each answer, in the given order."""
+        remaining = list(signals)
 
         async def behave(request: ServingRequest, dispatch: Dispatch) -> FakeAnswer:
-            if left:
-                self.intake.heard(dispatch.runner_id, left.pop(0), ANSWER)
+            if remaining:
+                self.intake.heard(dispatch.runner_id, remaining.pop(0), ANSWER)
             return await behaviour(request, dispatch)
 
         return behave
@@ -359,20 +366,20 @@
         return [dispatch.runner_id for dispatch in self.client.dispatches]
 
 
-def make_saying_bench(*runner_ids: str, kind: RouteKind = RouteKind.SAFE) -> SayingBench:
+def make_signal_bench(*runner_ids: str, kind: RouteKind = RouteKind.SAFE) -> SignalBench:
     service = ENGINES if kind is RouteKind.STREAM else APPLICATION
     route = make_route(kind, service=service, attempts=3, resumable=True)
     entries = [make_entry(name, service, weights=1) for name in runner_ids]
-    bench = SayingBench(make_state(make_table(route), *entries))
+    bench = SignalBench(make_state(make_table(route), *entries))
     for name in runner_ids:
         bench.client.behaviours[name] = answers(b"ok")
     return bench
 
 
-def test_a_request_goes_elsewhere_after_any_answer_that_says_so() -> None:
-    bench = make_saying_bench("i-1", "i-22")
+def test_after_an_answer_that_signals_a_leave_requests_go_to_another_runner() -> None:
+    bench = make_signal_bench("i-1", "i-22")
     for name in ("i-1", "i-22"):
-        bench.client.behaviours[name] = bench.says(answers(b"ok"), LEAVING)
+        bench.client.behaviours[name] = bench.with_signals(answers(b"ok"), LEAVING)
     bench.serve(make_request())
     (first,) = bench.sent_to()
     (other,) = {"i-1", "i-22"} - {first}
@@ -380,21 +387,21 @@
     for _ in range(20):
         bench.serve(make_request())
     assert bench.sent_to() == [first, *[other] * 20]
-    assert bench.told == [first]
+    assert bench.notified == [first]
 
 
-def test_a_stream_that_breaks_is_not_resumed_where_its_head_said_that_it_leaves() -> None:
-    bench = make_saying_bench("i-1", "i-22", kind=RouteKind.STREAM)
+def test_a_broken_stream_is_not_resumed_at_a_runner_that_signalled_its_leave() -> None:
+    bench = make_signal_bench("i-1", "i-22", kind=RouteKind.STREAM)
     broken = answers(EVENTS[0], BackendBrokenError("reset", step="relay", peer="i-1"))
     for name in ("i-1", "i-22"):
-        bench.client.behaviours[name] = bench.says(broken, LEAVING)
+        bench.client.behaviours[name] = bench.with_signals(broken, LEAVING)
     _, error = bench.serve(make_request(parts=PARTS))
     assert sorted(bench.sent_to()) == ["i-1", "i-22"]
     assert error is not None, "no third attempt"
 
 
-def test_where_all_leave_a_request_is_refused_at_once_and_told_when_to_return() -> None:
-    bench = make_saying_bench("i-1", "i-22")
+def test_where_all_runners_leave_a_request_is_refused_at_once_with_a_retry_time() -> None:
+    bench = make_signal_bench("i-1", "i-22")
     for name in ("i-1", "i-22"):
         bench.state.pool.hear(name, LEAVING, SOURCE, 0.0)
     _, error = bench.serve(make_request())
@@ -403,8 +410,8 @@
     assert error.retry_after is not None and error.retry_after > 0
 
 
-def test_where_the_only_one_with_the_weights_leaves_a_request_is_refused_at_once() -> None:
-    bench = make_saying_bench("i-1", kind=RouteKind.STREAM)
+def test_where_the_only_runner_with_the_weights_leaves_a_request_is_refused_at_once() -> None:
+    bench = make_signal_bench("i-1", kind=RouteKind.STREAM)
     bench.state.apply(RunnerListed(make_entry("i-22", ENGINES, weights=0, revision=2)), 0.0)
     bench.state.pool.hear("i-1", LEAVING, SOURCE, 0.0)
     started_at = bench.scheduler.now
@@ -414,36 +421,36 @@
     assert bench.scheduler.now - started_at <= 0.01
 
 
-def test_a_runner_that_keeps_the_prompt_is_left_as_well() -> None:
-    bench = make_saying_bench("i-1", "i-22", kind=RouteKind.STREAM)
+def test_a_leaving_runner_gets_no_request_even_if_it_has_the_prompt_in_its_cache() -> None:
+    bench = make_signal_bench("i-1", "i-22", kind=RouteKind.STREAM)
     for name in ("i-1", "i-22"):
         bench.client.behaviours[name] = answers(*EVENTS)
     bench.serve(make_request(parts=PARTS))
-    (keeper,) = bench.sent_to()
+    (cache_holder,) = bench.sent_to()
     bench.serve(make_request(parts=PARTS))
-    assert bench.sent_to() == [keeper, keeper]
-    bench.state.pool.hear(keeper, LEAVING, SOURCE, bench.scheduler.now)
+    assert bench.sent_to() == [cache_holder, cache_holder]
+    bench.state.pool.hear(cache_holder, LEAVING, SOURCE, bench.scheduler.now)
     bench.serve(make_request(parts=PARTS))
-    assert bench.sent_to()[-1] != keeper
+    assert bench.sent_to()[-1] != cache_holder
 
 
 def test_a_runner_in_backoff_gets_no_attempt_of_any_kind() -> None:
-    """First tries, repeats after another one's refusal, and the one that was refused."""
-    bench = make_saying_bench("i-1", "i-22")
-    bench.client.behaviours["i-1"] = bench.says(FULL, BACKOFF)
+    """It gets no first attempts, and no retries of requests that it or another runner refused."""
+    bench = make_signal_bench("i-1", "i-22")
+    bench.client.behaviours["i-1"] = bench.with_signals(FULL, BACKOFF)
     bench.client.behaviours["i-22"] = FULL
     while "i-1" not in bench.sent_to():
         bench.serve(make_request(), within=0.1)
-    asked = len(bench.sent_to())
+    sent = len(bench.sent_to())
     bench.state.budget.set_node_count(1)
     for _ in range(20):
         bench.serve(make_request(), within=0.1)
-    assert set(bench.sent_to()[asked:]) == {"i-22"}
+    assert set(bench.sent_to()[sent:]) == {"i-22"}
 
 
-def backoff_bench(seconds: float) -> SayingBench:
+def backoff_bench(seconds: float) -> SignalBench:
     """Return a bench whose only runner has asked for a backoff."""
-    bench = make_saying_bench("i-1")
+    bench = make_signal_bench("i-1")
     signals = RunnerSignals(backoff_seconds=seconds)
     bench.state.pool.hear("i-1", signals, SOURCE, bench.scheduler.now)
     return bench
@@ -464,18 +471,20 @@
     assert 2.9 <= error.retry_after <= 3.0 + RETURN_SPREAD_SECONDS
 
 
-def test_callers_are_not_all_told_the_same_moment() -> None:
+def test_retry_times_are_spread() -> None:
     bench = backoff_bench(3.0)
-    told: set[float] = set()
+    retry_times: set[float] = set()
     for _ in range(10):
         _, error = bench.serve(make_request(), within=0.0)
         assert isinstance(error, RejectedError) and error.retry_after is not None
-        told.add(error.retry_after)
-    assert len(told) == 10
+        retry_times.add(error.retry_after)
+    assert len(retry_times) == 10
 
 
 @pytest.mark.parametrize(("nodes", "waits"), [(1, 8), (4, 2), (100, 1)])
-def test_no_more_wait_for_a_backoff_than_the_runner_has_places_for(nodes: int, waits: int) -> None:
+def test_no_more_requests_wait_for_a_backoff_than_the_runner_has_slots(
+    nodes: int, waits: int
+) -> None:
     bench = backoff_bench(0.2)
     count = 20
     bench.state.nodes.sharing_count = lambda now: nodes  # type: ignore[method-assign]
@@ -492,15 +501,15 @@
     assert sum(task.exception() is None for task in tasks) == waits
 
 
-def test_a_stream_that_has_begun_waits_for_the_backoff_of_the_others() -> None:
-    bench = make_saying_bench("i-1", "i-22", kind=RouteKind.STREAM)
+def test_a_stream_that_has_begun_waits_for_the_backoff_of_another_runner() -> None:
+    bench = make_signal_bench("i-1", "i-22", kind=RouteKind.STREAM)
     broken = answers(EVENTS[0], BackendBrokenError("reset", step="relay", peer="i-1"))
     for name in ("i-1", "i-22"):
         bench.client.behaviours[name] = broken
     bench.serve(make_request(parts=PARTS), within=0.0)
     first = bench.sent_to()[0]
     (other,) = {"i-1", "i-22"} - {first}
-    bench = make_saying_bench("i-1", "i-22", kind=RouteKind.STREAM)
+    bench = make_signal_bench("i-1", "i-22", kind=RouteKind.STREAM)
     bench.client.behaviours[first] = broken
     bench.client.behaviours[other] = answers(*EVENTS[1:])
     bench.state.pool.hear(other, RunnerSignals(backoff_seconds=1.0), SOURCE, 0.0)
@@ -510,10 +519,10 @@
     assert bench.sent_to() == [first, other]
 
 
-# What peers hear.
+# Notices to and from peers.
 
 
-def test_peers_are_told_of_a_runner_that_leaves_until_the_directory_says_so() -> None:
+def test_peers_are_notified_of_a_leaving_runner_until_the_directory_lists_it_as_draining() -> None:
     pool = RunnerPool()
     pool.update(make_entry("i-1"))
     pool.hear("i-1", LEAVING, SOURCE, NOW)
@@ -526,14 +535,15 @@
     assert pool.to_hint(NOW + HINT_AGAIN_SECONDS) == []
 
 
-def hear_peer(bench: SayingBench, *runner_ids: str) -> None:
+def receive_leaving_notice(bench: SignalBench, *runner_ids: str) -> None:
+    """Let the node receive a notice of a peer that runners leave."""
     notice = NodeNotice(PROTOCOL_VERSION, "node-2", leaving=list(runner_ids))
     NoticeReader(bench.state, "zone-a").take(notice, bench.scheduler.now)
 
 
-def test_a_peers_word_keeps_requests_away_while_another_one_takes_them() -> None:
-    bench = make_saying_bench("i-1", "i-22")
-    hear_peer(bench, "i-1", "i-unknown")
+def test_a_peers_notice_diverts_requests_while_another_runner_accepts_them() -> None:
+    bench = make_signal_bench("i-1", "i-22")
+    receive_leaving_notice(bench, "i-1", "i-unknown")
     for _ in range(10):
         bench.serve(make_request(), within=0.1)
     assert set(bench.sent_to()) == {"i-22"}
@@ -543,13 +553,13 @@
     assert bench.sent_to()[-2:] == ["i-22", "i-1"]
 
 
-def test_a_peers_word_alone_refuses_nobody_and_lapses() -> None:
-    bench = make_saying_bench("i-1")
-    hear_peer(bench, "i-1")
+def test_a_peers_notice_alone_refuses_no_request_and_lapses() -> None:
+    bench = make_signal_bench("i-1")
+    receive_leaving_notice(bench, "i-1")
     _, error = bench.serve(make_request(), within=0.1)
     assert error is None
-    bench = make_saying_bench("i-1", "i-22")
-    hear_peer(bench, "i-1")
+    bench = make_signal_bench("i-1", "i-22")
+    receive_leaving_notice(bench, "i-1")
     bench.scheduler.run_until(HINT_SECONDS)
     for _ in range(20):
         bench.serve(make_request(), within=0.01)
@@ -557,26 +567,27 @@
     assert set(bench.sent_to()) == {"i-1", "i-22"}
 
 
-def test_a_late_word_of_a_peer_does_not_touch_the_next_start() -> None:
-    bench = make_saying_bench("i-1#2000", "i-22")
-    hear_peer(bench, "i-1#1000")
+def test_a_late_notice_of_a_peer_does_not_apply_to_the_next_process() -> None:
+    bench = make_signal_bench("i-1#2000", "i-22")
+    receive_leaving_notice(bench, "i-1#1000")
     assert bench.state.pool.hinted(APPLICATION, bench.scheduler.now) == set()
 
 
-# What it buys.
+# Effect on the retry budget.
 
 
 def test_a_runner_that_asks_for_a_backoff_costs_no_retry_budget() -> None:
-    """The pattern: 60 requests a second at three runners, of which one turns all away for 9 s.
+    """Three runners get 60 requests per second, and one of them refuses everything for 9 s.
 
-    It asks for a backoff of 3 s each time. So it is asked three times in these 9 s, and no request
-    is refused. Unheard, one got up to 14 requests a second from all nodes, which used up the budget
-    for repeats, and requests were refused that others could have served.
+    It asks for a backoff of 3 s each time, so it gets three requests in these 9 s, and no request
+    of a caller is refused. While nodes ignored the backoff, such a runner got up to 14 requests per
+    second from all nodes. That used up the retry budget, so requests were refused that other
+    runners could have served.
     """
-    bench = make_saying_bench("i-1", "i-22", "i-333")
+    bench = make_signal_bench("i-1", "i-22", "i-333")
     seconds = 9.0
     backoffs = math.ceil(seconds / BACKOFF.backoff_seconds)
-    bench.client.behaviours["i-1"] = bench.says(FULL, *[BACKOFF] * 100)
+    bench.client.behaviours["i-1"] = bench.with_signals(FULL, *[BACKOFF] * 100)
     refused = 0
     rng = Random(1)
     while bench.scheduler.now < seconds:
