--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -27,8 +27,8 @@
 # File beside the nodes' logs to which the observations are written if a promise was broken.
 OBSERVATIONS_FILE = "observations.json"
 # Numbers of callers of each kind: with a new connection for each request, and with persistent
-# connections. All emulated runners share one process, so more callers per node would make the
-# runners themselves late.
+# connections. The emulated runners and store run in the soak's own process, which more callers
+# per node would make late.
 MIN_CALLERS = 4
 CALLERS_PER_NODE = 0.15
 FAULT_PAUSE_SECONDS = 1.2
--- a/tests/soak/test_fatal_start.py
+++ b/tests/soak/test_fatal_start.py
@@ -1,6 +1,6 @@
 """A node that has just started must refuse a request that is already known to be fatal.
 
-Other nodes have seen runners crash under the request; the new node must act on that at once.
+Other nodes have seen runners crash under the request, and the new node must know it at once.
 """
 
 from __future__ import annotations
--- a/tests/soak/version_promises.py
+++ b/tests/soak/version_promises.py
@@ -11,6 +11,7 @@
 from tests.soak.software import CANARY_SHARE, CANARY_SLACK, is_decided
 from tests.soak.timed_promises import CONTACT_SECONDS
 
+# Maximum number of runners that a fatal request may crash.
 MAX_ENDS = 2
 # A node that was cut off, paused or started between two crashes may not know of the first one.
 MAX_ENDS_WITH_DISTURBED_NODES = 3
@@ -27,8 +28,8 @@
         if is_varied(fatal):
             yield from _find_late_ends(fatal, ends)
             continue
-        away = _any_node_disturbed(seen, ends[0].at, ends[-1].at)
-        most = MAX_ENDS_WITH_DISTURBED_NODES if away else MAX_ENDS
+        is_disturbed = _any_node_disturbed(seen, ends[0].at, ends[-1].at)
+        most = MAX_ENDS_WITH_DISTURBED_NODES if is_disturbed else MAX_ENDS
         if len(ends) > most:
             times = ", ".join(f"{end.runner_id} at {end.at:.2f}" for end in ends)
             yield f"{fatal}: ended {len(ends)} runners: {times}"
