--- a/tests/fleet/test_runner_restarts.py
+++ b/tests/fleet/test_runner_restarts.py
@@ -211,7 +211,7 @@
     assert (runner_id == runner_id_of(other, other_born)) == same
 
 
-def test_two_crashes_of_processes_of_one_name_are_counted_separately() -> None:
+def test_two_crashes_under_one_name_are_counted_separately() -> None:
     record = RunnerEndRecord()
     record.note_end(FIRST, 9.0, {7: RunAtEnd(0.1)}, 9.0)
     assert record.suspicion(7, 9.5) is Suspicion.SUSPECT
--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -214,7 +214,7 @@
     await feed.changes(holder, 0, 0.0)
 
 
-def test_a_report_of_the_next_process_carries_no_signals_of_the_previous_one(
+def test_a_report_after_a_restart_carries_no_signals_from_before(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
@@ -275,7 +275,7 @@
     assert listed(pool, "i-1").signals.backoff_until == NOW + 3.0
 
 
-def test_signals_do_not_apply_to_the_next_process_of_the_same_name() -> None:
+def test_signals_do_not_apply_after_a_restart_under_the_same_name() -> None:
     pool = RunnerPool()
     pool.update(make_entry("i-1#1000"))
     for signals in (LEAVING, BACKOFF):
@@ -567,7 +567,7 @@
     assert set(bench.sent_to()) == {"i-1", "i-22"}
 
 
-def test_a_late_notice_of_a_peer_does_not_apply_to_the_next_process() -> None:
+def test_a_late_notice_of_a_peer_does_not_apply_after_a_restart() -> None:
     bench = make_signal_bench("i-1#2000", "i-22")
     receive_leaving_notice(bench, "i-1#1000")
     assert bench.state.pool.hinted(APPLICATION, bench.scheduler.now) == set()
