--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -76,7 +76,7 @@
 FULL = refuses(RefusalCause.FULL)
 
 
-class RecordingSink:
+class SignalRecorder:
     """Records the signals and unknown fields of answers."""
 
     def __init__(self) -> None:
@@ -130,13 +130,13 @@
 
 
 def test_signals_of_another_runner_at_the_same_address_are_attributed_to_that_runner() -> None:
-    heard = RecordingSink()
-    reader = SignalReader(heard)
+    recorder = SignalRecorder()
+    reader = SignalReader(recorder)
     headers = {names.LEAVING: "1", names.INSTANCE: "i-2"}
     reader.read("i-1#1000", 421, headers, Asked(AnswerKind.REQUEST, "r-1"))
-    assert heard.signals == []
+    assert recorder.signals == []
     reader.read("i-2#1000", 421, headers, Asked(AnswerKind.REQUEST, "r-2"))
-    assert heard.signals == [("i-2#1000", LEAVING, "request r-2: status 421")]
+    assert recorder.signals == [("i-2#1000", LEAVING, "request r-2: status 421")]
 
 
 def test_an_unknown_field_is_counted_and_logged_once(
@@ -163,19 +163,19 @@
 
 
 def test_signals_are_read_from_all_answers_of_a_runner(tmp_path: Path) -> None:
-    """These are heads of streams, failures, refusals, reports, orders and cache feed answers."""
+    """Answers are heads of streams, failures, refusals, reports, orders and cache feed answers."""
 
     async def scenario(running: Deployment) -> list[str]:
-        heard = RecordingSink()
+        recorder = SignalRecorder()
         session = make_runner_session()
-        client = HttpRunnerClient(session, heard)
+        client = HttpRunnerClient(session, recorder)
         runner = await running.add_runner("i-1", ENGINES)
         runner.faults.leaving = True
         address = running.addresses["i-1"]
-        await ask_everything(client, HttpCacheFeed(session, heard), runner, address)
+        await ask_everything(client, HttpCacheFeed(session, recorder), runner, address)
         await session.close()
-        assert all((name, signal) == ("i-1", LEAVING) for name, signal, _ in heard.signals)
-        return [source for _, _, source in heard.signals]
+        assert all((name, signal) == ("i-1", LEAVING) for name, signal, _ in recorder.signals)
+        return [source for _, _, source in recorder.signals]
 
     async def main() -> list[str]:
         async with deployment(tmp_path) as running:
@@ -219,17 +219,17 @@
 ) -> None:
     async def main() -> None:
         async with deployment(tmp_path) as running:
-            heard = RecordingSink()
+            recorder = SignalRecorder()
             session = make_runner_session()
-            client = HttpRunnerClient(session, heard)
+            client = HttpRunnerClient(session, recorder)
             runner = await running.add_runner("i-1", ENGINES)
             runner.faults.leaving = True
             runner.born = 2_000
             with pytest.raises(BackendError):
                 await client.report("i-1#1000", running.addresses["i-1"])
-            assert heard.signals == []
+            assert recorder.signals == []
             await client.report("i-1#2000", running.addresses["i-1"])
-            assert [signal[0] for signal in heard.signals] == ["i-1#2000"]
+            assert [signal[0] for signal in recorder.signals] == ["i-1#2000"]
             await session.close()
 
     asyncio.run(main())
@@ -435,7 +435,7 @@
 
 
 def test_a_runner_in_backoff_gets_no_attempt_of_any_kind() -> None:
-    """It gets no first attempts, and no retries of requests that it or another runner refused."""
+    """The runner gets no first attempts, and no retries, whichever runner refused the request."""
     bench = make_signal_bench("i-1", "i-22")
     bench.client.behaviours["i-1"] = bench.with_signals(FULL, BACKOFF)
     bench.client.behaviours["i-22"] = FULL
