--- a/tests/fleet/rollout_bench.py
+++ b/tests/fleet/rollout_bench.py
@@ -41,7 +41,9 @@
 OLD, NEW, NEWER = "v1", "v2", "v3"
 OVER_SECONDS = 12.0
 APPLY_SECONDS = 2.0
+# Lease time that a renewal grants.
 TTL = 2.0
+# Duration of a call to the store, and further wait for an answer that is lost.
 CALL_SECONDS = 0.05
 ANSWER_TIMEOUT_SECONDS = 0.5
 REPORT_SECONDS = 0.5
@@ -57,6 +59,7 @@
 
 
 def duty_key(service: str) -> str:
+    """Return the key of the duty that decides the rollout of a service."""
     return f"duty/{service}"
 
 
@@ -271,6 +274,7 @@
 
 
 def entry(name: str, software: str, revision: int = 1) -> RunnerEntry:
+    """Return the entry of a runner with a version of the software."""
     return RunnerEntry(
         name, APPLICATION, "10.0.0.1:1", "zone-a", 8, False, {}, rev(revision), software
     )
--- a/tests/fleet/rollout_traffic.py
+++ b/tests/fleet/rollout_traffic.py
@@ -30,10 +30,13 @@
 from tests.fleet.node_network import NodeNetwork, SimulatedNode
 
 OLD, NEW = "v1", "v2"
+# The target version may get this share of the requests, plus the slack.
 SHARE, SLACK = 0.1, 50.0
 OVER_SECONDS = 12.0
 ROLLBACK_SECONDS = 5.0
+# Number of bad answers that prove a version to be bad.
 PROOF_ANSWERS = 50
+# Path prefixes of the two routes, and the share of requests that take the rare one.
 FREQUENT, RARE = "/app/", "/rare/"
 RARE_SHARE = 0.15
 WORK_SECONDS = 0.05
--- a/tests/fleet/runner_limit_traffic.py
+++ b/tests/fleet/runner_limit_traffic.py
@@ -18,14 +18,16 @@
 from tests.fleet.builders import ENGINES, make_request, make_route
 from tests.fleet.node_network import NodeNetwork, SimulatedNode
 
-# Requests that a node sends within this time after it was first informed of the limit don't count.
+# Requests count if their node was informed of the limit at least this long before they arrive.
 FREE_SECONDS = 0.5
+# Range of the time from sending a request to receiving its answer.
 ANSWER_SECONDS = (0.02, 0.6)
 
 LimitOverTime = Callable[[float], float | None]
 
 
 def constant(limit: float) -> LimitOverTime:
+    """Return a limit that does not change."""
     return lambda _: limit
 
 
--- a/tests/fleet/test_callers_leave.py
+++ b/tests/fleet/test_callers_leave.py
@@ -1,4 +1,4 @@
-"""Callers that disconnect: their request is not sent again, and its attempts are cancelled."""
+"""Callers that disconnect: nodes start no more attempts of the request and cancel running ones."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def serve_until_caller_leaves(bench: Bench, request: ServingRequest) -> None:
-    """Serve a request whose caller disconnects at ``LEFT_AT``; check the end at ``ENDED_BY``."""
+    """Serve a request until its caller disconnects at ``LEFT_AT``; it must end by ``ENDED_BY``."""
     task = bench.run(bench.pipeline.serve(request, FakeSink()), until=LEFT_AT)
     assert not task.done()
     task.cancel()
--- a/tests/stateful/test_restored_store.py
+++ b/tests/stateful/test_restored_store.py
@@ -17,8 +17,8 @@
 # Time within which all nodes know a change, and time to settle after the last fault.
 BOUND_SECONDS = 2.0
 SETTLE_SECONDS = 6.0
-# Interval at which runners write their entries, and time after which the entry of a stopped runner
-# lapses.
+# Time within which runners and operator write their items again, and time after which the entry of
+# a stopped runner lapses.
 HEARTBEAT_SECONDS = 1.2
 LAPSE_SECONDS = 3.6
 
