--- a/src/hillstack/simulation/asgi.py
+++ b/src/hillstack/simulation/asgi.py
@@ -1,4 +1,4 @@
-"""Runs an ASGI application for simulated callers."""
+"""Runs ASGI applications in process, so that simulated callers need no sockets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AsgiCall:
-    """A caller's request."""
+    """An HTTP request of a simulated caller."""
 
     method: str
     path: str
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AsgiReply:
-    """A whole answer."""
+    """A complete HTTP response."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def content(self) -> dict[str, Any]:
-        """Return the JSON body; empty when it is none."""
+        """Return the JSON object in the body, or an empty dict if the body holds none."""
         try:
             content = json.loads(self.body)
         except ValueError:
@@ -39,7 +39,7 @@
 
 
 async def run_asgi(app: ASGIApp, call: AsgiCall) -> AsgiReply:
-    """Run a request through an application and return the whole answer."""
+    """Run one request through an application and return the complete response."""
     messages: list[MutableMapping[str, Any]] = []
     body_sent = False
 
@@ -48,9 +48,9 @@
         if not body_sent:
             body_sent = True
             return {"type": "http.request", "body": call.body, "more_body": False}
-        never: asyncio.Future[MutableMapping[str, Any]]
-        never = asyncio.get_running_loop().create_future()
-        return await never
+        never_disconnects: asyncio.Future[MutableMapping[str, Any]]
+        never_disconnects = asyncio.get_running_loop().create_future()
+        return await never_disconnects
 
     async def send(message: MutableMapping[str, Any]) -> None:
         messages.append(message)
--- a/src/hillstack/simulation/chaos.py
+++ b/src/hillstack/simulation/chaos.py
@@ -1,4 +1,7 @@
-"""Seeded runs of a simulated deployment under faults, alone and together."""
+"""Runs a simulated deployment under randomly drawn faults, which may overlap.
+
+All draws come from a seed, so that a failing run can be repeated.
+"""
 
 from __future__ import annotations
 
@@ -22,14 +25,14 @@
 ROLLOUT_PAUSE_SECONDS = 3.0
 FAULTS_PER_RUN = (2, 6)
 MACHINE_LIST_LAG_SECONDS = 1.0
-OWN_WORD_LAG_SECONDS = 2.0
+DRAINING_STATUS_LAG_SECONDS = 2.0
 
 Action = Callable[[], None]
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """The result of one seeded run."""
+    """History, rule violations and injected faults of one run."""
 
     seed: int
     history: History
@@ -38,7 +41,7 @@
 
 
 def run_seed(seed: int, routers_per_zone: int = 1) -> RunResult:
-    """Run one seed: the same seed gives the same history and the same verdict."""
+    """Run one seed; the same seed always gives the same history and violations."""
     cluster = SimCluster(seed, ClusterSize(routers_per_zone=routers_per_zone))
     chaos = Chaos(cluster, Random(f"chaos:{seed}"))
     cluster.run_until(WARM_UP_SECONDS)
@@ -46,7 +49,8 @@
     clients = _start_clients(cluster, seed)
     cluster.run_until(RUN_SECONDS)
     for client in clients:
-        # A client that failed would leave a history that proves nothing; one may still repeat.
+        # Raises the exception of a failed client: its history would be incomplete, and the rules
+        # would pass over it. A client that is not done may still be retrying.
         if client.done():
             client.result()
     for name, router in cluster.routers.items():
@@ -61,42 +65,46 @@
 def _start_clients(cluster: SimCluster, seed: int) -> list[asyncio.Task[None]]:
     callers = Callers(cluster, Random(f"callers:{seed}"))
     loop = cluster.clients.loop
-    work = [callers.run(CALLERS_END_SECONDS, REQUEST_PAUSE_SECONDS)]
+    coroutines = [callers.run(CALLERS_END_SECONDS, REQUEST_PAUSE_SECONDS)]
     for name in ("operator-a", "operator-b"):
         operator = Operator(cluster, name, cluster.clients, Random(f"{name}:{seed}"))
-        work.append(operator.run(CALLERS_END_SECONDS, ROLLOUT_PAUSE_SECONDS))
-    return [cluster.scheduler.spawn(loop, each) for each in work]
+        coroutines.append(operator.run(CALLERS_END_SECONDS, ROLLOUT_PAUSE_SECONDS))
+    return [cluster.scheduler.spawn(loop, coroutine) for coroutine in coroutines]
 
 
 class Chaos:
-    """Draws and applies faults."""
+    """Draws faults at random and injects them into a cluster."""
 
     def __init__(self, cluster: SimCluster, rng: Random) -> None:
         self._cluster = cluster
         self._rng = rng
-        self._kinds: list[Callable[[float, float], None]] = [
+        self._fault_kinds: list[Callable[[float, float], None]] = [
             self._kill_router,
             self._kill_router,
-            self._herd_restart,
+            self._restart_most_routers,
             self._freeze_router,
             self._cut_zone,
             self._cut_from_platform,
-            self._bad_network,
+            self._degrade_network,
             self._platform_outage,
             self._platform_slow,
             self._platform_loses_answers,
             self._crash_engine,
-            self._bad_streams,
-            self._bad_applications,
+            self._corrupt_streams,
+            self._degrade_applications,
             self._drain_application,
         ]
 
     def schedule(self) -> None:
-        """Draw the faults of this run and schedule them; all end in time."""
+        """Draw the faults of this run and schedule them.
+
+        All faults end by ``FAULTS_END_SECONDS``, so that the cluster can recover before the end of
+        the run.
+        """
         for _ in range(self._rng.randint(*FAULTS_PER_RUN)):
             start = self._rng.uniform(WARM_UP_SECONDS, FAULTS_END_SECONDS - 4.0)
             end = self._rng.uniform(start + 0.5, FAULTS_END_SECONDS)
-            self._rng.choice(self._kinds)(start, end)
+            self._rng.choice(self._fault_kinds)(start, end)
 
     def _at(self, when: float, node: str, text: str, action: Action) -> None:
         def apply() -> None:
@@ -109,7 +117,7 @@
         name = self._rng.choice(self._cluster.router_names())
         self._kill_and_restart(name, start, end)
 
-    def _herd_restart(self, start: float, end: float) -> None:
+    def _restart_most_routers(self, start: float, end: float) -> None:
         names = self._cluster.router_names()
         survivors = self._rng.choice((0, 1))
         end = min(end, start + 3.0)
@@ -152,13 +160,13 @@
 
     def _cut(self, pairs: list[tuple[str, str]], zone: str, start: float, end: float) -> None:
         cuts = self._cluster.network.conditions.cuts
-        both = set(pairs) | {(second, first) for first, second in pairs}
+        blocked = set(pairs) | {(second, first) for first, second in pairs}
         if len(pairs) > 1 and self._rng.random() < 0.3:
-            both = set(pairs)  # one direction only
-        self._at(start, zone, f"cut {sorted(both)}", lambda: cuts.update(both))
-        self._at(end, zone, "heal", lambda: cuts.difference_update(both))
+            blocked = set(pairs)  # one direction only
+        self._at(start, zone, f"cut {sorted(blocked)}", lambda: cuts.update(blocked))
+        self._at(end, zone, "heal", lambda: cuts.difference_update(blocked))
 
-    def _bad_network(self, start: float, end: float) -> None:
+    def _degrade_network(self, start: float, end: float) -> None:
         network = self._cluster.network
         loss, duplication = self._rng.uniform(0, 0.4), self._rng.uniform(0, 0.3)
         extra = self._rng.uniform(0, 0.2)
@@ -204,7 +212,7 @@
         self._at(start, name, "crash", lambda: cluster.crash_engine(number))
         self._at(end, name, "restart", restart)
 
-    def _bad_streams(self, start: float, end: float) -> None:
+    def _corrupt_streams(self, start: float, end: float) -> None:
         faults = EngineFaults(
             break_streams=self._rng.choice((0.0, 0.1)),
             cross_streams=self._rng.choice((0.0, 0.3)),
@@ -215,10 +223,10 @@
         for name in self._rng.choice((engines, [self._rng.choice(engines)])):
             engine = self._cluster.services.engines[name]
             self._at(start, name, f"{faults}", partial(setattr, engine, "faults", faults))
-            well = partial(setattr, engine, "faults", EngineFaults())
-            self._at(end, name, "streams well", well)
+            finish = partial(setattr, engine, "faults", EngineFaults())
+            self._at(end, name, "streams well", finish)
 
-    def _bad_applications(self, start: float, end: float) -> None:
+    def _degrade_applications(self, start: float, end: float) -> None:
         faults = ApplicationFaults(
             lose_answers=self._rng.choice((0.0, 0.3)),
             cross_answers=self._rng.choice((0.0, 0.3)),
@@ -238,15 +246,16 @@
         def list_leaving() -> None:
             platform.machines[name] = replace(platform.machines[name], leaving=True)
 
-        def say_so() -> None:
+        def report_draining() -> None:
             application.draining = True
 
         def begin() -> None:
             self._cluster.history.add(Leave(start, name))
 
-        # The application's own word may come after the list's, so that the list matters as well;
-        # without any word of it, nodes cut off from list and peers could not know.
-        own_word_at = start + self._rng.choice((0.0, OWN_WORD_LAG_SECONDS))
+        # The application's status page may report draining later than the machine list does, so
+        # that the list is tested too. The status page always reports it in the end: nodes that are
+        # cut off from the machine list and from their peers have no other source.
+        draining_status_at = start + self._rng.choice((0.0, DRAINING_STATUS_LAG_SECONDS))
         self._at(start, name, "leaves", begin)
         self._at(start + MACHINE_LIST_LAG_SECONDS, name, "listed as leaving", list_leaving)
-        self._at(own_word_at, name, "says that it leaves", say_so)
+        self._at(draining_status_at, name, "says that it leaves", report_draining)
--- a/src/hillstack/simulation/checker.py
+++ b/src/hillstack/simulation/checker.py
@@ -1,4 +1,4 @@
-"""Checks a history against what must always hold."""
+"""Checks the history of a run against the invariants of the system."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken rule and where it broke."""
+    """A violated rule and the event that violates it."""
 
     rule: str
     text: str
@@ -36,7 +36,7 @@
 
 
 def at_most_once(history: History) -> list[Violation]:
-    """A non-repeatable request is executed at most once, over all its repeats."""
+    """A non-repeatable request is executed at most once, counting all its retries."""
     counts = Counter(event.key for event in history.of(Execute))
     return [
         Violation("at_most_once", f"{key} was executed {count} times")
@@ -46,10 +46,10 @@
 
 
 def truthful_not_run(history: History) -> list[Violation]:
-    """What is said not to have run had not run by then, and does not run later.
+    """A request answered with ``not_run`` had not been executed by then, and never is later.
 
-    A repeat of the same key may run later; an execution must therefore belong to some sending
-    that was not told ``not_run``.
+    A retry with the same key may be executed later. Each execution must therefore follow at least
+    one send of its key that was not answered with ``not_run``.
     """
     executed: dict[str, list[float]] = {}
     for event in history.of(Execute):
@@ -61,30 +61,30 @@
         if event.outcome == "not_run" and earlier:
             text = f"{event.key} was said not to have run at {event.at:.3f}, ran {earlier}"
             violations.append(Violation("truthful_not_run", text))
-    owners: dict[str, float] = {}
+    first_sent: dict[str, float] = {}
     for event in history.of(Invoke):
         if event.request not in refused:
-            owners[event.key] = min(event.at, owners.get(event.key, event.at))
+            first_sent[event.key] = min(event.at, first_sent.get(event.key, event.at))
     for key, times in executed.items():
-        if key in owners and min(times) >= owners[key]:
+        if key in first_sent and min(times) >= first_sent[key]:
             continue
         violations.append(Violation("truthful_not_run", f"{key} ran {times} for no sending"))
     return violations
 
 
 def truthful_ran(history: History) -> list[Violation]:
-    """A non-repeatable request answered with success was executed."""
+    """A non-repeatable request that was answered with success was executed."""
     executed = {event.key for event in history.of(Execute)}
-    kept = {event.request for event in history.of(Invoke) if not event.repeatable}
+    non_repeatable = {event.request for event in history.of(Invoke) if not event.repeatable}
     return [
         Violation("truthful_ran", f"{event.key} was answered, and never ran")
         for event in history.of(Return)
-        if event.request in kept and event.status == 200 and event.key not in executed
+        if event.request in non_repeatable and event.status == 200 and event.key not in executed
     ]
 
 
 def own_answer(history: History) -> list[Violation]:
-    """Each answer is for the request that was sent."""
+    """Each caller gets the answer to its own request."""
     return [
         Violation("own_answer", f"{event.key} got the answer of {event.answer_key}")
         for event in history.of(Return)
@@ -93,7 +93,7 @@
 
 
 def whole_streams(history: History) -> list[Violation]:
-    """A stream is in order, without gaps or repeats, and ends whole or with an error."""
+    """A stream is in order, without gaps or duplicates, and ends complete or with an error."""
     violations = []
     for event in history.of(Return):
         if not event.expected or event.status != 200:
@@ -111,7 +111,7 @@
 
 
 def refusals_say_when(history: History) -> list[Violation]:
-    """A refusal says when to come back."""
+    """A refusal carries a ``Retry-After`` header."""
     return [
         Violation("refusals_say_when", f"{event.request}: status {event.status}")
         for event in history.of(Return)
@@ -120,7 +120,10 @@
 
 
 def cache_truth(history: History) -> list[Violation]:
-    """Blocks are served only to the tenant and weights, and in the incarnation, that made them."""
+    """Cached blocks are reused only for the tenant and in the incarnation that stored them.
+
+    Blocks of other weights are covered too: the salt that names the blocks contains the version.
+    """
     violations = []
     for event in history.of(Reuse):
         if event.tenant != event.stored_tenant:
@@ -133,7 +136,7 @@
 
 
 def leaving_gets_no_work(history: History) -> list[Violation]:
-    """A leaving back end gets no new work after a few seconds."""
+    """A leaving back end gets no new work once ``LEAVE_LIMIT_SECONDS`` have passed."""
     left_at = {event.node: event.at for event in history.of(Leave)}
     return [
         Violation("leaving_gets_no_work", f"{event.node}: work at {event.at:.2f}")
@@ -143,7 +146,7 @@
 
 
 def bundles_never_revert(history: History) -> list[Violation]:
-    """While a node runs, its version only rises; one version is one bundle everywhere."""
+    """The bundle version of a running node only rises, and a version has one digest everywhere."""
     violations = []
     versions: dict[tuple[str, int], int] = {}
     digests: dict[int, str] = {}
@@ -160,7 +163,7 @@
 
 
 def accepted_bundles_stand(history: History) -> list[Violation]:
-    """An accepted version names one bundle, and at the end all nodes have the highest."""
+    """An accepted version has one digest, and all nodes end with the highest accepted version."""
     violations = []
     digests: dict[int, str] = {}
     accepted = history.of(Accept)
@@ -181,7 +184,7 @@
 
 
 def fences_hold(history: History) -> list[Violation]:
-    """An engine takes no order with a fence below one that it took before."""
+    """An engine accepts no order with a lower fence than an order it accepted before."""
     violations = []
     highest: dict[str, int] = {}
     for event in history.of(Order):
@@ -209,5 +212,5 @@
 
 
 def check(history: History) -> list[Violation]:
-    """Return all violations of all rules."""
+    """Return the violations of all rules."""
     return [violation for rule in RULES for violation in rule(history)]
--- a/src/hillstack/simulation/clients.py
+++ b/src/hillstack/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Simulated callers and operators, who write the history."""
+"""Simulated callers and operators, which event what they send and receive."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from hillstack.simulation.surroundings import SimKeyValue
 
 CALL_TIMEOUT_SECONDS = 8.0
-REPEATS = 4
+BOOKING_ATTEMPTS = 4
 KEY_RANDOM_BITS = 80
 STREAM_TOKENS = 12
 SHARED_BLOCKS = 3
@@ -26,7 +26,10 @@
 
 
 class Callers:
-    """Callers who book, look up and stream, and repeat what failed through other routers."""
+    """Callers that send bookings, look-ups and streamed completions to random routers.
+
+    A failed booking is retried with the same key, through a router drawn again.
+    """
 
     def __init__(self, cluster: SimCluster, rng: Random) -> None:
         self._cluster = cluster
@@ -34,7 +37,7 @@
         self._number = 0
 
     async def run(self, until: float, mean_pause: float) -> None:
-        """Send requests until a time."""
+        """Send requests until the given virtual time."""
         async with asyncio.TaskGroup() as group:
             while self._cluster.scheduler.now < until:
                 await asyncio.sleep(self._rng.expovariate(1 / mean_pause))
@@ -42,13 +45,13 @@
                 group.create_task(work())
 
     async def _book(self) -> None:
-        """Book, and repeat with the same key until the answer is certain or patience ends."""
+        """Send a booking, and retry with the same key until it succeeds or attempts run out."""
         rng, cluster = self._rng, self._cluster
         key = make_key(cluster.wall_clock(), rng.getrandbits(KEY_RANDOM_BITS))
         tenant = rng.choice(TENANTS)
         headers = _headers(tenant) | {"idempotency-key": key}
         call = AsgiCall("POST", "/bookings", headers, json.dumps({"visit": key}).encode())
-        for _ in range(REPEATS):
+        for _ in range(BOOKING_ATTEMPTS):
             reply = await self._send(call, key, "booking", repeatable=False)
             if reply is not None and reply.status == 200:
                 return
@@ -60,7 +63,8 @@
 
     async def _complete(self) -> None:
         tenant = self._rng.choice(TENANTS)
-        # The key ends the prompt and starts with a mark of the tenant, which the engine records.
+        # The prompt ends with the key. The first character of the key identifies the tenant, which
+        # the engine records with the blocks it stores.
         key = f"{tenant[-1]}{self._next_name()}".ljust(KEY_LENGTH, ".")
         shared = f"shared {self._rng.randrange(4)} ".ljust(SHARED_BLOCKS * BLOCK_TOKENS, "s")
         body = {
@@ -87,8 +91,8 @@
         except (TimeoutError, ConnectionRefused, ConnectionBroken):
             cluster.history.add(Return(cluster.scheduler.now, router, name, key, 0))
             return None
-        record = _describe(reply, kind, cluster.scheduler.now, router, name, key)
-        cluster.history.add(record)
+        event = _return_event(reply, kind, cluster.scheduler.now, router, name, key)
+        cluster.history.add(event)
         return reply
 
     def _next_name(self) -> str:
@@ -97,7 +101,7 @@
 
 
 class Operator:
-    """An operator who rolls out new bundles, in a race with others."""
+    """An operator that rolls out new bundles, concurrently with other operators."""
 
     def __init__(self, cluster: SimCluster, name: str, process: SimProcess, rng: Random) -> None:
         self._cluster = cluster
@@ -107,7 +111,7 @@
         self._store = BundleStore(key_value)
 
     async def run(self, until: float, mean_pause: float) -> None:
-        """Roll out bundles until a time."""
+        """Roll out bundles until the given virtual time."""
         while self._cluster.scheduler.now < until:
             await asyncio.sleep(self._rng.expovariate(1 / mean_pause))
             try:
@@ -116,10 +120,10 @@
                 continue
 
     def _next_model(self, parent: Bundle) -> dict[str, object]:
-        """Return the model, with new weights now and then."""
+        """Return the model, sometimes with the next weights version."""
         model = parent.models[0]
-        raised = model.weights_version + (self._rng.random() < NEW_WEIGHTS_SHARE)
-        return model.model_dump() | {"weights_version": raised}
+        next_version = model.weights_version + (self._rng.random() < NEW_WEIGHTS_SHARE)
+        return model.model_dump() | {"weights_version": next_version}
 
     async def _roll_out_next(self) -> None:
         latest = await self._store.latest()
@@ -143,19 +147,21 @@
     return {"authorization": f"Bearer {tenant_token(tenant)}", "x-request-timeout": "6"}
 
 
-def _describe(reply: AsgiReply, kind: str, now: float, router: str, name: str, key: str) -> Return:
+def _return_event(
+    reply: AsgiReply, kind: str, now: float, router: str, name: str, key: str
+) -> Return:
     if reply.status != 200:
         error = reply.content().get("error", {})
         outcome = str(error.get("outcome", ""))
-        says_when = "retry-after" in reply.headers
-        return Return(now, router, name, key, reply.status, outcome, retry_after=says_when)
+        has_retry_after = "retry-after" in reply.headers
+        return Return(now, router, name, key, reply.status, outcome, retry_after=has_retry_after)
     if kind != "completion":
         answer_key = str(reply.content().get("key", "")) if kind == "booking" else ""
         return Return(now, router, name, key, 200, "ran", answer_key)
-    return _describe_stream(reply, now, router, name, key)
+    return _stream_return(reply, now, router, name, key)
 
 
-def _describe_stream(reply: AsgiReply, now: float, router: str, name: str, key: str) -> Return:
+def _stream_return(reply: AsgiReply, now: float, router: str, name: str, key: str) -> Return:
     positions: list[int] = []
     answer_key = ""
     done = error = False
--- a/src/hillstack/simulation/cluster.py
+++ b/src/hillstack/simulation/cluster.py
@@ -1,4 +1,7 @@
-"""A whole deployment in virtual time: the daemon's own node code over a simulated network."""
+"""A complete deployment in virtual time.
+
+The nodes run the daemon's production code; network, platform and back ends are simulated.
+"""
 
 from __future__ import annotations
 
@@ -43,15 +46,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterSize:
-    """How many processes of each kind there are."""
+    """Number of simulated processes of each kind."""
 
     routers_per_zone: int = 1
     engines: int = 3
     applications: int = 3
 
 
-class ObservedNode(Node):
-    """A node that records its adoptions."""
+class RecordingNode(Node):
+    """A node that records each bundle it adopts in the history."""
 
     def __init__(
         self,
@@ -81,7 +84,7 @@
 
 @dataclass(slots=True)
 class SimRouter:
-    """A simulated router process."""
+    """A simulated router: one process with an address for peers and an address for callers."""
 
     node: Node
     peers: SimProcess
@@ -90,7 +93,7 @@
 
 
 class Partners:
-    """The partners' keys, drawn from the seed."""
+    """The partners' signing keys, drawn from the seed."""
 
     def __init__(self, rng: Random) -> None:
         self._private = {name: rng.randbytes(32).hex() for name in PARTNERS}
@@ -110,7 +113,8 @@
     """Routers, back ends, platform and clients.
 
     Args:
-        seed: Seeds everything that is drawn.
+        seed: Seed of all random draws.
+        event_loss: Share of cache event batches lost.
     """
 
     seed: int
@@ -124,7 +128,7 @@
     routers: dict[str, SimRouter] = field(init=False)
     clients: SimProcess = field(init=False)
     event_loss: float = 0.0
-    _engine_lives: int = field(default=0, init=False)
+    _engine_starts: int = field(default=0, init=False)
 
     def __post_init__(self) -> None:
         self.rng = Random(self.seed)
@@ -153,7 +157,7 @@
         ]
 
     def start_router(self, name: str) -> None:
-        """Start a router with empty memory."""
+        """Start a router process without any state."""
         zone, _ = name.removeprefix("router-").rsplit("-", 1)
         peers = self._process(name, zone, _peer_address(name))
         callers = SimProcess(f"{name}-http", zone, _caller_address(name), peers.loop)
@@ -167,14 +171,14 @@
         surroundings = SimSurroundings(
             peers, self.network, self.services.platform, events, rng, skew
         )
-        node = ObservedNode(self._settings(name, zone), surroundings, Fleet(), index, self.history)
+        node = RecordingNode(self._settings(name, zone), surroundings, Fleet(), index, self.history)
         app = make_app(node)
         callers.on_call = lambda call, _: run_asgi(app, call)
         self.routers[name] = SimRouter(node, peers, callers, app)
         self.scheduler.spawn(peers.loop, node.start())
 
     def kill_router(self, name: str) -> None:
-        """Kill a router at once."""
+        """Kill a router process without a shutdown."""
         router = self.routers[name]
         self.network.kill(router.peers)
         self.network.kill(router.callers)
@@ -184,9 +188,9 @@
         name = f"engine-{number}"
         zone = ZONES[number % len(ZONES)]
         process = self._process(name, zone, f"10.2.0.{number + 1}:1")
-        self._engine_lives += 1
+        self._engine_starts += 1
         rng = Random(self.rng.getrandbits(64))
-        engine = SimEngine(process, self.history, rng, f"life-{self._engine_lives}")
+        engine = SimEngine(process, self.history, rng, f"life-{self._engine_starts}")
         self.services.engines[name] = engine
         machine = Machine(
             name, BackendKind.ENGINE, "engines", zone, process.address, "10.2.1.1:1", "10.2.1.1:2"
@@ -194,11 +198,11 @@
         self.services.platform.machines[name] = machine
 
     def crash_engine(self, number: int) -> None:
-        """Kill an engine at once."""
+        """Kill an engine process without a shutdown."""
         self.network.kill(self.services.engines[f"engine-{number}"].process)
 
     def run_until(self, end: float) -> None:
-        """Advance virtual time."""
+        """Advance virtual time to ``end``."""
         self.scheduler.run_until(end)
 
     async def http(self, router: str, call: AsgiCall) -> AsgiReply:
@@ -206,7 +210,7 @@
 
         Raises:
             ConnectionRefused: The router is down.
-            ConnectionBroken: It died before it answered.
+            ConnectionBroken: The router was killed before it answered.
         """
         reply = await self.network.call(self.clients, _caller_address(router), call)
         assert isinstance(reply, AsgiReply)
@@ -259,7 +263,7 @@
 
 
 def first_bundle() -> Bundle:
-    """Return the bundle that the simulation starts from."""
+    """Return the bundle in force when the simulation starts."""
     applications, engines = "applications", "engines"
     route = {"pool": applications, "path": "/bookings", "timeout_seconds": 4.0}
     return Bundle.model_validate(
--- a/src/hillstack/simulation/engine_model.py
+++ b/src/hillstack/simulation/engine_model.py
@@ -1,8 +1,8 @@
 """A model of an inference engine: continuous batching over a block cache.
 
 The model advances in steps, as an engine does: each step prefills up to a budget of prompt tokens
-and decodes one token for each running request. It knows nothing of clocks; a step says how long
-it takes. The emulator runs it in real time, the simulation in virtual time.
+and decodes one token for each running request. The model has no clock: each step returns its
+duration. The emulator runs the model in real time, the simulation in virtual time.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """Speed and size of an engine.
+    """Speed and capacity of an engine.
 
     Attributes:
         prefill_rate: Prompt tokens prefilled per second.
-        max_running: Requests in the batch.
-        cache_blocks: Blocks in the cache.
-        block_tokens: Tokens in a block.
+        max_running: Most requests in the batch.
+        cache_blocks: Capacity of the cache in blocks.
+        block_tokens: Tokens per block.
     """
 
     prefill_rate: float = 8_000.0
@@ -37,8 +37,12 @@
     """A request inside an engine.
 
     Attributes:
-        hashes: Hashes of its full blocks.
-        emitted: Tokens emitted so far; more than zero at the start when it resumes.
+        hashes: Hashes of the full blocks of its prompt.
+        priority: Scheduling priority; lower values are admitted first.
+        emitted: Tokens emitted so far. A resumed stream starts above zero.
+        computed_tokens: Prompt tokens prefilled or found in the cache.
+        cached_blocks: Leading blocks found in the cache on admission.
+        arrival: Arrival number, which orders requests of equal priority.
     """
 
     request_id: str
@@ -54,15 +58,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StepResult:
-    """What one step did.
+    """The outcome of one step.
 
     Attributes:
-        seconds: How long the step takes.
-        emitted: Requests that emit a token at its end.
-        finished: Requests that end with that token.
-        stored: Hashes of blocks stored, with the parent of each, in order.
+        seconds: Duration of the step.
+        emitted: Requests that emit a token at the end of the step.
+        finished: Requests whose last token that is.
+        stored: Hashes of the blocks newly cached, in prompt order within a request.
         removed: Hashes of blocks evicted.
-        prefilled: Hashes of all blocks computed, also those that were cached meanwhile.
+        prefilled: Hashes of all blocks computed, including blocks that another request cached
+            in the meantime.
     """
 
     seconds: float
@@ -75,7 +80,13 @@
 
 @dataclass(slots=True)
 class BlockCache:
-    """A cache of blocks, evicting the least recently used block that no request holds."""
+    """A block cache with reference counts, which evicts the least recently used idle block.
+
+    Attributes:
+        references: Number of requests that hold each cached block.
+        idle: Cached blocks that no request holds, least recently used first.
+        reserved: Blocks set aside for running requests and not computed yet.
+    """
 
     capacity: int
     references: dict[int, int] = field(default_factory=dict)
@@ -89,20 +100,20 @@
         return len(self.references)
 
     def usage(self) -> float:
-        """Return the share of blocks held by requests or caching something."""
+        """Return the share of the capacity that is cached or reserved."""
         return min(1.0, (len(self.references) + self.reserved) / self.capacity)
 
     def available(self) -> int:
-        """Return how many blocks could be taken, evicting idle ones."""
+        """Return how many blocks could be allocated, counting idle blocks as evictable."""
         return self.capacity - self.reserved - (len(self.references) - len(self.idle))
 
     def hold(self, block: int) -> None:
-        """Keep a cached block from eviction."""
+        """Add a reference to a cached block, which protects it from eviction."""
         self.references[block] += 1
         self.idle.pop(block, None)
 
     def release(self, block: int) -> None:
-        """Give up a hold; the block stays cached until it is evicted."""
+        """Drop a reference; the block stays cached until it is evicted."""
         count = self.references.get(block, 0)
         if count <= 0:
             return
@@ -111,7 +122,7 @@
             self.idle[block] = None
 
     def store(self, block: int) -> bool:
-        """Cache a block held by its request and return whether it is new."""
+        """Cache a block with a reference for its request; return whether the block is new."""
         if block in self.references:
             self.hold(block)
             return False
@@ -119,7 +130,7 @@
         return True
 
     def evict_to_fit(self) -> list[int]:
-        """Evict idle blocks until the capacity holds and return them."""
+        """Evict idle blocks until the cache fits its capacity; return the evicted blocks."""
         removed = []
         while len(self.references) + self.reserved > self.capacity and self.idle:
             block, _ = self.idle.popitem(last=False)
@@ -129,7 +140,7 @@
 
 
 class EngineModel:
-    """An engine's scheduler and cache."""
+    """The scheduler and the block cache of an engine."""
 
     def __init__(self, profile: EngineProfile) -> None:
         self.profile = profile
@@ -162,7 +173,7 @@
         return total
 
     def is_idle(self) -> bool:
-        """Return whether there is nothing to do."""
+        """Return whether no request is waiting or running."""
         return not self._waiting and not self._running
 
     def submit(self, request: EngineRequest) -> None:
@@ -173,7 +184,7 @@
         self._waiting.sort(key=lambda entry: (entry.priority, entry.arrival))
 
     def cancel(self, request_id: str) -> None:
-        """Drop a request, whatever its state."""
+        """Remove a request, waiting or running."""
         self._waiting = [entry for entry in self._waiting if entry.request_id != request_id]
         for request in self._running:
             if request.request_id == request_id:
@@ -182,7 +193,7 @@
                 return
 
     def import_blocks(self, hashes: tuple[int, ...]) -> tuple[tuple[int, ...], tuple[int, ...]]:
-        """Cache blocks computed elsewhere and return those stored and those evicted."""
+        """Cache blocks computed by another engine; return the stored and the evicted blocks."""
         stored = [block for block in hashes if self.cache.store(block)]
         for block in hashes:
             self.cache.release(block)
@@ -190,13 +201,13 @@
         return tuple(stored), tuple(removed)
 
     def clear_cache(self) -> None:
-        """Drop all cached blocks that no request holds."""
+        """Evict all blocks that no request holds."""
         for block in list(self.cache.idle):
             del self.cache.references[block]
         self.cache.idle.clear()
 
     def step(self) -> StepResult:
-        """Run one step."""
+        """Admit waiting requests and run one step of the batch."""
         self._admit()
         stored: list[int] = []
         prefilled: list[int] = []
@@ -245,7 +256,7 @@
         matched = self.matched_blocks(request)
         request.cached_blocks = matched
         request.computed_tokens = matched * self.profile.block_tokens
-        # The last token is always computed, so that the first output can be sampled.
+        # The last prompt token is always computed: the first output token is sampled from it.
         request.computed_tokens = min(request.computed_tokens, request.prompt_tokens - 1)
         held = list(request.hashes[:matched])
         for block in held:
@@ -273,7 +284,8 @@
 
     def _release(self, request: EngineRequest) -> None:
         self.cache.reserved -= self._reserved.pop(request.request_id, 0)
-        # Tail blocks become idle first, so that shared heads outlive them.
+        # Blocks at the end of the prompt become idle first and are evicted first, because other
+        # requests are more likely to share the blocks at the start.
         for block in reversed(self._held.pop(request.request_id, [])):
             self.cache.release(block)
 
@@ -282,7 +294,7 @@
         return -(-tokens // self.profile.block_tokens)
 
     def matched_blocks(self, request: EngineRequest) -> int:
-        """Return how many leading blocks of a request are cached."""
+        """Return the number of leading blocks of a request that are cached."""
         matched = 0
         for block in request.hashes:
             if block not in self.cache:
--- a/src/hillstack/simulation/experiment.py
+++ b/src/hillstack/simulation/experiment.py
@@ -1,4 +1,4 @@
-"""Runs experiments and reduces their runs to figures."""
+"""Runs routing experiments and computes the figures of each run."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunKey:
-    """What distinguishes one run of an experiment."""
+    """Parameters that identify one run of an experiment."""
 
     label: str
     load: float
@@ -31,13 +31,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RunFigures:
-    """The figures of one run, over requests that arrived after the warm-up.
+    """The figures of one run, over the requests that arrived after the warm-up.
 
     Attributes:
-        hit_rate: Prompt tokens cached, over all prompt tokens served.
-        wasted: Blocks prefilled that some engine had prefilled before, over all blocks of served
-            prompts.
-        goodput: Requests finished within their deadline per second.
+        came_back: Refused requests that were sent again after ``Retry-After``.
+        admitted_on_return: Requests admitted when they were sent again.
+        lost: Requests neither served nor refused by the end of the run.
+        hit_rate: Share of the prompt tokens of served requests that were cached.
+        wasted: Blocks prefilled although some engine had prefilled them before, as a share of the
+            prompt blocks of all requests; the warm-up counts here.
+        goodput: Requests served per second.
     """
 
     key: RunKey
@@ -61,21 +64,25 @@
 
 
 def routing_of(config: ExperimentConfig, policy: str) -> tuple[Routing, bool]:
-    """Return the routing of a policy and whether it is the oracle."""
+    """Return the routing settings of a policy and whether it is the oracle."""
     if policy == "oracle":
         return config.routing.model_copy(update={"policy": "full"}), True
     return config.routing.model_copy(update={"policy": policy}), False
 
 
 def calibrate(config: ExperimentConfig, seed: int = 0) -> float:
-    """Return the capacity: the highest rate, in steps, of which the oracle serves nearly all."""
-    calm = config.model_copy(
+    """Return the capacity in requests per second.
+
+    The rate falls in steps until the oracle serves ``CALIBRATION_SERVED_SHARE`` of the requests,
+    with a 95th percentile of the time to first token of at most 1 s.
+    """
+    fault_free = config.model_copy(
         update={"seconds": CALIBRATION_SECONDS, "failure": "none", "flood_tenant": ""}
     )
     rate = CALIBRATION_RATE_PER_ENGINE * config.engines
     while True:
         key = RunKey("oracle", 0.0, seed, rate)
-        figures = run_one(calm, "oracle", key)
+        figures = run_one(fault_free, "oracle", key)
         if figures.served >= CALIBRATION_SERVED_SHARE * figures.sent and figures.p95 <= 1.0:
             return rate
         rate /= CALIBRATION_STEP
@@ -90,7 +97,7 @@
 
 
 def reduce_run(config: ExperimentConfig, key: RunKey, run: FleetSimulation) -> RunFigures:
-    """Return the figures of a finished run."""
+    """Compute the figures of a finished run."""
     counted = [r for r in run.records if r.arrival.at >= config.warm_up_seconds]
     served = [r for r in counted if r.finished_at is not None]
     refused = [r for r in counted if r.refused_at is not None and not r.admitted_on_return]
@@ -111,7 +118,7 @@
         p99=percentile(times, 99),
         urgent_p99=percentile(urgent, 99),
         hit_rate=hit_rate(served),
-        wasted=run.computed_again / max(1, prompt_blocks),
+        wasted=run.recomputed_blocks / max(1, prompt_blocks),
         goodput=len(served) / span,
         hit_rate_over_time=_over_time(config, served, hit_rate),
         first_token_over_time=_over_time(
@@ -131,34 +138,34 @@
 
 
 def first_token_time(record: RequestRecord) -> float:
-    """Return the seconds from sending to the first token."""
+    """Return the time from sending to the first token in seconds."""
     assert record.first_token_at is not None
     return record.first_token_at - record.arrival.at
 
 
 def hit_rate(records: Sequence[RequestRecord]) -> float:
-    """Return the share of prompt tokens that were cached."""
+    """Return the share of the prompt tokens that were cached."""
     prompt = sum(record.prompt_tokens for record in records)
     return sum(record.cached_tokens for record in records) / prompt if prompt else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Median and spread (least, greatest) over seeds."""
+    """Median, minimum and maximum of a figure over all seeds."""
 
     median: float
-    least: float
-    greatest: float
+    minimum: float
+    maximum: float
 
 
 def summarize(figures: Iterable[RunFigures], name: str) -> Summary:
-    """Return the summary of one figure over runs."""
+    """Return the summary of the figure ``name`` over runs."""
     values = [float(getattr(run, name)) for run in figures]
     return Summary(statistics.median(values), min(values), max(values))
 
 
 def as_json(figures: Sequence[RunFigures]) -> list[dict[str, object]]:
-    """Return runs in a form that JSON can hold."""
+    """Return runs as dictionaries that can be serialized as JSON."""
     return [asdict(run) for run in figures]
 
 
--- a/src/hillstack/simulation/experiment_config.py
+++ b/src/hillstack/simulation/experiment_config.py
@@ -1,4 +1,4 @@
-"""Configuration of a routing experiment, read from TOML."""
+"""Configuration of a routing experiment, read from a TOML file."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
     """One experiment: a fleet, a workload, policies and loads.
 
     Attributes:
-        loads: Offered load as a share of the capacity, which is measured first: the highest
-            rate of which the oracle serves 99 in 100, with 95 in 100 first tokens within 1 s.
-        event_loss: Share of event batches lost; a replay closes the gap later.
-        failure: What fails in the middle third of the run.
-        flood_tenant: Tenant that sends ten times its rate.
-        obey_retry_after: Whether callers who are refused come back once, when they were told to.
+        loads: Offered load as a share of the capacity. The capacity is measured first: the highest
+            rate at which the oracle serves 99 of 100 requests and sends 95 of 100 first tokens
+            within 1 s.
+        event_loss: Share of cache event batches lost; a replay closes the gap later.
+        failure: Failure injected in the middle third of the run.
+        flood_tenant: Tenant that sends ten times its usual rate; empty for none.
+        obey_retry_after: Whether callers send a refused request again, once, after the time in
+            ``Retry-After``.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -64,10 +66,10 @@
 
 
 def load_experiment(path: Path) -> ExperimentConfig:
-    """Read and check an experiment file.
+    """Read and validate an experiment file.
 
     Raises:
-        SettingsError: Names file, key and reason.
+        SettingsError: The file is unreadable or invalid; the text names file, key and reason.
     """
     try:
         content = tomllib.loads(path.read_text())
--- a/src/hillstack/simulation/fleet_parts.py
+++ b/src/hillstack/simulation/fleet_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a simulated fleet: requests, engines, routers and the oracle."""
+"""Requests, engines, routers and the oracle of the fleet simulation."""
 
 from __future__ import annotations
 
@@ -16,10 +16,14 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """What became of one request.
+    """The outcome of one request; times are in virtual seconds.
 
     Attributes:
-        first_token_at: When the caller had the first token; None when it was refused or lost.
+        retry_after: Seconds after which the last refusal asked the caller to retry.
+        came_back: Whether the caller sent the request again after a refusal.
+        admitted_on_return: Whether the request was admitted when it was sent again.
+        first_token_at: When the caller received the first token; None if the request was refused
+            or lost.
     """
 
     arrival: Arrival
@@ -37,7 +41,14 @@
 
 @dataclass(slots=True)
 class SimulatedEngine:
-    """An engine and its published state."""
+    """An engine and the state that it publishes to routers.
+
+    Attributes:
+        stepping: Whether a step is running.
+        sequence: Sequence number of the next cache event batch.
+        load_history: Times and load reports, from which routers read with a lag.
+        in_transit: Attempts sent to the engine that have not arrived yet.
+    """
 
     engine_id: str
     zone: str
@@ -47,27 +58,31 @@
     alive: bool = True
     sequence: int = 0
     load_history: deque[tuple[float, LoadReport]] = field(default_factory=lambda: deque(maxlen=64))
-    on_way: int = 0
+    in_transit: int = 0
 
-    def life(self) -> str:
-        """Return the name of the incarnation."""
+    def incarnation_id(self) -> str:
+        """Return an identifier of the current incarnation."""
         return f"{self.engine_id}/{self.incarnation}"
 
 
 @dataclass(slots=True)
 class SimulatedRouter:
-    """A router's decisions and beliefs."""
+    """A router with its view of the engines and its cache index.
+
+    Attributes:
+        undelivered_events: Lost cache events by engine, which a replay applies later.
+    """
 
     zone: str
     fleet: Fleet
     index: CacheIndex
-    decisions: RequestRouter
-    lost: dict[str, list[Callable[[], None]]] = field(default_factory=dict)
+    request_router: RequestRouter
+    undelivered_events: dict[str, list[Callable[[], None]]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Flight:
-    """An attempt on its way to an engine or running there."""
+class AttemptInFlight:
+    """An attempt that is on its way to an engine or runs there."""
 
     record: RequestRecord
     router: SimulatedRouter
@@ -79,7 +94,7 @@
 
 
 class OracleRouter(RequestRouter):
-    """A request router that sees engines as they are."""
+    """A request router that reads the true state of the engines, without delay or loss."""
 
     engines: dict[str, SimulatedEngine]
 
@@ -92,7 +107,7 @@
                 continue
             model = engine.model
             probe = EngineRequest("", request.hashes.for_version(1), request.prompt_tokens, 0)
-            load = model.running + model.waiting + engine.on_way
+            load = model.running + model.waiting + engine.in_transit
             views.append(
                 EngineView(
                     engine_id=engine.engine_id,
--- a/src/hillstack/simulation/fleet_simulation.py
+++ b/src/hillstack/simulation/fleet_simulation.py
@@ -1,7 +1,7 @@
 """A fleet of engines behind routers, in virtual time, for measuring routing.
 
-Routers decide with the daemon's own request router. Engines are the engine model. Cache events
-come late and with gaps, load pages lag, and the oracle sees everything as it is.
+Routers use the daemon's production request router, engines use the engine model. Routers receive
+cache events late and with gaps and read load pages with a lag; the oracle reads the true state.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 )
 from hillstack.simulation.experiment_config import ExperimentConfig
 from hillstack.simulation.fleet_parts import (
-    Flight,
+    AttemptInFlight,
     OracleRouter,
     RequestRecord,
     SimulatedEngine,
@@ -51,7 +51,7 @@
 
     Args:
         routing: Policy and weights.
-        oracle: Whether decisions see the true state.
+        oracle: Whether routers read the true state of the engines.
         rate: Requests offered per second.
     """
 
@@ -61,14 +61,14 @@
         self.config = config
         self.now = 0.0
         self.records: list[RequestRecord] = []
-        self.computed_again = 0
+        self.recomputed_blocks = 0
         self._seen_blocks: set[int] = set()
         self._rng = Random(f"fleet:{seed}")
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = itertools.count()
+        self._action_numbers = itertools.count()
         self._rate = rate
         self._seed = seed
-        self._in_flight: dict[str, Flight] = {}
+        self._in_flight: dict[str, AttemptInFlight] = {}
         self.bundle = _bundle(config, routing)
         self.engines = {
             f"engine-{number}": SimulatedEngine(
@@ -82,11 +82,11 @@
         self._event_loss = config.event_loss
 
     def run(self) -> None:
-        """Run all arrivals and let the last requests finish."""
+        """Run all arrivals, then continue for one deadline so that the last requests can finish."""
         workload = WORKLOADS[self.config.deployment]
         generator = WorkloadGenerator(workload, self._rate, self._seed)
         for arrival in self._with_flood(generator):
-            self._at(arrival.at, partial(self._arrive, arrival))
+            self._schedule_at(arrival.at, partial(self._arrive, arrival))
         for number in range(self.config.routers):
             self._poll_loads(number)
         self._record_loads()
@@ -120,21 +120,21 @@
         zone = f"zone-{number % self.config.zones}"
         rng = Random(f"router:{self._seed}:{number}")
         if self._oracle:
-            decisions: RequestRouter = OracleRouter(self.bundle, fleet, index, zone, rng)
-            assert isinstance(decisions, OracleRouter)
-            decisions.engines = self.engines
+            request_router: RequestRouter = OracleRouter(self.bundle, fleet, index, zone, rng)
+            assert isinstance(request_router, OracleRouter)
+            request_router.engines = self.engines
         else:
-            decisions = RequestRouter(self.bundle, fleet, index, zone, rng)
+            request_router = RequestRouter(self.bundle, fleet, index, zone, rng)
         for engine in self.engines.values():
-            index.observe_incarnation(engine.engine_id, engine.life())
-            fleet.observe_status(engine.engine_id, engine.life(), 1, False)
-        return SimulatedRouter(zone, fleet, index, decisions)
+            index.observe_incarnation(engine.engine_id, engine.incarnation_id())
+            fleet.observe_status(engine.engine_id, engine.incarnation_id(), 1, False)
+        return SimulatedRouter(zone, fleet, index, request_router)
 
-    def _at(self, when: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (when, next(self._numbers), action))
+    def _schedule_at(self, when: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._queue, (when, next(self._action_numbers), action))
 
-    def _after(self, delay: float, action: Callable[[], None]) -> None:
-        self._at(self.now + delay, action)
+    def _schedule_after(self, delay: float, action: Callable[[], None]) -> None:
+        self._schedule_at(self.now + delay, action)
 
     def _delay(self, first: str, second: str) -> float:
         return LOCAL_DELAY_SECONDS if first == second else self.config.zone_delay
@@ -144,7 +144,7 @@
         record = RequestRecord(arrival, scope.cache_salt())
         self.records.append(record)
         router = self._rng.choice(self.routers)
-        self._after(self.config.client_delay, lambda: self._admit(record, router))
+        self._schedule_after(self.config.client_delay, lambda: self._admit(record, router))
 
     def _admit(self, record: RequestRecord, router: SimulatedRouter) -> None:
         arrival = record.arrival
@@ -159,7 +159,7 @@
             deadline=self.now + self.config.deadline_seconds,
             urgent=arrival.request_class.urgent,
         )
-        refusal = router.decisions.admit(request, self.now)
+        refusal = router.request_router.admit(request, self.now)
         if refusal is not None:
             self._refuse(record, router, refusal)
             return
@@ -167,13 +167,13 @@
         self._dispatch(record, router, request, ())
 
     def _refuse(self, record: RequestRecord, router: SimulatedRouter, refusal: Refusal) -> None:
-        """Note a refusal; the first time, an obedient caller comes back when it was told to."""
+        """Record a refusal; with ``obey_retry_after``, the caller retries once after the wait."""
         if record.refused_at is None:
             record.refused_at = self.now
         record.retry_after = refusal.retry_after
         if self.config.obey_retry_after and not record.came_back:
             record.came_back = True
-            self._after(refusal.retry_after, lambda: self._admit(record, router))
+            self._schedule_after(refusal.retry_after, lambda: self._admit(record, router))
 
     def _dispatch(
         self,
@@ -182,48 +182,50 @@
         request: CompletionRequest,
         excluded: Collection[str],
     ) -> None:
-        placement = router.decisions.place(request, self.now, excluded)
+        placement = router.request_router.place(request, self.now, excluded)
         if placement is None or record.attempts >= MAX_ATTEMPTS:
             record.refused_at = self.now
             return
         record.attempts += 1
         engine = self.engines[placement.engine_id]
         attempt_id = f"{id(record)}-{record.attempts}"
-        router.decisions.started(request, placement, attempt_id, self.now)
-        self._tell_others(router, request, placement)
-        flight = Flight(record, router, request, engine, attempt_id, placement, engine.incarnation)
-        self._in_flight[attempt_id] = flight
-        engine.on_way += 1
-        self._after(self._delay(router.zone, engine.zone), lambda: self._submit(flight))
-
-    def _tell_others(
+        router.request_router.started(request, placement, attempt_id, self.now)
+        self._notify_peers(router, request, placement)
+        attempt = AttemptInFlight(
+            record, router, request, engine, attempt_id, placement, engine.incarnation
+        )
+        self._in_flight[attempt_id] = attempt
+        engine.in_transit += 1
+        self._schedule_after(self._delay(router.zone, engine.zone), lambda: self._submit(attempt))
+
+    def _notify_peers(
         self, router: SimulatedRouter, request: CompletionRequest, placement: Placement
     ) -> None:
-        notice = router.decisions.fill_of(request, placement)
+        notice = router.request_router.fill_of(request, placement)
         if notice is None:
             return
         others = [other for other in self.routers if other is not router]
-        told = self._rng.sample(others, min(MAX_PEERS_TOLD, len(others)))
-        for other in told:
+        recipients = self._rng.sample(others, min(MAX_PEERS_TOLD, len(others)))
+        for other in recipients:
             if not self._is_cut(router.zone, other.zone):
-                self._after(
-                    self._delay(router.zone, other.zone), partial(self._hear, other, notice)
+                self._schedule_after(
+                    self._delay(router.zone, other.zone), partial(self._receive_fill, other, notice)
                 )
 
-    def _hear(self, router: SimulatedRouter, notice: FillNotice) -> None:
-        router.decisions.observe_fill(notice, self.now)
+    def _receive_fill(self, router: SimulatedRouter, notice: FillNotice) -> None:
+        router.request_router.observe_fill(notice, self.now)
 
-    def _submit(self, flight: Flight) -> None:
-        engine, record = flight.engine, flight.record
-        engine.on_way -= 1
-        if not engine.alive or self._is_cut(flight.router.zone, engine.zone):
-            self._after(CRASH_DETECTION_SECONDS, lambda: self._retry(flight))
+    def _submit(self, attempt: AttemptInFlight) -> None:
+        engine, record = attempt.engine, attempt.record
+        engine.in_transit -= 1
+        if not engine.alive or self._is_cut(attempt.router.zone, engine.zone):
+            self._schedule_after(CRASH_DETECTION_SECONDS, lambda: self._retry(attempt))
             return
-        flight.incarnation = engine.incarnation
+        attempt.incarnation = engine.incarnation
         engine.model.submit(
             EngineRequest(
-                request_id=flight.attempt_id,
-                hashes=flight.request.hashes.for_version(1),
+                request_id=attempt.attempt_id,
+                hashes=attempt.request.hashes.for_version(1),
                 prompt_tokens=record.prompt_tokens,
                 output_tokens=record.arrival.output_tokens,
                 priority=record.arrival.request_class.level,
@@ -231,26 +233,30 @@
         )
         self._step(engine)
 
-    def _retry(self, flight: Flight) -> None:
-        self._in_flight.pop(flight.attempt_id, None)
-        router = flight.router
-        engine_id = flight.engine.engine_id
+    def _retry(self, attempt: AttemptInFlight) -> None:
+        self._in_flight.pop(attempt.attempt_id, None)
+        router = attempt.router
+        engine_id = attempt.engine.engine_id
         router.fleet.observe_failure(engine_id, self.now)
-        router.decisions.finished(flight.request, flight.placement, flight.attempt_id)
-        if flight.record.first_token_at is not None:
-            flight.record.first_token_at = None
-        self._dispatch(flight.record, router, flight.request, (engine_id,))
+        router.request_router.finished(attempt.request, attempt.placement, attempt.attempt_id)
+        if attempt.record.first_token_at is not None:
+            attempt.record.first_token_at = None
+        self._dispatch(attempt.record, router, attempt.request, (engine_id,))
 
     def _step(self, engine: SimulatedEngine) -> None:
         if engine.stepping or engine.model.is_idle() or not engine.alive:
             return
         engine.stepping = True
         result = engine.model.step()
-        life = engine.incarnation
-        self._after(result.seconds, lambda: self._step_done(engine, result, life))
+        started_incarnation = engine.incarnation
+        self._schedule_after(
+            result.seconds, lambda: self._step_done(engine, result, started_incarnation)
+        )
 
-    def _step_done(self, engine: SimulatedEngine, result: StepResult, life: int) -> None:
-        if engine.incarnation != life or not engine.alive:
+    def _step_done(
+        self, engine: SimulatedEngine, result: StepResult, started_incarnation: int
+    ) -> None:
+        if engine.incarnation != started_incarnation or not engine.alive:
             return
         engine.stepping = False
         self._count_blocks(result)
@@ -265,69 +271,69 @@
     def _count_blocks(self, result: StepResult) -> None:
         for block in result.prefilled:
             if block in self._seen_blocks:
-                self.computed_again += 1
+                self.recomputed_blocks += 1
             self._seen_blocks.add(block)
 
     def _first_token(self, engine: SimulatedEngine, request: EngineRequest) -> None:
-        flight = self._in_flight[request.request_id]
-        delay = self._delay(flight.router.zone, engine.zone)
+        attempt = self._in_flight[request.request_id]
+        delay = self._delay(attempt.router.zone, engine.zone)
 
         def arrive() -> None:
-            flight.router.decisions.first_token(engine.engine_id, flight.attempt_id)
-            flight.record.first_token_at = self.now + self.config.client_delay
+            attempt.router.request_router.first_token(engine.engine_id, attempt.attempt_id)
+            attempt.record.first_token_at = self.now + self.config.client_delay
 
-        self._after(delay, arrive)
+        self._schedule_after(delay, arrive)
 
     def _finish(self, engine: SimulatedEngine, request: EngineRequest) -> None:
-        flight = self._in_flight.pop(request.request_id)
+        attempt = self._in_flight.pop(request.request_id)
         cached = request.cached_blocks * self.config.block_tokens
 
         def arrive() -> None:
-            flight.router.decisions.finished(
-                flight.request, flight.placement, flight.attempt_id, cached
+            attempt.router.request_router.finished(
+                attempt.request, attempt.placement, attempt.attempt_id, cached
             )
-            flight.record.cached_tokens = min(cached, flight.record.prompt_tokens)
-            flight.record.finished_at = self.now + self.config.client_delay
+            attempt.record.cached_tokens = min(cached, attempt.record.prompt_tokens)
+            attempt.record.finished_at = self.now + self.config.client_delay
 
-        self._after(self._delay(flight.router.zone, engine.zone), arrive)
+        self._schedule_after(self._delay(attempt.router.zone, engine.zone), arrive)
 
     def _publish(self, engine: SimulatedEngine, result: StepResult) -> None:
         if not result.stored and not result.removed:
             return
         sequence = engine.sequence
         engine.sequence += 1
-        life = engine.life()
+        incarnation_id = engine.incarnation_id()
         for router in self.routers:
-            self._send_events(router, engine, life, sequence, result)
+            self._send_events(router, engine, incarnation_id, sequence, result)
 
     def _send_events(
         self,
         router: SimulatedRouter,
         engine: SimulatedEngine,
-        life: str,
+        incarnation_id: str,
         sequence: int,
         result: StepResult,
     ) -> None:
         def apply() -> None:
-            router.index.stored(engine.engine_id, life, result.stored)
-            router.index.removed(engine.engine_id, life, result.removed)
+            router.index.stored(engine.engine_id, incarnation_id, result.stored)
+            router.index.removed(engine.engine_id, incarnation_id, result.removed)
 
         def arrive() -> None:
             partition = router.index.partition(engine.engine_id)
-            if partition is None or partition.incarnation != life:
+            if partition is None or partition.incarnation != incarnation_id:
                 return
-            gap = router.index.observe_sequence(engine.engine_id, life, sequence)
+            gap = router.index.observe_sequence(engine.engine_id, incarnation_id, sequence)
             if gap is not None:
-                self._after(REPLAY_SECONDS, lambda: self._replay(router, engine.engine_id))
+                self._schedule_after(REPLAY_SECONDS, lambda: self._replay(router, engine.engine_id))
             apply()
 
         if self._rng.random() < self._event_loss or self._is_cut(router.zone, engine.zone):
-            router.lost.setdefault(engine.engine_id, []).append(apply)
+            router.undelivered_events.setdefault(engine.engine_id, []).append(apply)
             return
-        self._after(self.config.event_delay, arrive)
+        self._schedule_after(self.config.event_delay, arrive)
 
     def _replay(self, router: SimulatedRouter, engine_id: str) -> None:
-        for apply in router.lost.pop(engine_id, []):
+        for apply in router.undelivered_events.pop(engine_id, []):
             apply()
         router.index.close_gap(engine_id)
 
@@ -342,42 +348,46 @@
             )
             engine.load_history.append((self.now, report))
         if self.now < self.config.seconds + self.config.deadline_seconds:
-            self._after(0.1, self._record_loads)
+            self._schedule_after(0.1, self._record_loads)
 
     def _poll_loads(self, number: int) -> None:
         router = self.routers[number]
-        due = self.now - self.config.load_lag
+        cutoff = self.now - self.config.load_lag
         for engine in self.engines.values():
             if not engine.alive or self._is_cut(router.zone, engine.zone):
                 router.fleet.observe_failure(engine.engine_id, self.now)
                 continue
-            self._observe_engine(router, engine, due)
+            self._observe_engine(router, engine, cutoff)
         router.index.expire(self.now)
         if self.now < self.config.seconds + self.config.deadline_seconds:
             pause = self.config.load_interval * self._rng.uniform(0.8, 1.2)
-            self._after(pause, lambda: self._poll_loads(number))
+            self._schedule_after(pause, lambda: self._poll_loads(number))
 
-    def _observe_engine(self, router: SimulatedRouter, engine: SimulatedEngine, due: float) -> None:
-        if router.index.observe_incarnation(engine.engine_id, engine.life()):
-            router.lost.pop(engine.engine_id, None)
-        router.fleet.observe_status(engine.engine_id, engine.life(), 1, False)
-        reports = [report for at, report in engine.load_history if at <= due]
+    def _observe_engine(
+        self, router: SimulatedRouter, engine: SimulatedEngine, cutoff: float
+    ) -> None:
+        if router.index.observe_incarnation(engine.engine_id, engine.incarnation_id()):
+            router.undelivered_events.pop(engine.engine_id, None)
+        router.fleet.observe_status(engine.engine_id, engine.incarnation_id(), 1, False)
+        reports = [report for at, report in engine.load_history if at <= cutoff]
         if reports:
-            router.fleet.observe_load(engine.engine_id, reports[-1], due)
+            router.fleet.observe_load(engine.engine_id, reports[-1], cutoff)
 
     def _schedule_failure(self) -> None:
         third = self.config.seconds / 3
         failure = self.config.failure
         if failure == "engine_crash":
-            self._at(third, self._crash_engine)
+            self._schedule_at(third, self._crash_engine)
         elif failure == "router_herd":
-            self._at(third, self._restart_routers)
+            self._schedule_at(third, self._restart_routers)
         elif failure == "event_loss":
-            self._at(third, lambda: setattr(self, "_event_loss", 0.05))
-            self._at(2 * third, lambda: setattr(self, "_event_loss", self.config.event_loss))
+            self._schedule_at(third, lambda: setattr(self, "_event_loss", 0.05))
+            self._schedule_at(
+                2 * third, lambda: setattr(self, "_event_loss", self.config.event_loss)
+            )
         elif failure == "zone_cut":
-            self._at(third, lambda: setattr(self, "_cut_zone", "zone-0"))
-            self._at(2 * third, lambda: setattr(self, "_cut_zone", None))
+            self._schedule_at(third, lambda: setattr(self, "_cut_zone", "zone-0"))
+            self._schedule_at(2 * third, lambda: setattr(self, "_cut_zone", None))
 
     def _is_cut(self, first: str, second: str) -> bool:
         return first != second and self._cut_zone in (first, second)
@@ -385,9 +395,9 @@
     def _crash_engine(self) -> None:
         engine = self.engines["engine-0"]
         engine.alive = False
-        for flight in [f for f in self._in_flight.values() if f.engine is engine]:
-            self._after(CRASH_DETECTION_SECONDS, partial(self._retry, flight))
-        self._after(RESTART_SECONDS, lambda: self._restart_engine(engine))
+        for attempt in [a for a in self._in_flight.values() if a.engine is engine]:
+            self._schedule_after(CRASH_DETECTION_SECONDS, partial(self._retry, attempt))
+        self._schedule_after(RESTART_SECONDS, lambda: self._restart_engine(engine))
 
     def _restart_engine(self, engine: SimulatedEngine) -> None:
         engine.model = EngineModel(_profile(self.config))
@@ -398,18 +408,21 @@
         engine.load_history.clear()
 
     def _restart_routers(self) -> None:
-        """Restart all routers but one with empty beliefs; their requests go on at the engines."""
+        """Restart all routers except the first one.
+
+        The restarted routers lose their state; requests that they sent go on at the engines.
+        """
         for number in range(1, self.config.routers):
-            fresh = self._make_router(number)
+            new = self._make_router(number)
             old = self.routers[number]
-            old.fleet, old.index, old.decisions = fresh.fleet, fresh.index, fresh.decisions
-            old.lost.clear()
+            old.fleet, old.index, old.request_router = new.fleet, new.index, new.request_router
+            old.undelivered_events.clear()
             for engine in self.engines.values():
-                # The replay buffer brings the events back, as on a first subscription.
+                # As on a first subscription, the engine replays its buffered cache events.
                 cached = list(engine.model.cache.references)
-                self._after(
+                self._schedule_after(
                     REPLAY_SECONDS,
-                    partial(old.index.stored, engine.engine_id, engine.life(), cached),
+                    partial(old.index.stored, engine.engine_id, engine.incarnation_id(), cached),
                 )
 
 
--- a/src/hillstack/simulation/history.py
+++ b/src/hillstack/simulation/history.py
@@ -1,6 +1,7 @@
-"""The history of a run: what callers, back ends and nodes saw, in order.
+"""The history of a run: the events at callers, back ends and nodes, in order.
 
-Simulations and tests with real processes write the same events, and one checker reads them.
+Simulations and tests with real processes record the same kinds of events, so that one checker
+serves both.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
     """A caller sent a request.
 
     Attributes:
-        request: Identifier of this sending; repeats have their own.
-        key: What names the request over all its repeats.
+        request: Identifier of this send; each retry has its own.
+        key: Identifier of the request, which its retries share.
     """
 
     at: float
@@ -30,16 +31,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Return:
-    """A caller got a final answer, or its connection broke (status 0).
+    """A caller received its final answer, or its connection broke (status 0).
 
     Attributes:
         outcome: ``ran``, ``not_run`` or ``unknown``; empty when the connection broke.
-        answer_key: Key of the request that the answer says it is for; empty without an answer.
+        answer_key: Key of the request that the answer names; empty without an answer.
         positions: Token positions received, for streams.
-        expected: Tokens of a whole stream.
+        expected: Number of tokens in the complete stream; 0 if the answer is no stream.
         done: Whether the stream ended in ``[DONE]``.
-        error: Whether it ended in an explicit error.
-        retry_after: Whether a refusal said when to come back.
+        error: Whether the stream ended in an explicit error.
+        retry_after: Whether a refusal carried ``Retry-After``.
     """
 
     at: float
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """A back end took on new work."""
+    """A back end received a new request."""
 
     at: float
     node: str
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """A back end announced that it leaves."""
+    """A back end began to leave: it should get no new requests."""
 
     at: float
     node: str
@@ -83,13 +84,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Reuse:
-    """An engine served blocks from its cache.
+    """An engine reused a cached block.
 
     Attributes:
-        incarnation: Incarnation that serves.
-        stored_incarnation: Incarnation that stored the blocks.
+        incarnation: Incarnation that reused the block.
+        stored_incarnation: Incarnation that stored the block.
         tenant: Tenant of the request.
-        stored_tenant: Tenant whose request stored the blocks.
+        stored_tenant: Tenant whose request stored the block.
     """
 
     at: float
@@ -102,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """A roll-out was reported as accepted to its operator."""
+    """An operator's roll-out of a bundle was accepted."""
 
     at: float
     node: str
@@ -112,7 +113,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Adopt:
-    """A node put a bundle in force."""
+    """A node put a bundle in force.
+
+    Attributes:
+        incarnation: Start number of the node, which a restart changes.
+    """
 
     at: float
     node: str
@@ -123,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Final:
-    """The version in force on a node at the end, after all faults were healed."""
+    """The version in force on a node at the end of the run, after all faults have ended."""
 
     at: float
     node: str
@@ -132,7 +137,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """An engine got an order with a fence."""
+    """An engine received an order to load weights.
+
+    Attributes:
+        fence: Fencing token of the order.
+        taken: Whether the engine accepted the order.
+    """
 
     at: float
     node: str
@@ -168,7 +178,7 @@
 
 
 def to_lines(events: Iterable[Event]) -> str:
-    """Return events as JSON lines."""
+    """Serialize events as JSON lines."""
     return "".join(
         json.dumps({"event": type(event).__name__} | asdict(event)) + "\n" for event in events
     )
--- a/src/hillstack/simulation/network.py
+++ b/src/hillstack/simulation/network.py
@@ -1,7 +1,7 @@
 """A simulated network between simulated processes.
 
-Datagrams may be lost, delayed, reordered and doubled. Connections deliver in order while they
-stand; a cut makes them silent, a killed process resets them.
+Datagrams may be lost, delayed, reordered and duplicated. Messages over connections are not lost: a
+cut delays them until it ends. When a process is killed, its peers' open exchanges fail.
 """
 
 from __future__ import annotations
@@ -23,12 +23,16 @@
 
 
 class ConnectionBroken(Exception):
-    """The other process died while the exchange was under way."""
+    """The other process was killed during the exchange."""
 
 
 @dataclass(slots=True, eq=False)
 class SimProcess:
-    """A simulated process: a loop, a zone and an address."""
+    """A simulated process: an event loop, a zone and an address.
+
+    Attributes:
+        exchanges: Futures of other processes that wait for an answer of this process.
+    """
 
     name: str
     zone: str
@@ -36,25 +40,26 @@
     loop: VirtualLoop
     on_datagram: Callable[[Any, str], None] | None = None
     on_call: Callable[[Any, str], Awaitable[Any]] | None = None
-    # A dict keeps the order of insertion; the order of a set of futures differs between runs.
+    # A dict, because it keeps insertion order: a set of futures is ordered differently in each run,
+    # which would make runs with the same seed differ.
     exchanges: dict[asyncio.Future[Any], None] = field(default_factory=dict)
 
     @property
     def alive(self) -> bool:
-        """Whether the process was not killed."""
+        """Whether the process has not been killed."""
         return not self.loop.killed
 
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """How the network behaves now.
+    """The current behavior of the network.
 
     Attributes:
         zone_delay: One-way delay between zones in seconds.
         loss: Share of datagrams lost.
         duplication: Share of datagrams delivered twice.
-        extra_delay: Greatest extra delay in seconds.
-        cuts: Pairs of zones that cannot reach each other, in both orders.
+        extra_delay: Upper bound of the random extra delay in seconds.
+        cuts: Pairs of zones (sender, receiver) between which nothing is delivered.
     """
 
     zone_delay: float = 0.0015
@@ -78,17 +83,17 @@
         self._processes[process.address] = process
 
     def kill(self, process: SimProcess) -> None:
-        """Kill a process; its open exchanges break for the other side."""
+        """Kill a process; exchanges that other processes have open with it fail."""
         if process.alive:
             self.scheduler.kill(process.loop)
         if self._processes.get(process.address) is process:
             del self._processes[process.address]
         for future in list(process.exchanges):
-            self._break(future, ConnectionBroken(f"{process.name} died"))
+            self._fail_exchange(future, ConnectionBroken(f"{process.name} died"))
         process.exchanges.clear()
 
     def send_datagram(self, sender: SimProcess, address: str, message: Any) -> None:
-        """Send a datagram."""
+        """Send a datagram, which may be lost, delayed or duplicated."""
         target = self._processes.get(address)
         if target is None or self._is_cut(sender, target):
             return
@@ -103,8 +108,8 @@
         """Send a request over a connection and return the answer.
 
         Raises:
-            ConnectionRefused: Nobody listens there.
-            ConnectionBroken: The target died before it answered.
+            ConnectionRefused: No process listens at the address.
+            ConnectionBroken: The target was killed before it answered.
         """
         target = await self.connect(sender, address)
         future = self.open_exchange(sender, target)
@@ -120,10 +125,10 @@
             target.exchanges.pop(future, None)
 
     async def connect(self, sender: SimProcess, address: str) -> SimProcess:
-        """Return the process at an address after a round trip; waits for ever over a cut.
+        """Return the process at an address after a round trip; never returns across a cut.
 
         Raises:
-            ConnectionRefused: Nobody listens there.
+            ConnectionRefused: No process listens at the address.
         """
         target = self._processes.get(address)
         if target is not None and self._is_cut(sender, target):
@@ -135,15 +140,15 @@
         return target
 
     def open_exchange(self, sender: SimProcess, target: SimProcess) -> asyncio.Future[Any]:
-        """Return a future on the sender's loop that breaks if the target dies."""
+        """Return a future on the sender's loop that fails if the target is killed."""
         future: asyncio.Future[Any] = sender.loop.create_future()
         target.exchanges[future] = None
         if not target.alive:
-            self._break(future, ConnectionBroken(f"{target.name} died"))
+            self._fail_exchange(future, ConnectionBroken(f"{target.name} died"))
         return future
 
     def transmit(self, sender: SimProcess, target: SimProcess, deliver: Callable[[], None]) -> None:
-        """Run ``deliver`` on the target's loop after the delay; never over a cut."""
+        """Run ``deliver`` on the target's loop after the delay, and after any cut has ended."""
         delay = self._delay(sender, target)
         self._transmit_after(sender, target, deliver, delay)
 
@@ -152,7 +157,7 @@
     ) -> None:
         def arrive() -> None:
             if self._is_cut(sender, target):
-                # TCP sends again until the cut is over.
+                # TCP retransmits until the cut is over.
                 self._transmit_after(sender, target, deliver, 0.2)
             elif target.alive:
                 target.loop.call_soon(deliver)
@@ -165,7 +170,7 @@
         assert target.on_call is not None
         try:
             answer = await target.on_call(message, sender.address)
-        except Exception as error:  # the failure belongs to the caller
+        except Exception as error:  # any failure is passed on to the caller
             self._answer(sender, target, future, None, error)
         else:
             self._answer(sender, target, future, answer, None)
@@ -188,7 +193,7 @@
 
         self.transmit(target, sender, deliver)
 
-    def _break(self, future: asyncio.Future[Any], error: Exception) -> None:
+    def _fail_exchange(self, future: asyncio.Future[Any], error: Exception) -> None:
         def deliver() -> None:
             if not future.done():
                 future.set_exception(error)
--- a/src/hillstack/simulation/report.py
+++ b/src/hillstack/simulation/report.py
@@ -1,4 +1,4 @@
-"""Tables and plots of experiments."""
+"""Renders the runs of experiments as tables and plots."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def group_runs(runs: Sequence[RunFigures]) -> dict[tuple[float, str], list[RunFigures]]:
-    """Return runs by load and label, seeds together, in the order met."""
+    """Group runs by load and label, in order of first occurrence; a group holds all seeds."""
     groups: dict[tuple[float, str], list[RunFigures]] = {}
     for run in runs:
         groups.setdefault((run.key.load, run.key.label), []).append(run)
@@ -29,7 +29,7 @@
 
 
 def table(runs: Sequence[RunFigures]) -> str:
-    """Return a Markdown table: the median over seeds, and the spread of p99 and hit rate."""
+    """Return a Markdown table of medians over seeds, with the range of p99 and of hit rate."""
     titles = ["load", "policy", *(title for title, _ in COLUMNS), "p99 spread", "hit spread"]
     lines = ["| " + " | ".join(titles) + " |", "|" + "---|" * len(titles)]
     for (load, label), group in group_runs(runs).items():
@@ -41,7 +41,7 @@
 
 
 def plot(runs: Sequence[RunFigures], shift_seconds: float, folder: Path, name: str) -> list[Path]:
-    """Write plots of first-token time against load and of hit rate over time; return the files."""
+    """Plot time to first token against load and hit rate over time; return the files written."""
     folder.mkdir(parents=True, exist_ok=True)
     return [
         _plot_loads(runs, folder / f"{name}-first-token.png"),
@@ -56,10 +56,10 @@
         points.setdefault(label, []).append((load, summarize(group, "p99")))
     for label, series in points.items():
         loads = [load for load, _ in series]
-        middle = [summary.median for _, summary in series]
-        below = [summary.median - summary.least for _, summary in series]
-        above = [summary.greatest - summary.median for _, summary in series]
-        axes.errorbar(loads, middle, yerr=[below, above], label=label, marker="o", capsize=3)
+        medians = [summary.median for _, summary in series]
+        below = [summary.median - summary.minimum for _, summary in series]
+        above = [summary.maximum - summary.median for _, summary in series]
+        axes.errorbar(loads, medians, yerr=[below, above], label=label, marker="o", capsize=3)
     axes.set(xlabel="load (share of capacity)", ylabel="time to first token, p99 (s)")
     axes.set_yscale("log")
     axes.legend()
@@ -106,4 +106,4 @@
 
 
 def _spread(summary: Summary) -> str:
-    return f"{summary.least:.3f}-{summary.greatest:.3f}"
+    return f"{summary.minimum:.3f}-{summary.maximum:.3f}"
--- a/src/hillstack/simulation/services.py
+++ b/src/hillstack/simulation/services.py
@@ -1,4 +1,4 @@
-"""Simulated services around the nodes: platform, applications and engines."""
+"""Simulated platform, applications and engines."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpReply:
-    """A whole answer of a simulated back end."""
+    """A complete answer of a simulated back end."""
 
     status: int
     headers: dict[str, str]
@@ -49,9 +49,11 @@
 
 @dataclass(slots=True)
 class PlatformFaults:
-    """How the platform behaves now.
+    """Faults of the platform.
 
     Attributes:
+        outage: Every call fails.
+        delay: Seconds by which each answer is delayed.
         lose_answers: Share of transactions whose answer is lost after they took effect.
     """
 
@@ -86,11 +88,11 @@
         return self.store.transact(conditions, puts)
 
     def grant_lease(self, ttl: int) -> int:
-        """Make a lease."""
+        """Grant a lease and return its identifier."""
         return self.store.grant(float(ttl), self.process.loop.time()).lease_id
 
     def keep_alive(self, lease_id: int) -> bool:
-        """Renew a lease and return whether it still existed."""
+        """Renew a lease; return False if it has expired."""
         now = self.process.loop.time()
         self.store.expire(now)
         lease = self.store.leases.get(lease_id)
@@ -100,18 +102,19 @@
         return True
 
     def get(self, key: str) -> Entry | None:
-        """Return a key's entry."""
+        """Return the entry of a key, or None."""
         self.store.expire(self.process.loop.time())
         return self.store.entry(key)
 
 
 @dataclass(slots=True)
 class ApplicationFaults:
-    """How an application behaves now.
+    """Faults of an application.
 
     Attributes:
-        lose_answers: Share of executions whose answer never comes.
-        cross_answers: Share of answers that carry another request's identifier and content.
+        lose_answers: Share of executed requests that are never echoed_id.
+        cross_answers: Share of answers that carry the identifier and content of another request.
+        delay: Seconds between execution and answer.
     """
 
     lose_answers: float = 0.0
@@ -120,7 +123,7 @@
 
 
 class SimApplication:
-    """An application that records each execution."""
+    """An application that records each execution in the history."""
 
     def __init__(self, process: SimProcess, history: History, rng: Random) -> None:
         self.process = process
@@ -128,7 +131,7 @@
         self.draining = False
         self._history = history
         self._rng = rng
-        self._last = ("", "")
+        self._previous = ("", "")
         process.on_call = self._on_call
 
     def status(self) -> BackendStatus:
@@ -148,23 +151,24 @@
         await asyncio.sleep(self.faults.delay)
         if self._rng.random() < self.faults.lose_answers:
             await asyncio.get_running_loop().create_future()
-        answered, answered_key = attempt_id, key
-        if self._last[0] and self._rng.random() < self.faults.cross_answers:
-            answered, answered_key = self._last
-        self._last = (attempt_id, key)
-        body = json.dumps({"key": answered_key, "path": call.path}).encode()
-        return HttpReply(200, {"x-request-id": answered, "content-type": "application/json"}, body)
+        echoed_id, echoed_key = attempt_id, key
+        if self._previous[0] and self._rng.random() < self.faults.cross_answers:
+            echoed_id, echoed_key = self._previous
+        self._previous = (attempt_id, key)
+        body = json.dumps({"key": echoed_key, "path": call.path}).encode()
+        return HttpReply(200, {"x-request-id": echoed_id, "content-type": "application/json"}, body)
 
 
 @dataclass(slots=True)
 class EngineFaults:
-    """How an engine behaves now.
+    """Faults of an engine.
 
     Attributes:
-        break_streams: Chance per token that the stream breaks off.
-        cross_streams: Chance per stream that its events carry another identifier.
-        end_silently: Chance per token that the stream ends cleanly but without ``[DONE]``.
-        ignore_resume: Start at the first token whatever the router asks for, and do not say so.
+        break_streams: Probability per token that the connection breaks.
+        cross_streams: Probability per stream that its events carry another request's identifier.
+        end_silently: Probability per token that the body ends normally but without ``[DONE]``.
+        ignore_resume: Start each stream at the first token and send no ``X-Resumed-From``, even if
+            the router asked for a later token.
     """
 
     break_streams: float = 0.0
@@ -175,11 +179,11 @@
 
 @dataclass(slots=True)
 class StreamCall:
-    """A streamed completion on its way to the router.
+    """A request for a streamed completion, with the channel for its answer.
 
     Attributes:
-        send: Delivers a piece to the router; None ends the body, an exception breaks it.
-        closed: Returns whether the router went away.
+        send: Sends a chunk to the router; None ends the body, an exception breaks it.
+        closed: Returns whether the router has closed the connection.
     """
 
     call: HttpCall
@@ -188,13 +192,13 @@
 
 
 @dataclass(slots=True)
-class _Stored:
+class _CachedBlock:
     tenant: str
     incarnation: str
 
 
 class SimEngine:
-    """An engine that streams tokens and reuses cached blocks."""
+    """An engine that streams tokens and caches the blocks of prompts."""
 
     def __init__(
         self, process: SimProcess, history: History, rng: Random, incarnation: str
@@ -208,12 +212,12 @@
         self._fence = 0
         self._history = history
         self._rng = rng
-        self._cache: dict[int, _Stored] = {}
+        self._cache: dict[int, _CachedBlock] = {}
         self._running = 0
         process.on_call = self._on_call
 
     def take_order(self, fence: int, weights_version: int) -> bool:
-        """Take an order to serve other weights, unless a later holder gave one before."""
+        """Accept an order to load weights, unless an order with a higher fence came before it."""
         taken = fence >= self._fence
         now = self.process.loop.time()
         self._history.add(Order(now, self.process.name, fence, taken))
@@ -293,12 +297,12 @@
             )
         new = [block for block in hashes if block not in self._cache]
         for block in new:
-            self._cache[block] = _Stored(tenant, self.incarnation)
+            self._cache[block] = _CachedBlock(tenant, self.incarnation)
         removed = []
         while len(self._cache) > ENGINE_CACHE_BLOCKS:
-            oldest = next(iter(self._cache))
-            del self._cache[oldest]
-            removed.append(oldest)
+            evicted = next(iter(self._cache))
+            del self._cache[evicted]
+            removed.append(evicted)
         for publish in self.events:
             publish(self.incarnation, new, removed)
 
--- a/src/hillstack/simulation/statistics.py
+++ b/src/hillstack/simulation/statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of measured values."""
+"""Percentiles of measured values."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def percentile(values: Sequence[float], percent: float) -> float:
-    """Return the nearest-rank percentile; not a number for no values."""
+    """Return the nearest-rank percentile, or NaN if there are no values."""
     if not values:
         return math.nan
     ordered = sorted(values)
--- a/src/hillstack/simulation/surroundings.py
+++ b/src/hillstack/simulation/surroundings.py
@@ -1,4 +1,4 @@
-"""A node's surroundings in the simulation."""
+"""The simulated environment of a node: network, platform, back ends, peers and clocks."""
 
 from __future__ import annotations
 
@@ -40,37 +40,37 @@
 
 
 class SimContent:
-    """The body of a simulated answer."""
+    """The body of a simulated answer, received in chunks."""
 
     def __init__(self, peer: str) -> None:
         self._peer = peer
-        self._pieces: asyncio.Queue[bytes | Exception | None] = asyncio.Queue()
+        self._chunks: asyncio.Queue[bytes | Exception | None] = asyncio.Queue()
 
-    def put(self, piece: bytes | Exception | None) -> None:
-        """Add a piece; None ends the body, an exception breaks it."""
-        self._pieces.put_nowait(piece)
+    def put(self, chunk: bytes | Exception | None) -> None:
+        """Add a chunk; None ends the body, an exception breaks it."""
+        self._chunks.put_nowait(chunk)
 
     async def iter_any(self) -> AsyncIterator[bytes]:
-        """Yield pieces as they arrive."""
+        """Yield chunks as they arrive."""
         while True:
             try:
                 async with asyncio.timeout(SILENCE_TIMEOUT_SECONDS):
-                    piece = await self._pieces.get()
+                    chunk = await self._chunks.get()
             except TimeoutError as error:
                 raise BackendBrokenError("silent", step="read", peer=self._peer) from error
-            if piece is None:
+            if chunk is None:
                 return
-            if isinstance(piece, Exception):
-                raise BackendBrokenError(repr(piece), step="read", peer=self._peer)
-            yield piece
+            if isinstance(chunk, Exception):
+                raise BackendBrokenError(repr(chunk), step="read", peer=self._peer)
+            yield chunk
 
     async def read(self, n: int = -1) -> bytes:
-        """Return the whole body."""
-        return b"".join([piece async for piece in self.iter_any()])
+        """Return the complete body."""
+        return b"".join([chunk async for chunk in self.iter_any()])
 
 
 class SimAnswer:
-    """A simulated answer."""
+    """A simulated answer: status, headers and body."""
 
     def __init__(self, status: int, headers: Mapping[str, str], content: SimContent) -> None:
         self.status = status
@@ -79,7 +79,7 @@
 
 
 class SimBackends:
-    """Requests to simulated back ends, with the same account of attempts as over sockets."""
+    """Client for simulated back ends; advances attempts through the same states as over sockets."""
 
     def __init__(self, process: SimProcess, network: SimNetwork) -> None:
         self._process = process
@@ -100,8 +100,8 @@
         """Send a request and yield its answer.
 
         Raises:
-            BackendRefusedError: No connection.
-            BackendBrokenError: The connection broke or fell silent.
+            BackendRefusedError: No connection could be opened.
+            BackendBrokenError: The connection broke, or no data arrived in time.
         """
         address, _, path = url.removeprefix("http://").partition("/")
         attempt.advance(AttemptState.CONNECTING)
@@ -112,7 +112,7 @@
             async with self._stream(target, call) as answer:
                 yield answer
             return
-        reply = await self._whole(target, call, timeout or SILENCE_TIMEOUT_SECONDS)
+        reply = await self._exchange(target, call, timeout or SILENCE_TIMEOUT_SECONDS)
         content = SimContent(address)
         content.put(reply.body)
         content.put(None)
@@ -122,9 +122,9 @@
         """Return a back end's status page.
 
         Raises:
-            BackendError: It could not be read.
+            BackendError: The page could not be read.
         """
-        status = await self._page(address, "status")
+        status = await self._read_page(address, "status")
         assert isinstance(status, BackendStatus)
         return status
 
@@ -132,17 +132,17 @@
         """Return an engine's load page.
 
         Raises:
-            BackendError: It could not be read.
+            BackendError: The page could not be read.
         """
-        report = await self._page(address, "load")
+        report = await self._read_page(address, "load")
         assert isinstance(report, LoadReport)
         return report
 
     async def order_load(self, address: str, fence: int, weights_version: int) -> bool:
-        """Order an engine to load weights.
+        """Order an engine to load weights; return whether it accepted the order.
 
         Raises:
-            BackendError: The engine failed.
+            BackendError: The engine did not answer.
         """
 
         async def order(engine: SimEngine) -> bool:
@@ -159,17 +159,19 @@
     async def _stream_headers(self, target: SimProcess, call: HttpCall) -> dict[str, str]:
         """Return the headers that an engine sends before its stream."""
 
-        async def ignores(engine: SimEngine) -> bool:
+        async def ignores_resume(engine: SimEngine) -> bool:
             return engine.faults.ignore_resume
 
         try:
-            engine_ignores = await self._network.call(self._process, target.address, ignores)
+            engine_ignores_resume = await self._network.call(
+                self._process, target.address, ignores_resume
+            )
         except (ConnectionRefused, ConnectionBroken) as error:
             text = repr(error)
             raise BackendBrokenError(text, step="read answer", peer=target.address) from error
-        return _resume_headers(bool(engine_ignores), call)
+        return _resume_headers(bool(engine_ignores_resume), call)
 
-    async def _page(self, address: str, name: str) -> Any:
+    async def _read_page(self, address: str, name: str) -> Any:
         try:
             async with asyncio.timeout(PAGE_TIMEOUT_SECONDS):
                 return await self._network.call(self._process, address, name)
@@ -183,7 +185,7 @@
         except (TimeoutError, ConnectionRefused) as error:
             raise BackendRefusedError(repr(error), step="connect", peer=address) from error
 
-    async def _whole(self, target: SimProcess, call: HttpCall, timeout: float) -> HttpReply:
+    async def _exchange(self, target: SimProcess, call: HttpCall, timeout: float) -> HttpReply:
         try:
             async with asyncio.timeout(timeout):
                 reply = await self._network.call(self._process, target.address, call)
@@ -197,14 +199,15 @@
     async def _stream(self, target: SimProcess, call: HttpCall) -> AsyncIterator[Answer]:
         content = SimContent(target.address)
         closed = False
-        # Pieces of one connection arrive in order, whichever delivery comes first.
-        pieces: list[bytes | Exception | None] = []
+        # Deliveries may be reordered. Each takes the oldest chunk, so that chunks arrive in order,
+        # as on a connection.
+        chunks: list[bytes | Exception | None] = []
 
         def deliver() -> None:
-            content.put(pieces.pop(0))
+            content.put(chunks.pop(0))
 
-        def send(piece: bytes | Exception | None) -> None:
-            pieces.append(piece)
+        def send(chunk: bytes | Exception | None) -> None:
+            chunks.append(chunk)
             self._network.transmit(target, self._process, deliver)
 
         exchange = self._network.open_exchange(self._process, target)
@@ -224,9 +227,9 @@
             exchange.cancel()
 
 
-def _resume_headers(engine_ignores: bool, call: HttpCall) -> dict[str, str]:
+def _resume_headers(engine_ignores_resume: bool, call: HttpCall) -> dict[str, str]:
     resumed_from = call.headers.get("x-resume-from")
-    if resumed_from is None or engine_ignores:
+    if resumed_from is None or engine_ignores_resume:
         return {}
     return {"x-resumed-from": resumed_from}
 
@@ -260,7 +263,7 @@
 
 
 class SimKeyValue:
-    """The key-value service as a simulated process sees it."""
+    """Client of the simulated key-value service."""
 
     def __init__(self, process: SimProcess, network: SimNetwork, platform: SimPlatform) -> None:
         self._process = process
@@ -270,11 +273,11 @@
 
     @property
     def era(self) -> int:
-        """The era of the latest answer."""
+        """Era of the store in the latest answer."""
         return self._era
 
     async def get(self, key: str) -> Entry | None:
-        """Return a key's entry."""
+        """Return the entry of a key, or None."""
 
         def get(platform: SimPlatform) -> Entry | None:
             return platform.get(key)
@@ -300,19 +303,19 @@
         return revision
 
     async def grant_lease(self, ttl_seconds: float) -> int:
-        """Make a lease."""
+        """Grant a lease and return its identifier."""
         return int(await self._call(lambda platform: platform.grant_lease(int(ttl_seconds))))
 
     async def keep_alive(self, lease_id: int) -> bool:
-        """Renew a lease."""
+        """Renew a lease; return False if it has expired."""
         return bool(await self._call(lambda platform: platform.keep_alive(lease_id)))
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease."""
+        """Revoke a lease."""
         await self._call(lambda platform: platform.store.revoke(lease_id))
 
     async def watch(self, key: str) -> AsyncIterator[bytes]:
-        """Yield new values, by asking often: simulated watches are no faster."""
+        """Yield new values of a key, by polling every 0.2 s."""
         last: bytes | None = None
         while True:
             await asyncio.sleep(0.2)
@@ -335,7 +338,7 @@
 
 
 class SimCacheEvents:
-    """Cache events of simulated engines: late, and lost now and then."""
+    """Subscription to the cache events of simulated engines, delayed and with random loss."""
 
     def __init__(
         self,
@@ -354,15 +357,15 @@
         self._loss = loss
 
     async def follow(self, machine: Machine, incarnation: str) -> None:
-        """Feed an engine's events into the index until cancelled."""
+        """Apply an engine's cache events to the index until cancelled."""
         engine = self._engines[machine.machine_id]
 
-        def publish(of_incarnation: str, stored: list[int], removed: list[int]) -> None:
+        def publish(event_incarnation: str, stored: list[int], removed: list[int]) -> None:
             if self._rng.random() >= self._loss:
                 self._network.transmit(
                     engine.process,
                     self._process,
-                    lambda: self._apply(machine.machine_id, of_incarnation, stored, removed),
+                    lambda: self._apply(machine.machine_id, event_incarnation, stored, removed),
                 )
 
         engine.events.append(publish)
@@ -379,10 +382,10 @@
 
 
 class SimSurroundings:
-    """All that a simulated node needs.
+    """The environment of one simulated node.
 
     Args:
-        clock_skew: Difference of its wall clock, in seconds.
+        clock_skew: Offset of the node's wall clock in seconds.
     """
 
     def __init__(
@@ -405,18 +408,18 @@
         self._clock_skew = clock_skew
 
     def clock(self) -> float:
-        """Return virtual seconds."""
+        """Return the virtual time in seconds."""
         return self._process.loop.time()
 
     def wall_clock(self) -> float:
-        """Return seconds since the simulation's epoch, with this node's skew."""
+        """Return the Unix time in seconds, as this node's skewed clock shows it."""
         return EPOCH + self._process.loop.time() + self._clock_skew
 
     async def fetch_machines(self) -> list[Machine]:
         """Return the machine list.
 
         Raises:
-            PlatformError: It could not be read.
+            PlatformError: The list could not be read.
         """
 
         def list_machines(platform: SimPlatform) -> list[Machine]:
@@ -431,12 +434,12 @@
         return list(machines)
 
     async def listen(self, on_request: RequestHandler, on_gossip: GossipHandler) -> None:
-        """Begin to receive messages."""
+        """Start to receive datagrams and requests from peers."""
         self._process.on_datagram = on_gossip
         self._process.on_call = on_request
 
     async def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: there are no sockets to close."""
 
 
 EPOCH = 1_800_000_000.0
--- a/src/hillstack/simulation/virtual_loop.py
+++ b/src/hillstack/simulation/virtual_loop.py
@@ -1,9 +1,9 @@
 """Event loops in virtual time, one for each simulated process.
 
-Each loop is a standard asyncio loop whose clock is the simulation's. The scheduler runs the loop
-with the earliest work next, so the same seed gives the same run. A frozen loop is passed over:
-its timers fire late and its messages wait, as for a stopped process. A killed loop never runs
-again.
+Each loop is a standard asyncio loop that reads the clock of the simulation. The scheduler always
+runs the loop with the earliest due work, so a run depends on its seed only. The scheduler skips a
+frozen loop: its timers fire late and its messages wait, as in a stopped process. A killed loop
+never runs again.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class _LoopInternals(Protocol):
-    """The parts of ``asyncio.BaseEventLoop`` that a loop of its own must drive."""
+    """Private members of ``asyncio.BaseEventLoop`` that ``VirtualLoop`` uses."""
 
     _ready: Any
     _scheduled: list[Any]
@@ -29,7 +29,7 @@
 
 
 class _NoSelector:
-    """A selector without files: simulated processes have no sockets."""
+    """A selector without file descriptors, because simulated processes have no sockets."""
 
     def select(self, timeout: float | None = None) -> list[Any]:
         return []
@@ -55,13 +55,13 @@
         return self._virtual_clock()
 
     def _process_events(self, event_list: list[Any]) -> None:
-        """Do nothing: there are no files."""
+        """Do nothing: there are no file descriptors."""
 
     def _write_to_self(self) -> None:
         """Do nothing: there is no other thread to wake."""
 
     def next_due(self) -> float | None:
-        """Return when the loop has work next; None when it has none."""
+        """Return the time at which the loop has work next, or None if it has no work."""
         internals = cast(_LoopInternals, self)
         if internals._ready:
             return self.time()
@@ -74,7 +74,7 @@
         return max(float(internals._scheduled[0]._when), self.time())
 
     def run_ready(self) -> None:
-        """Run what is due now."""
+        """Run one iteration of the loop: the callbacks that are due now."""
         previous = events._get_running_loop()
         events._set_running_loop(self)
         try:
@@ -84,7 +84,7 @@
 
 
 class Scheduler:
-    """Runs many loops in one virtual time."""
+    """Runs many loops on one virtual clock."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -98,27 +98,27 @@
         return self.now
 
     def new_loop(self) -> VirtualLoop:
-        """Add a loop."""
+        """Create a loop and add it to the scheduler."""
         loop = VirtualLoop(self.clock)
         self._loops.append(loop)
         self._all_loops.append(loop)
         return loop
 
     def spawn(self, loop: VirtualLoop, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start a task on a loop from outside."""
+        """Start a task on a loop from outside the loop."""
         return loop.create_task(work)
 
     def at(self, when: float, action: Callable[[], None]) -> None:
-        """Run an action of the simulation itself at a time."""
+        """Schedule an action of the simulation, outside all loops, at a virtual time."""
         heapq.heappush(self._actions, (when, next(self._numbers), action))
 
     def kill(self, loop: VirtualLoop) -> None:
-        """End a process: it never runs again."""
+        """Stop a loop for good, as when its process is killed."""
         loop.killed = True
         self._loops.remove(loop)
 
     def run_until(self, end: float) -> None:
-        """Advance to a time."""
+        """Run all work that is due by ``end`` and advance the clock to it."""
         while True:
             due, loop = self._earliest()
             action_due = self._actions[0][0] if self._actions else None
@@ -136,7 +136,7 @@
         self.now = max(self.now, end)
 
     def close(self) -> None:
-        """Cancel all that is left, so that nothing runs after the simulation."""
+        """Cancel all remaining tasks and close all loops."""
         for _ in range(CLOSE_ROUNDS):
             for loop in self._all_loops:
                 for task in asyncio.all_tasks(loop):
@@ -146,12 +146,12 @@
             loop.close()
 
     def _earliest(self) -> tuple[float | None, VirtualLoop | None]:
-        best: float | None = None
-        chosen: VirtualLoop | None = None
+        earliest_due: float | None = None
+        earliest_loop: VirtualLoop | None = None
         for loop in self._loops:
             if loop.frozen:
                 continue
             due = loop.next_due()
-            if due is not None and (best is None or due < best):
-                best, chosen = due, loop
-        return best, chosen
+            if due is not None and (earliest_due is None or due < earliest_due):
+                earliest_due, earliest_loop = due, loop
+        return earliest_due, earliest_loop
--- a/src/hillstack/simulation/workload.py
+++ b/src/hillstack/simulation/workload.py
@@ -1,7 +1,8 @@
-"""Workloads of the two deployments: deeply nested prefixes, a few very hot, hot sets that shift.
+"""Workloads of the two deployments, with nested shared prefixes and a shifting hot set.
 
-A prompt is a path down a tree of shared documents, and a tail of its own. Which documents are hot
-follows a Zipf law over a ranking that is shuffled at each shift. Arrivals are open-loop.
+A prompt consists of the documents on a path down a tree of shared documents, and a tail that no
+other prompt has. The popularity of the documents follows a Zipf law; at each shift, the ranking of
+the documents is rotated. Arrivals are open-loop: their rate does not depend on the answers.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
     """One level of the document tree below its parent.
 
     Attributes:
-        documents: Documents below each parent.
-        blocks: Least and greatest size in blocks.
-        zipf: Exponent of the popularity law.
+        documents: Number of documents below each parent.
+        blocks: Minimum and maximum size of a document in blocks.
+        zipf: Exponent of the Zipf law of popularity.
     """
 
     documents: int
@@ -37,11 +38,12 @@
 
     Attributes:
         share: Share of all requests.
-        tree: Name of the tree; classes of the same name share documents.
-        tail_tokens: Least and greatest length of the own part.
-        output_tokens: Least and greatest length of the answer.
+        tree: Name of the document tree; classes with the same tree share documents.
+        levels: Levels of the tree that a prompt descends.
+        tail_tokens: Minimum and maximum length of the tail in tokens.
+        output_tokens: Minimum and maximum length of the answer in tokens.
         priority: Name of the priority class.
-        level: Priority as engines order it, lower first.
+        level: Priority sent to engines; lower values run first.
     """
 
     name: str
@@ -99,7 +101,7 @@
         return sum(segment.blocks for segment in self.segments) * block_tokens + self.tail_tokens
 
     def hashes(self, cache_salt: str) -> tuple[int, ...]:
-        """Return block hashes with the structure of the prompt's, without making its text."""
+        """Return block hashes that share prefixes as the prompts do, without building the text."""
         parent = root_hash(cache_salt)
         hashes = []
         for segment in self.segments:
@@ -109,7 +111,7 @@
         return tuple(hashes)
 
     def prompt(self, block_tokens: int) -> str:
-        """Return the prompt as text, one byte a token."""
+        """Return the prompt as text, with one byte per token."""
         parts = [
             _filler(f"{segment.path}#{number} ", block_tokens)
             for segment in self.segments
@@ -120,7 +122,7 @@
 
 
 class WorkloadGenerator:
-    """Draws the arrivals of a workload; the same seed gives the same arrivals.
+    """Draws the arrivals of a workload from a seed.
 
     Args:
         rate: Requests per second.
@@ -131,10 +133,10 @@
         self._rate = rate
         self._rng = Random(seed)
         self._seed = seed
-        self._weights: dict[tuple[int, float], list[float]] = {}
+        self._cumulative_weights: dict[tuple[int, float], list[float]] = {}
 
     def arrivals(self, seconds: float) -> Iterator[Arrival]:
-        """Yield arrivals in order of time."""
+        """Yield the arrivals of a period, in order of time."""
         now, number = 0.0, 0
         while True:
             now += self._rng.expovariate(self._rate)
@@ -144,9 +146,9 @@
             number += 1
 
     def as_tenant(self, arrival: Arrival, tenant: str) -> Arrival:
-        """Return an arrival of another tenant, with that tenant's documents."""
+        """Return a copy of an arrival for another tenant, with documents of that tenant."""
         epoch = int(arrival.at // self._workload.shift_seconds)
-        segments = self._walk(tenant, arrival.request_class, epoch)
+        segments = self._draw_segments(tenant, arrival.request_class, epoch)
         return replace(arrival, tenant=tenant, segments=segments)
 
     def _draw(self, number: int, now: float) -> Arrival:
@@ -154,35 +156,37 @@
         tenants = workload.tenants
         tenant = rng.choices([name for name, _ in tenants], [share for _, share in tenants])[0]
         classes = workload.classes
-        chosen = rng.choices(classes, [entry.share for entry in classes])[0]
+        drawn_class = rng.choices(classes, [entry.share for entry in classes])[0]
         epoch = int(now // workload.shift_seconds)
         return Arrival(
             number=number,
             at=now,
             tenant=tenant,
-            request_class=chosen,
-            segments=self._walk(tenant, chosen, epoch),
-            tail_tokens=rng.randint(*chosen.tail_tokens),
-            output_tokens=rng.randint(*chosen.output_tokens),
+            request_class=drawn_class,
+            segments=self._draw_segments(tenant, drawn_class, epoch),
+            tail_tokens=rng.randint(*drawn_class.tail_tokens),
+            output_tokens=rng.randint(*drawn_class.output_tokens),
         )
 
-    def _walk(self, tenant: str, chosen: RequestClass, epoch: int) -> tuple[Segment, ...]:
-        path = f"{tenant}/{chosen.tree}"
+    def _draw_segments(
+        self, tenant: str, request_class: RequestClass, epoch: int
+    ) -> tuple[Segment, ...]:
+        path = f"{tenant}/{request_class.tree}"
         segments = []
-        for level in chosen.levels:
-            document = self._pick(path, level, epoch)
+        for level in request_class.levels:
+            document = self._draw_document(path, level, epoch)
             path = f"{path}/{document}"
             low, high = level.blocks
             blocks = low + xxh3_64_intdigest(f"size:{path}".encode()) % (high - low + 1)
             segments.append(Segment(path, blocks))
         return tuple(segments)
 
-    def _pick(self, path: str, level: Level, epoch: int) -> int:
+    def _draw_document(self, path: str, level: Level, epoch: int) -> int:
         key = (level.documents, level.zipf)
-        cumulative = self._weights.get(key)
+        cumulative = self._cumulative_weights.get(key)
         if cumulative is None:
             weights = [1.0 / (rank + 1) ** level.zipf for rank in range(level.documents)]
-            cumulative = self._weights[key] = list(accumulate(weights))
+            cumulative = self._cumulative_weights[key] = list(accumulate(weights))
         rank = self._rng.choices(range(level.documents), cum_weights=cumulative)[0]
         shift = xxh3_64_intdigest(f"{self._seed}:{epoch}:{path}".encode())
         return (rank + shift) % level.documents
