--- a/src/hillstack/emulator/application.py
+++ b/src/hillstack/emulator/application.py
@@ -1,7 +1,8 @@
-"""The emulated application: records each execution and answers with its number.
+"""An emulated application, which records each execution and answers with its number.
 
-``GET /status`` tells incarnation and draining; ``GET /emulator/executions`` lists all executions;
-``POST /emulator/faults`` changes faults. All other requests are executed.
+``GET /status`` returns the incarnation and whether the application is draining;
+``GET /emulator/executions`` lists all executions; ``POST /emulator/faults`` sets faults. All other
+requests are executed.
 """
 
 from __future__ import annotations
@@ -18,13 +19,14 @@
 
 
 class ApplicationFaults(BaseModel):
-    """Faults that tests switch on.
+    """Faults that tests inject.
 
     Attributes:
         delay: Seconds between execution and answer.
         cross_answers: Answer with the identifier of another request.
         lose_answers: Close the connection after execution, without an answer.
-        refuse: Answer 503 without executing.
+        refuse: Answer 503 without executing the request.
+        draining: Report draining on the status page and refuse requests.
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -37,7 +39,7 @@
 
 
 class EmulatedApplication:
-    """One application process."""
+    """The state and the request handlers of one application process."""
 
     def __init__(self, name: str) -> None:
         self.name = name
--- a/src/hillstack/emulator/cache_events.py
+++ b/src/hillstack/emulator/cache_events.py
@@ -1,9 +1,9 @@
 """Publishes cache events as vLLM does: msgpack batches over ZeroMQ, with replay.
 
-A batch is the frames ``topic, sequence (8 bytes, big endian), payload``, where the payload is
-``[timestamp, [event, ...], data_parallel_rank]`` and each event is an array that starts with its
-name. The replay socket answers a start sequence with the buffered batches from there on and an
-end marker of sequence -1.
+A batch consists of the frames ``topic, sequence (8 bytes, big endian), payload``. The payload is
+``[timestamp, [event, ...], data_parallel_rank]``, and each event is an array that starts with its
+name. A request on the replay socket names a start sequence. The answer contains the buffered
+batches from that sequence on, followed by an end marker with sequence -1.
 """
 
 from __future__ import annotations
@@ -24,7 +24,10 @@
 
 
 def stored_event(hashes: Sequence[int], parent: int | None, block_tokens: int) -> list[object]:
-    """Return a BlockStored event; token ids are left out, hashes are the shared function."""
+    """Return a BlockStored event, without token IDs.
+
+    The hashes come from ``block_hashes``, which routers use too.
+    """
     return ["BlockStored", list(hashes), parent, [], block_tokens, None]
 
 
@@ -39,13 +42,13 @@
 
 
 class CacheEventPublisher:
-    """A publisher that can delay and lose batches on demand.
+    """Publishes batches of cache events, with injected delay and loss.
 
     Args:
         events_address: ``IP:PORT`` of the publishing socket.
         replay_address: ``IP:PORT`` of the replay socket.
-        delay: Seconds by which batches are held back.
-        loss: Share of batches that are not sent live; replay still has them.
+        delay: Seconds by which each batch is delayed.
+        loss: Share of batches that are not published. A replay still contains them.
     """
 
     def __init__(
@@ -73,7 +76,7 @@
         self._sequence += 1
 
     async def run(self) -> None:
-        """Send batches and answer replays until cancelled."""
+        """Publish batches and answer replay requests until cancelled."""
         try:
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._send())
--- a/src/hillstack/emulator/completion.py
+++ b/src/hillstack/emulator/completion.py
@@ -1,4 +1,4 @@
-"""Answers of the emulated engine to completions, streamed or whole."""
+"""Responses of the emulated engine to completion requests, streamed or complete."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True)
 class CompletionStream:
-    """A completion under way, and the positions of its tokens as they are made."""
+    """A running completion, with a queue of the positions of its generated tokens."""
 
     request: EngineRequest
     tokens: asyncio.Queue[int] = field(default_factory=asyncio.Queue)
 
 
 class CompletionResponse(Response):
-    """Generates a completion, streamed or whole."""
+    """Generates a completion and sends it, streamed or complete."""
 
     def __init__(self, engine: EmulatedEngine, request: Request, body: CompletionBody) -> None:
         super().__init__()
@@ -56,29 +56,29 @@
         self._chat = request.url.path.endswith("chat/completions")
         self._prompt = _prompt_of(body)
         self._fingerprint = prompt_fingerprint(self._prompt)
-        given_id = request.headers.get("x-request-id", uuid.uuid4().hex)
-        self._echoed_id = "crossed" if engine.faults.cross_answers else given_id
+        request_id = request.headers.get("x-request-id", uuid.uuid4().hex)
+        self._echoed_id = "crossed" if engine.faults.cross_answers else request_id
         self._resume_from = int(request.headers.get("x-resume-from", "0"))
         prefix = "chatcmpl-" if self._chat else "cmpl-"
         self._completion_id = prefix + self._echoed_id
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Generate the answer, until it is complete or its caller leaves."""
+        """Generate the answer until it is complete or the caller disconnects."""
         stream = self._engine.submit(self._prompt, self._body, self._resume_from)
-        generate = self._stream if self._body.stream else self._whole
+        generate = self._send_stream if self._body.stream else self._send_complete
         work = asyncio.create_task(generate(stream, send))
-        watch = asyncio.create_task(_wait_for_disconnect(receive))
+        disconnect = asyncio.create_task(_wait_for_disconnect(receive))
         try:
-            await asyncio.wait({work, watch}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({work, disconnect}, return_when=asyncio.FIRST_COMPLETED)
             if work.done():
                 work.result()
         finally:
             work.cancel()
-            watch.cancel()
-            await asyncio.gather(work, watch, return_exceptions=True)
+            disconnect.cancel()
+            await asyncio.gather(work, disconnect, return_exceptions=True)
             self._engine.close(stream)
 
-    async def _stream(self, stream: CompletionStream, send: Send) -> None:
+    async def _send_stream(self, stream: CompletionStream, send: Send) -> None:
         await send(self._start("text/event-stream"))
         crash_after = self._engine.faults.crash_after_tokens
         sent = 0
@@ -96,7 +96,7 @@
         await send(_body_part(b"data: [DONE]\n\n", more=False))
         self._record(stream.request)
 
-    async def _whole(self, stream: CompletionStream, send: Send) -> None:
+    async def _send_complete(self, stream: CompletionStream, send: Send) -> None:
         position = -1
         while position + 1 < stream.request.output_tokens:
             position = await stream.tokens.get()
--- a/src/hillstack/emulator/engine.py
+++ b/src/hillstack/emulator/engine.py
@@ -1,14 +1,14 @@
-"""The emulated engine: the OpenAI API of vLLM over the engine model, in real time.
+"""An emulated engine: vLLM's OpenAI-compatible API over the engine model, in real time.
 
-Beside vLLM's published interface it has a small surface of its own, for what no standard covers:
+It extends vLLM's published interface, for operations that no standard covers:
 
 - ``X-Resume-From: n`` on a completion: the first ``n`` tokens are skipped, and the answer carries
   ``X-Resumed-From: n``.
-- ``GET /status``: incarnation, weights version, role, whether it drains.
-- ``POST /orders/load``: ``{"fence", "weights_version"}``; an order with a lower fence than one
-  already taken is refused with 409.
+- ``GET /status``: incarnation, model, weights version, whether the engine is draining.
+- ``POST /orders/load``: ``{"fence", "weights_version"}`` orders the engine to load weights. The
+  engine refuses an order with a lower fence than one accepted before with 409.
 - ``POST /kv/export`` and ``POST /kv/import``: ``{"hashes": [...]}``.
-- ``POST /emulator/faults``: changes faults, for tests.
+- ``POST /emulator/faults``: sets faults, for tests.
 """
 
 from __future__ import annotations
@@ -45,12 +45,15 @@
 
 
 class Faults(BaseModel):
-    """Faults that tests switch on.
+    """Faults that tests inject.
 
     Attributes:
-        crash_after_tokens: Break each stream off after that many tokens; 0 for never.
+        crash_after_tokens: Break each stream after this number of tokens; 0 for never.
         cross_answers: Answer with the identifier of another request.
         refuse: Answer 503 to completions.
+        draining: Report draining on the status page and answer 503 to completions.
+        event_loss: Share of cache event batches that are not published.
+        event_delay: Seconds by which cache events are delayed.
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -65,7 +68,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOptions:
-    """Settings of an emulated engine."""
+    """Settings of an emulated engine.
+
+    Attributes:
+        load_lag: Age in seconds of the load that ``/metrics`` reports.
+    """
 
     model: str
     address: str
@@ -81,7 +88,7 @@
 
 
 class EmulatedEngine:
-    """One engine process."""
+    """The state and the request handlers of one engine process."""
 
     def __init__(self, options: EngineOptions) -> None:
         self.options = options
@@ -91,7 +98,7 @@
         self.model = EngineModel(options.profile)
         self._publisher: CacheEventPublisher | None = None
         self._streams: dict[str, CompletionStream] = {}
-        self._wake = asyncio.Event()
+        self._work_available = asyncio.Event()
         self._fence = 0
         self._load_history: deque[tuple[float, str]] = deque(maxlen=LOAD_LAG_HISTORY)
         self.executions: list[dict[str, object]] = []
@@ -141,8 +148,8 @@
         due = time.monotonic()
         while True:
             if self.model.is_idle():
-                self._wake.clear()
-                await self._wake.wait()
+                self._work_available.clear()
+                await self._work_available.wait()
                 due = time.monotonic()
             result = self.model.step()
             due = max(due + result.seconds, time.monotonic() - result.seconds)
@@ -287,11 +294,11 @@
         stream = CompletionStream(engine_request)
         self._streams[engine_request.request_id] = stream
         self.model.submit(engine_request)
-        self._wake.set()
+        self._work_available.set()
         return stream
 
     def close(self, stream: CompletionStream) -> None:
-        """Drop a stream; its request is cancelled if it still runs."""
+        """Remove a stream, and cancel its request if it still runs."""
         self._streams.pop(stream.request.request_id, None)
         self.model.cancel(stream.request.request_id)
 
--- a/src/hillstack/emulator/fleet_cache.py
+++ b/src/hillstack/emulator/fleet_cache.py
@@ -1,4 +1,4 @@
-"""What a stand-in of a runner keeps of prompts, and the calls that tell it."""
+"""The prompt cache of an emulated runner, with the endpoints that report its content."""
 
 from __future__ import annotations
 
@@ -15,18 +15,21 @@
 from hillstack.platform.formats import parse_shape
 
 POLL_SECONDS = 0.01
-KEPT = "+"
-DROPPED = "-"
+STORED = "+"
+EVICTED = "-"
 
 
 @dataclass(slots=True)
 class FleetCache:
-    """Parts kept under salts, and the history of their changes.
+    """Cached prompt parts by salt, and the history of changes to them.
 
     Attributes:
-        epoch: Changes with each restart.
-        lists: How often the whole list was asked for.
-        born: When its runner's process started, in Unix milliseconds; 0 if it does not say.
+        epoch: Incarnation number of the cache, which rises with each restart.
+        held: Length in tokens of each cached part, by salt and part.
+        events: Changes since the last restart: number, sign, salt, part, tokens, model.
+        lists: How often the complete list was requested.
+        born: Start time of the runner's process in Unix milliseconds; 0 if the runner does not
+            report it.
     """
 
     model: str
@@ -37,23 +40,23 @@
     born: int = 0
 
     def read(self, salt: str, prompt_parts: str, usage: str) -> None:
-        """Keep the parts of a prompt."""
+        """Cache the parts of a prompt that the runner has read."""
         shape = parse_shape(prompt_parts, usage)
         for part in shape.parts if shape is not None else ():
-            self._change(KEPT, salt, part.part_id, part.tokens)
+            self._change(STORED, salt, part.part_id, part.tokens)
 
     def drop(self, salt: str, part_id: str) -> None:
-        """Evict a part."""
-        self._change(DROPPED, salt, part_id, 0)
+        """Evict a part from the cache."""
+        self._change(EVICTED, salt, part_id, 0)
 
     def restart(self) -> None:
-        """Lose everything, as in a restart."""
+        """Clear cache and history and start a new epoch, as a restarted runner does."""
         self.epoch += 1
         self.held.clear()
         self.events.clear()
 
     def routes(self) -> list[Route]:
-        """Return the routes of the calls."""
+        """Return the HTTP routes that report the cache."""
         return [
             Route(names.CACHE_LIST_PATH, self._list),
             Route(names.CACHE_EVENTS_PATH, self._changes),
--- a/src/hillstack/emulator/fleet_runner.py
+++ b/src/hillstack/emulator/fleet_runner.py
@@ -1,7 +1,8 @@
-"""A small stand-in of a runner, for tests of a fleet's node.
+"""An emulated runner, for tests of a fleet's node.
 
-It records what it ran, answers with a signature, streams events, takes orders for weights, and
-plays faults. The names of the protocol come from the adapter.
+The runner records the requests that it ran, signs its answers, streams events, accepts orders to
+load weights and injects faults. The paths and headers of the protocol come from the platform
+adapter.
 """
 
 from __future__ import annotations
@@ -33,14 +34,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SoftwareFaults:
-    """What is wrong with a version of a runner's software.
+    """Faults of a version of a runner's software.
+
+    The faults affect a request only if all three conditions hold: ``from_run``, ``busy_from`` and
+    ``path_prefix``.
 
     Attributes:
-        fail_share: Part of the requests that it answers with a failure.
-        slow_seconds: How much later it answers the others.
-        from_run: It shows from so many requests on.
-        busy_from: It shows while so many requests run there, this one included.
-        path_prefix: It shows on requests below this path.
+        fail_share: Share of the affected requests that fail.
+        slow_seconds: Extra seconds until the answer to an affected request.
+        from_run: Number of requests that the runner runs without faults first.
+        busy_from: Least number of requests running at the same time, including this one.
+        path_prefix: Prefix of the request's path.
     """
 
     fail_share: float = 0.0
@@ -52,19 +56,19 @@
 
 @dataclass(slots=True)
 class RunnerFaults:
-    """Faults that tests switch on.
+    """Faults and signals that tests inject.
 
     Attributes:
         hang: Run requests and never answer.
-        status: Status of its answers.
-        break_after: Break a stream off after so many events; None for never.
-        shed: Refuse requests as not run.
-        backoff_seconds: Backoff that it asks for when it refuses a request; 0 for none.
-        leaving: Say in all answers that it leaves.
-        limit: Name in all answers how many requests a second it takes from all nodes; None for no
+        status: HTTP status of the answers.
+        break_after: Break each stream after this number of events; None for never.
+        shed: Refuse requests and mark them as not run.
+        backoff_seconds: Backoff that a refusal asks for; 0 for none.
+        leaving: Report in all answers that the runner is leaving.
+        limit: Limit in requests per second, over all nodes, that all answers report; None for no
             limit.
-        keep_weights: Take no order for weights, as while another one is carried out.
-        software: What is wrong with its software.
+        keep_weights: Refuse orders to load weights, as a runner does while it carries out another.
+        software: Faults of the runner's software.
     """
 
     hang: bool = False
@@ -80,18 +84,23 @@
 
 @dataclass(slots=True)
 class FleetRunner:
-    """One runner.
+    """The state and the request handlers of one runner.
 
     Attributes:
-        arrived: Identifiers of the requests that reached it, in order, run or not.
-        ran: Identifiers of the requests that it ran, in order.
-        cache: What it keeps of prompts.
-        left: Identifiers of the requests whose caller left before the end.
-        software: Version of its software; empty if it does not say.
-        work_seconds: How long it works on a request before it answers.
-        running: Requests that it works on.
-        born: When its process started, in Unix milliseconds; 0 if it does not say.
-        called_at: When each call reached it, a request or any other, on the monotonic clock.
+        model: Model that the runner serves; empty if it serves none.
+        weights: Version of the weights in use.
+        events: Number of events in a complete stream.
+        arrived: Identifiers of the requests that reached the runner, in order, run or not.
+        ran: Identifiers of the requests that the runner ran, in order.
+        left: Identifiers of the requests whose caller disconnected before the end.
+        orders: Accepted orders to load weights.
+        fence: Highest fencing token of an accepted order.
+        software: Version of the runner's software; empty if the runner does not report it.
+        work_seconds: Time in seconds from the start of a request to its answer.
+        running: Number of requests that are running.
+        born: Start time of the process in Unix milliseconds; 0 if the runner does not report it.
+        called_at: Arrival time of each call, of requests and of others, on the monotonic clock.
+        cache: Cache of prompt parts.
     """
 
     runner_id: str
@@ -119,7 +128,7 @@
         self.cache = FleetCache(self.model)
 
     def entry(self, address: str, state: str = "ready") -> bytes:
-        """Return its entry in the directory."""
+        """Return the runner's entry in the platform's directory of runners."""
         models = [ModelVersion(self.model, self.weights)] if self.model else []
         body = RunnerBody(
             self.service, address, self.zone, 8, state, models, self.software, self.born
@@ -127,7 +136,7 @@
         return msgspec.json.encode(body)
 
     def restart(self, born: int) -> None:
-        """Start again under the same name: only the weights are those of the process before."""
+        """Reset the state as a restart does; name and weights version stay the same."""
         self.born = born
         self.orders = []
         self.fence = 0
@@ -147,16 +156,16 @@
         )
 
     def note_run(self, request_id: str, headers: dict[str, str]) -> None:
-        """Note a request that begins to run."""
+        """Record a request that starts to run."""
         self.ran.append(request_id)
         self.seen_headers.append(headers)
 
     def note_arrival(self, request_id: str) -> None:
-        """Note a request that has reached it, whether it runs or not."""
+        """Record a request that reached the runner, whether it runs or not."""
         self.arrived.append(request_id)
 
     def note_signals(self, request_id: str, signals: RunnerSignals) -> None:
-        """Note what it says of itself in the answer to a request."""
+        """Do nothing; subclasses record the signals that an answer carries."""
         return
 
     async def _report(self, request: Request) -> Response:
@@ -220,12 +229,12 @@
         )
 
     async def _work(self, path: str) -> bool:
-        """Take the time that a request takes; return whether it fails by the software's fault."""
+        """Wait as long as a request takes; return whether a software fault makes it fail."""
         faults = self.faults.software
-        shows = len(self.ran) > faults.from_run and self.running >= faults.busy_from
-        shows = shows and path.startswith(faults.path_prefix)
-        await asyncio.sleep(self.work_seconds + (faults.slow_seconds if shows else 0.0))
-        return shows and self._rng.random() < faults.fail_share
+        is_affected = len(self.ran) > faults.from_run and self.running >= faults.busy_from
+        is_affected = is_affected and path.startswith(faults.path_prefix)
+        await asyncio.sleep(self.work_seconds + (faults.slow_seconds if is_affected else 0.0))
+        return is_affected and self._rng.random() < faults.fail_share
 
     async def _hang(self, request: Request, request_id: str) -> None:
         try:
@@ -258,7 +267,7 @@
 
 
 class _SignalHeaders:
-    """Adds to each answer that its runner leaves, or its limit, while it does or has one."""
+    """Middleware that adds the signals of the runner, leaving and limit, to each answer."""
 
     def __init__(self, app: ASGIApp, runner: FleetRunner) -> None:
         self._app = app
--- a/src/hillstack/emulator/fleet_store.py
+++ b/src/hillstack/emulator/fleet_store.py
@@ -1,7 +1,8 @@
-"""A small stand-in of the platform's metadata store, for tests of a fleet's node.
+"""An emulated metadata store of the platform, for tests of a fleet's node.
 
-It keeps items, revisions, leases and a history, and plays faults: down, lost answers, lost history,
-a return from an older copy. The names of the protocol come from the adapter.
+The store has items, revisions, leases and a history, and injects faults: outages, lost answers, a
+lost history, and a restore from an older copy. The paths and headers of the protocol come from the
+platform adapter.
 """
 
 from __future__ import annotations
@@ -42,10 +43,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """What the store held at some moment.
+    """A copy of the store's content.
 
     Attributes:
-        leases: Time to live of each lease.
+        forgotten: Revision up to which the history is lost.
+        leases: Time to live of each lease in seconds.
     """
 
     revision: int
@@ -56,16 +58,16 @@
 
 
 class FleetStore:
-    """The store.
+    """The state and the request handlers of the store.
 
     Attributes:
-        down: Whether it refuses every call.
-        lose_answers: Whether it does what is asked and never answers.
-        calls: Number of calls, refused ones too.
-        era: Rises by one with each return from a copy; None if no answer names it.
-        wrong_era: What answers name in the place of the era; None if they name that.
-        page_items: Most items of one page of a list; None for all.
-        on_page: Called after each page but the last.
+        down: Whether the store refuses every call.
+        lose_answers: Whether the store executes calls without answering them.
+        calls: Number of calls, including refused ones.
+        era: Number of restores from a copy; None if answers carry no era.
+        wrong_era: Value that answers carry instead of the era; None to send the era.
+        page_items: Maximum number of items in a page of a list; None for no limit.
+        on_page: Called after each page except the last.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -84,16 +86,16 @@
         self.on_page: Callable[[], None] = lambda: None
 
     def copy(self) -> StoreCopy:
-        """Return what it holds now, from which it may be restored later."""
+        """Return a copy of the content, from which ``restore`` can restart the store."""
         leases = {lease_id: lease.ttl_seconds for lease_id, lease in self._leases.items()}
         history = list(self._history)
         return StoreCopy(self.revision, dict(self._items), history, self._forgotten, leases)
 
     def restore(self, copy: StoreCopy) -> None:
-        """Come back from an earlier copy.
+        """Restore an earlier copy.
 
-        What was written since is gone, leases too; those of the copy begin anew. Revisions go back
-        and are given out again.
+        Items and leases written since the copy are lost, and the leases in the copy start a new
+        time to live. Revisions fall back, so that later writes reuse revision numbers.
         """
         self.revision = copy.revision
         self._items = dict(copy.items)
@@ -105,10 +107,10 @@
             self.era += 1
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write an item; return its revision."""
+        """Write an item and return its revision."""
         self.revision += 1
-        known = self._items.get(key)
-        created = known.created if known is not None else self.revision
+        existing = self._items.get(key)
+        created = existing.created if existing is not None else self.revision
         text = base64.b64encode(value).decode()
         item = StoreItem(key, self.revision, text, created=created, lease=lease)
         self._items[key] = item
@@ -133,7 +135,7 @@
         return sorted(key for key in self._items if key.startswith(prefix))
 
     def forget_history(self) -> None:
-        """Lose all changes so far."""
+        """Clear the history, so that watches from an earlier revision get 410."""
         self._forgotten = self.revision
         self._history.clear()
 
@@ -148,8 +150,8 @@
                 Route(names.WATCH_PATH, self._guarded(self._watch)),
                 Route(names.TXN_PATH, self._guarded(self._transact), methods=["POST"]),
                 Route(names.LEASE_PATH, self._guarded(self._grant), methods=["POST"]),
-                Route(keep_path, self._guarded(self._keep), methods=["POST"]),
-                Route(end_path, self._guarded(self._end), methods=["DELETE"]),
+                Route(keep_path, self._guarded(self._renew), methods=["POST"]),
+                Route(end_path, self._guarded(self._revoke), methods=["DELETE"]),
             ]
         )
 
@@ -215,7 +217,8 @@
             await asyncio.sleep(WATCH_POLL_SECONDS)
 
     def _events(self, prefix: str, after: int) -> list[StoreItem]:
-        # Many nodes ask a hundred times a second: a whole history each time takes the processor.
+        # Each watch polls a hundred times a second. With many nodes, scanning the whole history at
+        # each poll would use too much CPU.
         if self.revision <= after:
             return []
         return [i for i in self._history if i.rev > after and i.key.startswith(prefix)]
@@ -223,8 +226,8 @@
     async def _transact(self, request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=TxnRequest)
         for condition in body.expected_count:
-            known = self._items.get(condition.key)
-            if (known.rev if known is not None else 0) != condition.rev:
+            existing = self._items.get(condition.key)
+            if (existing.rev if existing is not None else 0) != condition.rev:
                 return Response(status_code=412)
         if any(put.lease and put.lease not in self._leases for put in body.put):
             return Response(status_code=404)
@@ -240,14 +243,14 @@
         self._leases[self.revision] = _Lease(ttl, self._clock() + ttl)
         return _json(LeaseBody(self.revision, ttl * 1000))
 
-    def _keep(self, request: Request) -> Response:
+    def _renew(self, request: Request) -> Response:
         lease = self._leases.get(request.path_params["lease"])
         if lease is None:
             return Response(status_code=404)
         lease.ends_at = self._clock() + lease.ttl_seconds
         return _json(LeaseBody(request.path_params["lease"], lease.ttl_seconds * 1000))
 
-    def _end(self, request: Request) -> Response:
+    def _revoke(self, request: Request) -> Response:
         self._drop_lease(request.path_params["lease"])
         return Response()
 
--- a/src/hillstack/emulator/free_ports.py
+++ b/src/hillstack/emulator/free_ports.py
@@ -1,4 +1,4 @@
-"""Ports for stand-ins and for nodes that are started beside them on one machine."""
+"""Finds free ports for emulators and nodes on the local machine."""
 
 from __future__ import annotations
 
@@ -14,26 +14,28 @@
 def free_ports(count: int) -> list[int]:
     """Return distinct ports that are free now, for TCP and UDP.
 
-    They lie below the range from which the system gives ports to outgoing connections and to
-    listeners without a number; one from that range can be taken before its process binds it.
+    The ports lie below the ephemeral range. The system assigns ephemeral ports to outgoing
+    connections and to listeners on port 0, so it could assign one before its process binds it.
     """
     first_ephemeral = _first_ephemeral_port()
-    held: list[socket.socket] = []
+    sockets: list[socket.socket] = []
     ports: list[int] = []
     try:
         while len(ports) < count:
             port = random.randrange(LOWEST_PORT, first_ephemeral)
-            if all(_hold(held, kind, port) for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM)):
+            if all(
+                _reserve(sockets, kind, port) for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM)
+            ):
                 ports.append(port)
     finally:
-        for entry in held:
+        for entry in sockets:
             entry.close()
     return ports
 
 
-def _hold(held: list[socket.socket], kind: socket.SocketKind, port: int) -> bool:
+def _reserve(sockets: list[socket.socket], kind: socket.SocketKind, port: int) -> bool:
     entry = socket.socket(type=kind)
-    held.append(entry)
+    sockets.append(entry)
     try:
         entry.bind((HOST, port))
     except OSError:
--- a/src/hillstack/emulator/generation.py
+++ b/src/hillstack/emulator/generation.py
@@ -1,7 +1,7 @@
-"""The text that an emulated engine generates: a function of prompt and position only.
+"""The text that an emulated engine generates, which depends on prompt and position only.
 
-Any engine gives the same tokens for the same prompt, so a caller can check a whole answer and a
-stream can resume on another engine.
+All engines generate the same tokens for the same prompt. A caller can therefore verify a complete
+answer, and a stream can resume on another engine.
 """
 
 from __future__ import annotations
@@ -22,6 +22,6 @@
 
 
 def expected_text(prompt: str, tokens: int) -> str:
-    """Return the whole answer to a prompt."""
+    """Return the complete answer to a prompt."""
     fingerprint = prompt_fingerprint(prompt)
     return "".join(token_text(fingerprint, position) for position in range(tokens))
--- a/src/hillstack/emulator/load_driver.py
+++ b/src/hillstack/emulator/load_driver.py
@@ -1,7 +1,7 @@
-"""Drives a deployment with a workload over HTTP and checks every answer.
+"""Sends a workload to a deployment over HTTP and verifies every answer.
 
-Arrivals are open-loop. Streams are checked token by token against what an emulated engine must
-generate; bookings are checked against the executions that the applications recorded.
+Arrivals are open-loop. Streams are compared with the text that an emulated engine must generate;
+bookings are compared with the executions that the applications recorded.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """What to drive.
+    """The load to send.
 
     Attributes:
-        routers: Caller addresses.
+        routers: Addresses at which the routers accept callers.
         tokens: Bearer token by tenant.
         rate: Completions per second.
-        booking_rate: Bookings and look-ups per second, each.
+        booking_rate: Rate of bookings, and of look-ups, per second.
     """
 
     routers: Sequence[str]
@@ -53,7 +53,13 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """What came back."""
+    """Counts of requests and answers, and the problems found.
+
+    Attributes:
+        problems: Texts of the first ten wrong or missing answers.
+        booking_keys: Outcome reported for each booking key.
+        first_token: Times to first token in microseconds.
+    """
 
     sent: int = 0
     served: int = 0
@@ -76,18 +82,18 @@
         return float(self.first_token.get_value_at_percentile(percentile)) / MICROSECONDS
 
     def hit_rate(self) -> float:
-        """Return the share of prompt tokens that engines had cached."""
+        """Return the share of prompt tokens found in the engines' caches."""
         return self.cached_tokens / self.prompt_tokens if self.prompt_tokens else 0.0
 
     def note_problem(self, text: str) -> None:
-        """Count a wrong or missing answer."""
+        """Count a wrong or missing answer and record its text."""
         self.wrong += 1
         if len(self.problems) < 10:
             self.problems.append(text)
 
 
 class LoadDriver:
-    """Sends the requests of a plan and checks the answers."""
+    """Sends the requests of a plan and verifies the answers."""
 
     def __init__(self, plan: LoadPlan) -> None:
         self._plan = plan
@@ -167,7 +173,7 @@
             result.served += 1
 
     async def _read_stream(self, response: aiohttp.ClientResponse, sent_at: float) -> str | None:
-        """Return the text, or None when the stream ended with an explicit error."""
+        """Return the text of a stream, or None if it ended with an error or without ``[DONE]``."""
         texts: list[str] = []
         async for line in response.content:
             if not line.startswith(b"data: "):
@@ -184,11 +190,11 @@
             if event["choices"]:
                 texts.append(event["choices"][0]["text"])
             else:
-                self._note_usage(event["usage"])
+                self._add_usage(event["usage"])
         self.result.note_problem("a stream ended without [DONE] and without an error")
         return None
 
-    def _note_usage(self, usage: dict[str, object]) -> None:
+    def _add_usage(self, usage: dict[str, object]) -> None:
         details = usage["prompt_tokens_details"]
         assert isinstance(details, dict)
         self.result.prompt_tokens += int(str(usage["prompt_tokens"]))
@@ -235,7 +241,7 @@
 
 
 def check_executions(result: LoadResult, executed_keys: Sequence[str]) -> None:
-    """Check bookings against the executions that all applications recorded."""
+    """Compare the reported outcomes of bookings with the recorded executions."""
     counts: dict[str, int] = {}
     for key in executed_keys:
         counts[key] = counts.get(key, 0) + 1
--- a/src/hillstack/emulator/platform.py
+++ b/src/hillstack/emulator/platform.py
@@ -1,7 +1,7 @@
-"""The emulated platform: the etcd v3 JSON gateway and the machine list.
+"""An emulated platform: the etcd v3 JSON gateway and the machine list.
 
-The key-value service keeps revisions, compare-and-swap transactions, leases and watches, as etcd
-documents them. It has a rate limit, outages, delays and lost answers on demand.
+The key-value service has revisions, compare-and-swap transactions, leases and watches, as etcd
+documents them, and a rate limit. Tests can inject outages, delays and lost answers.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 
 class PlatformFaults(BaseModel):
-    """Faults that tests switch on.
+    """Faults that tests inject.
 
     Attributes:
-        outage: Answer nothing but 503.
+        outage: Answer every request with 503.
         delay: Seconds added to each answer.
         lose_answers: Number of transactions that take effect but whose answer is lost.
     """
@@ -58,7 +58,7 @@
     lease: int = 0
 
     def as_json(self) -> dict[str, str]:
-        """Return the gateway's form: base64 bytes and numbers as strings."""
+        """Return the JSON form of the gateway: bytes as base64, numbers as strings."""
         return {
             "key": base64.b64encode(self.key).decode(),
             "value": base64.b64encode(self.value).decode(),
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyValueSnapshot:
-    """What the key-value service held at some moment."""
+    """A snapshot of the key-value service."""
 
     revision: int
     values: dict[bytes, KeyValue]
@@ -101,7 +101,7 @@
     """The state of the key-value service.
 
     Attributes:
-        era: How often it was restored from a snapshot; no answer tells it.
+        era: Number of restores from a snapshot; answers do not carry it.
     """
 
     def __init__(self) -> None:
@@ -113,14 +113,14 @@
         self._next_lease = 1
 
     def range(self, start: bytes, end: bytes) -> list[KeyValue]:
-        """Return the values of a range in key order."""
+        """Return the entries of a range in key order."""
         return [self.values[key] for key in sorted(self.values) if in_range(key, start, end)]
 
     def put(self, key: bytes, value: bytes, lease: int, revision: int) -> None:
         """Set a key at a revision."""
-        known = self.values.get(key)
-        created = known.create_revision if known else revision
-        version = known.version + 1 if known else 1
+        existing = self.values.get(key)
+        created = existing.create_revision if existing else revision
+        version = existing.version + 1 if existing else 1
         entry = KeyValue(key, value, created, revision, version, lease)
         self.values[key] = entry
         if lease in self.leases:
@@ -139,17 +139,21 @@
         return StoreRevision(self.era, self.revision)
 
     def _holds(self, condition: Condition) -> bool:
-        known = self.values.get(condition.key.encode())
+        existing = self.values.get(condition.key.encode())
         if isinstance(condition, RevisionIs):
-            return (known.mod_revision if known else 0) == condition.revision.number
-        return (known.value if known else None) == condition.value
+            return (existing.mod_revision if existing else 0) == condition.revision.number
+        return (existing.value if existing else None) == condition.value
 
     def snapshot(self) -> KeyValueSnapshot:
-        """Return what it holds now, from which it may be restored later."""
+        """Return a snapshot, from which ``restore`` can reset the service."""
         return KeyValueSnapshot(self.revision, dict(self.values), self._next_lease)
 
     def restore(self, snapshot: KeyValueSnapshot) -> None:
-        """Come back from a snapshot: writes since are gone, leases too, and numbers come again."""
+        """Restore a snapshot.
+
+        Writes since the snapshot and all leases with their keys are lost; revisions and lease
+        identifiers issued since then are issued again.
+        """
         self.era += 1
         self.revision = snapshot.revision
         self.values = {key: value for key, value in snapshot.values.items() if not value.lease}
@@ -157,41 +161,41 @@
         self._next_lease = snapshot.next_lease
 
     def entry(self, key: str) -> Entry | None:
-        """Return a key's entry as the client of the service sees it."""
-        known = self.values.get(key.encode())
-        if known is None:
+        """Return the entry of a key in the form that clients of the service use, or None."""
+        existing = self.values.get(key.encode())
+        if existing is None:
             return None
-        return Entry(key, known.value, StoreRevision(self.era, known.mod_revision))
+        return Entry(key, existing.value, StoreRevision(self.era, existing.mod_revision))
 
     def delete(self, start: bytes, end: bytes, revision: int) -> int:
         """Delete a range and return the number of keys deleted."""
-        doomed = self.range(start, end)
-        for entry in doomed:
+        matching = self.range(start, end)
+        for entry in matching:
             del self.values[entry.key]
             tombstone = KeyValue(entry.key, b"", 0, revision, 0)
             self._notify("DELETE", tombstone)
-        return len(doomed)
+        return len(matching)
 
     def grant(self, ttl: float, now: float) -> Lease:
-        """Make a lease."""
+        """Grant a lease."""
         lease = Lease(self._next_lease, ttl, now + ttl)
         self._next_lease += 1
         self.leases[lease.lease_id] = lease
         return lease
 
     def revoke(self, lease_id: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         lease = self.leases.pop(lease_id, None)
         if lease is None or not lease.keys:
             return
         self.revision += 1
         for key in lease.keys:
-            held = self.values.get(key)
-            if held is not None and held.lease == lease_id:
+            entry = self.values.get(key)
+            if entry is not None and entry.lease == lease_id:
                 self.delete(key, b"", self.revision)
 
     def expire(self, now: float) -> None:
-        """End the leases whose time has passed."""
+        """Revoke the leases whose time to live has passed."""
         for lease in list(self.leases.values()):
             if lease.expires_at <= now:
                 self.revoke(lease.lease_id)
@@ -206,14 +210,14 @@
 
 
 def in_range(key: bytes, start: bytes, end: bytes) -> bool:
-    """Return whether a key is in etcd's range: one key when ``end`` is empty."""
+    """Return whether a key is in a range as etcd defines it; an empty ``end`` means one key."""
     if not end:
         return key == start
     return key >= start and (end == b"\0" or key < end)
 
 
 class EmulatedPlatform:
-    """The platform process.
+    """The state and the request handlers of the platform process.
 
     Args:
         machines: Entries of the machine list.
@@ -225,8 +229,8 @@
         self.faults = PlatformFaults()
         self._machines = {machine["id"]: dict(machine) for machine in machines}
         self._rate = requests_per_second
-        self._allowance = requests_per_second
-        self._allowance_at = time.monotonic()
+        self._rate_tokens = requests_per_second
+        self._refilled_at = time.monotonic()
 
     def app(self) -> Starlette:
         """Return the HTTP application."""
@@ -267,7 +271,7 @@
         async def handle(request: Request) -> Response:
             if self.faults.outage:
                 return _grpc_error(503, GRPC_UNAVAILABLE, "etcdserver: no leader")
-            if not self._take_allowance():
+            if not self._take_rate_token():
                 return _grpc_error(429, GRPC_RESOURCE_EXHAUSTED, "etcdserver: too many requests")
             await asyncio.sleep(self.faults.delay)
             try:
@@ -282,14 +286,14 @@
 
         return handle
 
-    def _take_allowance(self) -> bool:
+    def _take_rate_token(self) -> bool:
         now = time.monotonic()
-        gained = (now - self._allowance_at) * self._rate
-        self._allowance = min(self._rate, self._allowance + gained)
-        self._allowance_at = now
-        if self._allowance < 1:
+        gained = (now - self._refilled_at) * self._rate
+        self._rate_tokens = min(self._rate, self._rate_tokens + gained)
+        self._refilled_at = now
+        if self._rate_tokens < 1:
             return False
-        self._allowance -= 1
+        self._rate_tokens -= 1
         return True
 
     def _range(self, body: dict[str, Any]) -> dict[str, Any]:
@@ -340,12 +344,12 @@
         return {"response_range": self._range(operation["request_range"])}
 
     def _compare(self, entry: dict[str, Any]) -> bool:
-        known = self.store.values.get(_bytes(entry, "key"))
+        existing = self.store.values.get(_bytes(entry, "key"))
         target = entry["target"]
         if target == "VALUE":
-            return known is not None and known.value == _bytes(entry, "value")
+            return existing is not None and existing.value == _bytes(entry, "value")
         name = COMPARE_FIELDS[target]
-        current = getattr(known, name) if known is not None else 0
+        current = getattr(existing, name) if existing is not None else 0
         expected = int(entry.get(name, 0))
         result = entry.get("result", "EQUAL")
         if result == "GREATER":
--- a/src/hillstack/emulator/server.py
+++ b/src/hillstack/emulator/server.py
@@ -1,4 +1,4 @@
-"""Runs a Starlette application on one address until SIGTERM."""
+"""Serves an emulator over HTTP until SIGTERM."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
 
 
 def run_emulator(app: ASGIApp, address: str, name: str) -> None:
-    """Serve an emulator until it is stopped."""
+    """Serve an emulator on one address until the process is stopped."""
     configure_logging("INFO", name)
     make_server(app, address, lifespan="on", shutdown_seconds=SHUTDOWN_SECONDS).run()
