--- a/tests/stateful/test_simulation.py
+++ b/tests/stateful/test_simulation.py
@@ -1,4 +1,4 @@
-"""A few seeds of the simulation on every run; ``make simulate`` runs many."""
+"""Runs a few seeds of the simulation; ``make simulate`` runs many."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _quiet() -> Iterator[None]:
+def _disable_logging() -> Iterator[None]:
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
@@ -24,10 +24,10 @@
     assert not result.violations, result.faults
 
 
-# Each of these seeds once failed: 1304 and 1337 by "not run" of a router that had no bundle yet,
-# 1082 by a router cut off from the machine list, 1211 by a router that resumed after a freeze.
+# Seeds of fixed faults. 1304 and 1337: a router without a bundle answered "not run". 1082: a router
+# was cut off from the machine list. 1211: a router resumed after a freeze.
 @pytest.mark.parametrize("seed", [1304, 1337, 1082, 1211])
-def test_seed_that_once_failed(seed: int) -> None:
+def test_seed_of_a_fixed_fault(seed: int) -> None:
     assert not run_seed(seed).violations
 
 
--- a/tests/unit/test_checker.py
+++ b/tests/unit/test_checker.py
@@ -1,4 +1,4 @@
-"""Each rule of the checker finds the fault that it is for, in a history broken by hand."""
+"""Each rule of the checker finds a violation in a history that was made to violate it."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     return answered(key="s", request="r9", positions=positions, expected=3, done=done, error=error)
 
 
-BROKEN: list[tuple[str, list[Event]]] = [
+VIOLATING_HISTORIES: list[tuple[str, list[Event]]] = [
     ("at_most_once", [invoke(), Execute(1.1, "a", "k"), Execute(1.2, "b", "k")]),
     (
         "truthful_not_run",
@@ -74,12 +74,12 @@
 ]
 
 
-@pytest.mark.parametrize(("rule", "events"), BROKEN, ids=lambda value: str(value)[:40])
-def test_each_rule_finds_its_fault(rule: str, events: list[Event]) -> None:
+@pytest.mark.parametrize(("rule", "events"), VIOLATING_HISTORIES, ids=lambda value: str(value)[:40])
+def test_each_rule_finds_its_violation(rule: str, events: list[Event]) -> None:
     assert rule in {violation.rule for violation in check(History(events))}
 
 
-def test_a_sound_history_passes() -> None:
+def test_a_history_without_violations_passes() -> None:
     events: list[Event] = [
         invoke(),
         answered(status=503, outcome="not_run", retry_after=True),
--- a/tests/unit/test_first_try.py
+++ b/tests/unit/test_first_try.py
@@ -1,4 +1,4 @@
-"""Figures that are counted from callers' first try."""
+"""Tests of the table of answers in time, counted from callers' first try."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     return msgspec.convert({"classes": rows, "other": 1}, Report)
 
 
-def test_reports_of_one_side_are_added_up_without_what_is_not_owed() -> None:
+def test_reports_of_one_side_are_summed_without_unscored_requests() -> None:
     tallies = tally([make_report("a", "b"), make_report("a")])
     assert tallies == {"a": Tally(160, 120, 20, 8, 12), "b": Tally(80, 60, 10, 4, 6)}
     assert tallies["a"].share() == pytest.approx(0.75)
 
 
-def test_kinds_that_one_side_lacks_are_shown() -> None:
+def test_kinds_missing_on_one_side_are_shown() -> None:
     lines = table(tally([make_report("a", "b")]), tally([make_report("a")]))
     assert len(lines) == 3
     assert "0.750  0.750" in lines[1] and "0.750  0.000" in lines[2]
