--- a/src/hillstack/emulator/__init__.py
+++ b/src/hillstack/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems that hillstack meets: engines, applications and the platform."""
+"""Emulators of the systems that hillstack communicates with, for tests and demonstrations."""
--- a/src/hillstack/emulator/fleet_runner.py
+++ b/src/hillstack/emulator/fleet_runner.py
@@ -248,7 +248,7 @@
         try:
             for number in range(after + 1, self.events + 1):
                 if self.faults.break_after is not None and sent >= self.faults.break_after:
-                    raise ConnectionAbortedError("fault: broken off")
+                    raise ConnectionAbortedError("injected fault: stream broken")
                 yield f"id: {number}\ndata: {self.runner_id}\n\n".encode()
                 sent += 1
                 await asyncio.sleep(EVENT_PAUSE_SECONDS)
--- a/src/hillstack/emulator/free_ports.py
+++ b/src/hillstack/emulator/free_ports.py
@@ -15,7 +15,8 @@
     """Return distinct ports that are free now, for TCP and UDP.
 
     The ports lie below the ephemeral range. The system assigns ephemeral ports to outgoing
-    connections and to listeners on port 0, so it could assign one before its process binds it.
+    connections and to listeners on port 0, and could assign one before the intended process binds
+    it.
     """
     first_ephemeral = _first_ephemeral_port()
     sockets: list[socket.socket] = []
--- a/src/hillstack/simulation/__init__.py
+++ b/src/hillstack/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Engines, workloads and fleets in virtual time."""
+"""Simulations of engines, workloads and deployments in virtual time."""
--- a/src/hillstack/simulation/checker.py
+++ b/src/hillstack/simulation/checker.py
@@ -122,7 +122,8 @@
 def cache_truth(history: History) -> list[Violation]:
     """Cached blocks are reused only for the tenant and in the incarnation that stored them.
 
-    Blocks of other weights are covered too: the salt that names the blocks contains the version.
+    The rule need not check the weights version: the cache salt contains the version, so blocks of
+    other weights have other hashes.
     """
     violations = []
     for event in history.of(Reuse):
--- a/src/hillstack/simulation/clients.py
+++ b/src/hillstack/simulation/clients.py
@@ -28,7 +28,7 @@
 class Callers:
     """Callers that send bookings, look-ups and streamed completions to random routers.
 
-    A failed booking is retried with the same key, through a router drawn again.
+    A failed booking is retried with the same key, and a router is drawn for each retry.
     """
 
     def __init__(self, cluster: SimCluster, rng: Random) -> None:
--- a/src/hillstack/simulation/engine_model.py
+++ b/src/hillstack/simulation/engine_model.py
@@ -21,7 +21,7 @@
 
     Attributes:
         prefill_rate: Prompt tokens prefilled per second.
-        max_running: Most requests in the batch.
+        max_running: Maximum number of requests in the batch.
         cache_blocks: Capacity of the cache in blocks.
         block_tokens: Tokens per block.
     """
@@ -63,7 +63,7 @@
     Attributes:
         seconds: Duration of the step.
         emitted: Requests that emit a token at the end of the step.
-        finished: Requests whose last token that is.
+        finished: Requests that finish with the token emitted in this step.
         stored: Hashes of the blocks newly cached, in prompt order within a request.
         removed: Hashes of blocks evicted.
         prefilled: Hashes of all blocks computed, including blocks that another request cached
--- a/src/hillstack/simulation/fleet_simulation.py
+++ b/src/hillstack/simulation/fleet_simulation.py
@@ -1,7 +1,8 @@
 """A fleet of engines behind routers, in virtual time, for measuring routing.
 
 Routers use the daemon's production request router, engines use the engine model. Routers receive
-cache events late and with gaps and read load pages with a lag; the oracle reads the true state.
+cache events late and with gaps and read load pages with a lag. Runs with the oracle, whose routers
+read the true state of the engines, serve as a reference.
 """
 
 from __future__ import annotations
@@ -47,10 +48,10 @@
 
 
 class FleetSimulation:
-    """One run: a policy, a rate and a seed.
+    """One run of an experiment, with one policy, rate and seed.
 
     Args:
-        routing: Policy and weights.
+        routing: Routing policy and the weights of its cost terms.
         oracle: Whether routers read the true state of the engines.
         rate: Requests offered per second.
     """
--- a/src/hillstack/simulation/network.py
+++ b/src/hillstack/simulation/network.py
@@ -15,7 +15,7 @@
 from hillstack.simulation.virtual_loop import Scheduler, VirtualLoop
 
 LOCAL_DELAY_SECONDS = 0.0002
-JITTER = 0.3
+JITTER_SHARE = 0.3
 
 
 class ConnectionRefused(Exception):
@@ -212,7 +212,7 @@
         self.scheduler.at(self.scheduler.now + delay, arrive)
 
     def _delay(self, sender: SimProcess, target: SimProcess) -> float:
-        jitter = 1.0 + JITTER * self._rng.random()
+        jitter = 1.0 + JITTER_SHARE * self._rng.random()
         extra = self.conditions.extra_delay * self._rng.random()
         return self._path_delay(sender, target) * jitter + extra
 
--- a/src/hillstack/simulation/surroundings.py
+++ b/src/hillstack/simulation/surroundings.py
@@ -235,7 +235,7 @@
 
 
 class SimPeers:
-    """Messages between simulated nodes."""
+    """Client for messages to other simulated nodes."""
 
     gossip_bytes_sent = 0
 
@@ -287,7 +287,7 @@
         return entry
 
     async def list_prefix(self, prefix: str, limit: int = 0) -> list[Entry]:
-        """Not used by nodes."""
+        """Not supported, because nodes do not call it."""
         raise NotImplementedError
 
     async def transact(
--- a/src/hillstack/simulation/virtual_loop.py
+++ b/src/hillstack/simulation/virtual_loop.py
@@ -136,7 +136,10 @@
         self.now = max(self.now, end)
 
     def close(self) -> None:
-        """Cancel all remaining tasks and close all loops."""
+        """Cancel all remaining tasks and close all loops.
+
+        This takes several rounds, because cancelled tasks may need more iterations to clean up.
+        """
         for _ in range(CLOSE_ROUNDS):
             for loop in self._all_loops:
                 for task in asyncio.all_tasks(loop):
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -62,7 +62,7 @@
 
 
 def check_and_collect(fleet: LocalFleet, result: LoadResult) -> float:
-    """Verify bookings against executions; return the share of blocks prefilled more than once."""
+    """Verify bookings against executions; return the share of prefills that repeat a block."""
     keys = []
     for name in fleet.application_ids():
         executions = get_json(fleet.addresses[name], "/emulator/executions") or []
