--- a/src/hillstack/core/cache_watch.py
+++ b/src/hillstack/core/cache_watch.py
@@ -82,7 +82,7 @@
         self._incarnations[node_id] = incarnation
         return True
 
-    def is_heard(self, node_id: str, now: float) -> bool:
+    def is_directly_reachable(self, node_id: str, now: float) -> bool:
         """Return whether messages arrive from a node directly; always true of this node."""
         self._expire(now)
         return node_id == self._node_id or node_id in self._last_seen
@@ -204,7 +204,7 @@
             self._holders = holders
         return True
 
-    def watched_by(self, node_id: str) -> list[CacheHolder]:
+    def holders_watched_by(self, node_id: str) -> list[CacheHolder]:
         """Return the holders that a node watches."""
         return [a.holder for a in self._assignments.values() if a.watcher == node_id]
 
--- a/src/hillstack/core/crash_counts.py
+++ b/src/hillstack/core/crash_counts.py
@@ -1,6 +1,6 @@
 """Counts the runners that crashed one after another while each request ran on them.
 
-``RunnerEndRecord`` estimates which request caused a crash, and can be wrong when many requests run
+``RunnerCrashRecord`` estimates which request caused a crash, and can be wrong when many requests run
 on many crashed runners. This count ignores other possible causes: it bounds the number of runners
 that any single request can crash. Only a successful answer resets it. A request is counted under
 both names of ``request_fingerprint``: where an innocent request shares the content name and resets
@@ -116,7 +116,7 @@
         weights = (SETTLED_WEIGHT if run.is_settled else 1.0 for run in self.sequential_runs())
         return sum(weights) >= MAX_CRASHES
 
-    def sent_late(self) -> int:
+    def sends_beyond_bound(self) -> int:
         """Return how many crashed runs were sent after all nodes knew of the third crash."""
         return sum(run.began_at > self.third_crash_known_at for run in self.runs)
 
@@ -168,7 +168,7 @@
         crashes = self._get(name)
         return crashes is not None and crashes.is_bounded()
 
-    def is_outlived(self, name: int, age: float) -> bool:
+    def has_survived(self, name: int, age: float) -> bool:
         """Return whether a run has survived the age at which its request crashes runners.
 
         Args:
@@ -193,14 +193,14 @@
         crashes = self._get(name)
         if crashes is None or not crashes.is_bounded():
             return True
-        spent = max(crashes.sent_late(), crashes.trials)
+        spent = max(crashes.sends_beyond_bound(), crashes.trials)
         if spent >= len(TRIAL_PAUSES_SECONDS):
             return False
         since = max(crashes.last_crash_at, crashes.last_trial_at)
         pause = max(TRIAL_PAUSES_SECONDS[spent], min_pause)
         return now >= since + pause + rank * TRIAL_INTERVAL_SECONDS
 
-    def note_trial(self, name: int, now: float) -> None:
+    def record_trial(self, name: int, now: float) -> None:
         """Record a trial of a request that has reached the bound.
 
         Other nodes wait for the next pause, so that only one node sends the request.
--- a/src/hillstack/core/doubtful_entries.py
+++ b/src/hillstack/core/doubtful_entries.py
@@ -37,7 +37,7 @@
             if withheld.revision < entry.revision:
                 del self._withheld[name]
             return withheld.revision == entry.revision
-        if not self._pool.is_gone_before(entry):
+        if not self._pool.was_dropped_in_earlier_era(entry):
             return False
         self._withheld[name] = entry, now + LAPSE_SECONDS
         logger.info("runner kept back", extra={"runner": entry.runner_id})
--- a/src/hillstack/core/link_share.py
+++ b/src/hillstack/core/link_share.py
@@ -10,7 +10,7 @@
 # region has lost its runners the first requests must already be forwarded.
 BURST_SECONDS = 2.0
 # Smallest bucket: room for the longest prompt observed (55 KB) and its answer.
-LEAST_BURST_BYTES = 64_000.0
+MIN_BURST_BYTES = 64_000.0
 BITS_PER_BYTE = 8
 BITS_PER_MEGABIT = 1_000_000
 
@@ -28,7 +28,7 @@
     def __init__(self, link_megabits: float) -> None:
         bits = link_megabits * BITS_PER_MEGABIT * REQUEST_BANDWIDTH_SHARE
         self._region_bytes_per_second = bits / BITS_PER_BYTE
-        self._bytes_left = LEAST_BURST_BYTES
+        self._bytes_left = MIN_BURST_BYTES
         self._refilled_at: float | None = None
 
     def allows(self, size: float, nodes: int, now: float) -> bool:
@@ -48,7 +48,7 @@
 
     def _refill(self, nodes: int, now: float) -> None:
         rate = self._region_bytes_per_second / nodes
-        capacity = max(LEAST_BURST_BYTES, rate * BURST_SECONDS)
+        capacity = max(MIN_BURST_BYTES, rate * BURST_SECONDS)
         elapsed = now - self._refilled_at if self._refilled_at is not None else BURST_SECONDS
         self._refilled_at = now
         self._bytes_left = min(capacity, self._bytes_left + rate * max(0.0, elapsed))
--- a/src/hillstack/core/part_index.py
+++ b/src/hillstack/core/part_index.py
@@ -213,7 +213,7 @@
             holder.remove((salt, part.part_id))
         return removed
 
-    def take_unseen(self, holder_id: str, due: float) -> list[tuple[str, PromptPart]]:
+    def remove_unconfirmed(self, holder_id: str, due: float) -> list[tuple[str, PromptPart]]:
         """Remove the parts due by a time that were never observed at the holder.
 
         Returns:
@@ -231,15 +231,15 @@
             holder.remove((salt, part.part_id))
         return unobserved
 
-    def is_known(self, salt: str, part_id: str) -> bool:
+    def is_cached_anywhere(self, salt: str, part_id: str) -> bool:
         """Return whether any holder caches a part, by the estimate."""
         return (salt, part_id) in self._holders_by_part
 
-    def holders_of(self, salt: str, part_id: str) -> Collection[str]:
+    def holders_with_part(self, salt: str, part_id: str) -> Collection[str]:
         """Return the holders that cache a part, by the estimate; callers must not modify them."""
         return self._holders_by_part.get((salt, part_id), ())
 
-    def parts_of(self, holder_id: str, min_tokens: int) -> list[tuple[str, PromptPart]]:
+    def cached_parts_of(self, holder_id: str, min_tokens: int) -> list[tuple[str, PromptPart]]:
         """Return salt and part of each cached part of a holder with at least ``min_tokens``."""
         holder = self._holders.get(holder_id)
         if holder is None:
--- a/src/hillstack/core/placement/expected_delay.py
+++ b/src/hillstack/core/placement/expected_delay.py
@@ -263,13 +263,13 @@
         return None
     load = runner.load(now)
     waiting = queue + _contention_delay(shape, runner, load, inputs)
-    delay = waiting + move.seconds + prefill + inputs.detour_seconds
+    delay = waiting + move.seconds + prefill + inputs.round_trip_seconds
     if delay - MAX_BONUS_SECONDS >= lowest_cost:
         return None
     if now + BEGIN_SAFETY_FACTOR * delay + BEGIN_MARGIN_SECONDS > candidate.begin_before:
         return None
     repeated = max(0, cached.known_tokens - matched - move.tokens)
-    cost = delay + lateness(delay, inputs.target_seconds) + inputs.detour_cost + move.cost
+    cost = delay + lateness(delay, inputs.target_seconds) + inputs.round_trip_cost + move.cost
     if inputs.resting.get(runner.address, 0.0) <= now:
         cost += NEW_CONNECTION_PENALTY_SECONDS
     if load.running:
@@ -299,7 +299,7 @@
     costs = []
     for move in (across, near):
         missing = max(1, shape.prompt_tokens - matched - move.tokens)
-        delay = queue + move.seconds + missing / inputs.prefill_rate + inputs.detour_seconds
+        delay = queue + move.seconds + missing / inputs.prefill_rate + inputs.round_trip_seconds
         cost = delay + lateness(delay, inputs.target_seconds) + move.cost
         costs.append(cost + REPEATED_PREFILL_SECONDS_PER_TOKEN * missing)
     return costs[0] < costs[1]
--- a/src/hillstack/core/placement/kept_parts.py
+++ b/src/hillstack/core/placement/kept_parts.py
@@ -8,7 +8,7 @@
 
 from hillstack.core.part_index import PartIndex
 from hillstack.core.prompt_shape import PromptShape
-from hillstack.core.routing_table import EngineProfile, KeptCacheStore
+from hillstack.core.routing_table import EngineProfile, KvCacheStore
 from hillstack.core.runner_pool import Runner
 from hillstack.core.topology import ONE_REGION, Topology
 
@@ -49,22 +49,22 @@
         gap_seconds: Shortest allowed pause of the service's streams.
         resting: Until when an idle connection of this node may be used, by address.
         topology: Zones and regions; by default all zones are in one region.
-        detour_seconds: Delay that the round trip to the candidates adds to each of them.
-        detour_cost: Further cost of this round trip, as a delay.
+        round_trip_seconds: Delay that the round trip to the candidates adds to each of them.
+        round_trip_cost: Further cost of this round trip, as a delay.
         failed_zones: Zones of runners that were already tried for this request.
     """
 
     zone: str
     engine: EngineProfile
     prefill_rate: float
-    stores: Sequence[KeptCacheStore]
+    stores: Sequence[KvCacheStore]
     now: float
     target_seconds: float
     gap_seconds: float
     resting: Mapping[str, float] = field(default_factory=dict)
     topology: Topology = ONE_REGION
-    detour_seconds: float = 0.0
-    detour_cost: float = 0.0
+    round_trip_seconds: float = 0.0
+    round_trip_cost: float = 0.0
     failed_zones: frozenset[str] = frozenset()
 
 
@@ -182,7 +182,7 @@
         inputs: Inputs that are equal for all candidates.
         holders: Runners from which cached parts may be fetched.
     """
-    holder_ids = index.holders_of(salt, shape.parts[0].part_id)
+    holder_ids = index.holders_with_part(salt, shape.parts[0].part_id)
     known = 0
     matched: dict[str, int] = {}
     sources: list[_Source] = []
--- a/src/hillstack/core/routing_table.py
+++ b/src/hillstack/core/routing_table.py
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptCacheStore:
+class KvCacheStore:
     """A KV cache store outside the runners."""
 
     address: str
@@ -116,7 +116,7 @@
     name: str
     max_connections: int = 0
     engine: EngineProfile | None = None
-    kept_cache: KeptCacheStore | None = None
+    kept_cache: KvCacheStore | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -201,7 +201,7 @@
         """Return the shortest event gap allowed by any route of a service; infinite without one."""
         return self._gaps.get(service, math.inf)
 
-    def kept_cache_stores(self) -> list[KeptCacheStore]:
+    def kept_cache_stores(self) -> list[KvCacheStore]:
         """Return all KV cache stores."""
         return [s.kept_cache for s in self.services.values() if s.kept_cache is not None]
 
--- a/src/hillstack/core/runner_ends.py
+++ b/src/hillstack/core/runner_ends.py
@@ -1,6 +1,6 @@
 """Detects requests that crash the runners on which they run.
 
-``RunnerEndRecord`` holds the crashes of runners that had requests, as reported by all nodes, and
+``RunnerCrashRecord`` holds the crashes of runners that had requests, as reported by all nodes, and
 classifies the requests. A request that was running when a runner crashed may be the cause and is a
 suspect. A request that was then sent to another runner and was running when that runner crashed too
 is probably the cause; if its probability is high enough, it is classified as fatal.
@@ -24,11 +24,11 @@
 END_SECONDS = 30.0
 # A fatal request is refused without a run for this time after the last crash under it. A caller
 # whose request was classified wrongly, or has been fixed, waits no longer than that.
-FATAL_SECONDS = 60.0
-# Retention of crashes with a fatal request. After ``FATAL_SECONDS`` the request may run again as a
+FATAL_REFUSAL_SECONDS = 60.0
+# Retention of crashes with a fatal request. After ``FATAL_REFUSAL_SECONDS`` the request may run again as a
 # suspect, and one further crash makes it fatal again, so that it crashes at most one runner per
 # minute.
-EVIDENCE_SECONDS = 300.0
+FATAL_CRASH_RETENTION_SECONDS = 300.0
 # Maximum number of recorded crashes: a rack of runners twice. The oldest are dropped first.
 MAX_ENDS = 64
 # Maximum number of runs recorded for a crash: twice the slots of the largest observed runners (64).
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunAtEnd:
+class RunAtCrash:
     """A run of a request that was on a runner when the runner crashed.
 
     Attributes:
@@ -109,7 +109,7 @@
         """Whether the answer had been under way for too long to be a likely cause."""
         return self.answering is not None and self.answering > SETTLED_SECONDS
 
-    def similarity(self, other: RunAtEnd) -> float:
+    def similarity(self, other: RunAtCrash) -> float:
         """Return the similarity of two runs' ages when their runners crashed, at most 1."""
         if self.answering is not None and other.answering is not None:
             own, others = self.answering, other.answering
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True)
-class RunnerEnd:
+class RunnerCrash:
     """The crash of a runner.
 
     Attributes:
@@ -133,7 +133,7 @@
     runner_id: str
     ended_at: float
     running: int = 0
-    runs: dict[int, RunAtEnd] = field(default_factory=dict)
+    runs: dict[int, RunAtCrash] = field(default_factory=dict)
 
     def began_at(self, fingerprint: int) -> float:
         """Return when the run of a request was sent."""
@@ -163,11 +163,11 @@
     share: float
 
 
-class RunnerEndRecord:
+class RunnerCrashRecord:
     """Runner crashes and the requests that were running, bounded in number and in age."""
 
     def __init__(self) -> None:
-        self._ends: OrderedDict[str, RunnerEnd] = OrderedDict()
+        self._ends: OrderedDict[str, RunnerCrash] = OrderedDict()
         self._cleared: OrderedDict[int, float] = OrderedDict()
         self._last_contact: OrderedDict[str, float] = OrderedDict()
         self._fatal: dict[int, FatalRequest] = {}
@@ -177,11 +177,11 @@
     def __bool__(self) -> bool:
         return bool(self._ends)
 
-    def ends(self) -> list[RunnerEnd]:
+    def ends(self) -> list[RunnerCrash]:
         """Return all crashes in the order in which they were recorded."""
         return list(self._ends.values())
 
-    def get(self, runner_id: str) -> RunnerEnd | None:
+    def get(self, runner_id: str) -> RunnerCrash | None:
         """Return the crash of a runner, or None if none is recorded."""
         return self._ends.get(runner_id)
 
@@ -199,7 +199,7 @@
         """Return the classification of a request."""
         self._reclassify()
         if fingerprint in self._fatal:
-            is_refused = now - self.ended_last_under(fingerprint) < FATAL_SECONDS
+            is_refused = now - self.last_crash_under(fingerprint) < FATAL_REFUSAL_SECONDS
             return Suspicion.FATAL if is_refused else Suspicion.SUSPECT
         return Suspicion.SUSPECT if fingerprint in self._suspects else Suspicion.NONE
 
@@ -214,16 +214,16 @@
         """Return the rank that a request has, or would have, among the suspects."""
         return sum(1 for other in self.suspects() if other < fingerprint)
 
-    def ended_last_under(self, fingerprint: int) -> float:
+    def last_crash_under(self, fingerprint: int) -> float:
         """Return when the last runner crashed under a request."""
         ends = [end.ended_at for end in self._ends.values() if fingerprint in end.runs]
         return max(ends, default=float("-inf"))
 
-    def note_end(
+    def record_crash(
         self,
         runner_id: str,
         ended_at: float,
-        runs: Mapping[int, RunAtEnd],
+        runs: Mapping[int, RunAtCrash],
         now: float,
         running: int = 0,
     ) -> None:
@@ -236,13 +236,13 @@
             now: Time on this node's clock.
             running: Estimated number of requests of all nodes on it.
         """
-        if self.was_heard_after(runner_id, ended_at):
+        if self.was_contacted_after(runner_id, ended_at):
             return
-        if now - ended_at >= EVIDENCE_SECONDS:
+        if now - ended_at >= FATAL_CRASH_RETENTION_SECONDS:
             return
         end = self._ends.get(runner_id)
         if end is None:
-            end = self._ends[runner_id] = RunnerEnd(runner_id, ended_at)
+            end = self._ends[runner_id] = RunnerCrash(runner_id, ended_at)
         end.running = max(end.running, running)
         for fingerprint, run in runs.items():
             self._add_run(end, fingerprint, run)
@@ -250,7 +250,7 @@
             self._ends.popitem(last=False)
         self._is_classified = False
 
-    def was_heard_after(self, runner_id: str, ended_at: float) -> bool:
+    def was_contacted_after(self, runner_id: str, ended_at: float) -> bool:
         """Return whether the runner was in contact after its supposed crash."""
         return ended_at <= self._last_contact.get(runner_id, float("-inf"))
 
@@ -292,7 +292,7 @@
             end.runner_id
             for end in self._ends.values()
             if now - end.ended_at
-            >= (EVIDENCE_SECONDS if end.runner_id in evidence else END_SECONDS)
+            >= (FATAL_CRASH_RETENTION_SECONDS if end.runner_id in evidence else END_SECONDS)
         ]
         for runner_id in old:
             del self._ends[runner_id]
@@ -301,7 +301,7 @@
         if not self._ends:
             self._cleared.clear()
 
-    def _add_run(self, end: RunnerEnd, fingerprint: int, run: RunAtEnd) -> None:
+    def _add_run(self, end: RunnerCrash, fingerprint: int, run: RunAtCrash) -> None:
         if self._cleared.get(fingerprint, float("-inf")) >= end.ended_at:
             return
         known = end.runs.get(fingerprint)
@@ -333,7 +333,7 @@
             if end.runner_id not in explained:
                 self._suspects |= self._suspects_of(end)
 
-    def _suspects_of(self, end: RunnerEnd) -> set[int]:
+    def _suspects_of(self, end: RunnerCrash) -> set[int]:
         simultaneous = self._simultaneous(end)
         return {
             fingerprint
@@ -371,7 +371,7 @@
                 best = _fatal_request(fingerprint, [first, second], share)
         return best
 
-    def _simultaneous(self, end: RunnerEnd) -> list[RunnerEnd]:
+    def _simultaneous(self, end: RunnerCrash) -> list[RunnerCrash]:
         """Return the crashes of other runners at the same time."""
         return [
             other
@@ -380,7 +380,7 @@
         ]
 
     def _unexplained_simultaneous(
-        self, end: RunnerEnd, fingerprint: int, explained: set[str]
+        self, end: RunnerCrash, fingerprint: int, explained: set[str]
     ) -> int:
         """Return the number of unexplained crashes at the same time without the request."""
         return sum(
@@ -389,7 +389,7 @@
         )
 
     def _pair_share(
-        self, fingerprint: int, first: RunnerEnd, second: RunnerEnd, explained: set[str]
+        self, fingerprint: int, first: RunnerCrash, second: RunnerCrash, explained: set[str]
     ) -> float:
         """Return the probability that a request crashed two runners.
 
@@ -411,7 +411,7 @@
         return scores[fingerprint] / (sum(scores.values()) + coincidence)
 
 
-def _has_common_cause(simultaneous: list[RunnerEnd], fingerprint: int) -> bool:
+def _has_common_cause(simultaneous: list[RunnerCrash], fingerprint: int) -> bool:
     """Return whether so many runners crashed at the same time that a common cause is likely.
 
     Runners with the request itself do not count, since the request may have crashed them.
@@ -424,19 +424,19 @@
     return False
 
 
-def _fatal_request(fingerprint: int, ends: Iterable[RunnerEnd], share: float) -> FatalRequest:
+def _fatal_request(fingerprint: int, ends: Iterable[RunnerCrash], share: float) -> FatalRequest:
     at = list(ends)
     runner_ids = tuple(end.runner_id for end in at)
     ages = tuple(round(end.runs[fingerprint].age, 3) for end in at)
     return FatalRequest(fingerprint, runner_ids, ages, share)
 
 
-def _pair_score(fingerprint: int, first: RunnerEnd, second: RunnerEnd) -> float:
+def _pair_score(fingerprint: int, first: RunnerCrash, second: RunnerCrash) -> float:
     similarity = first.runs[fingerprint].similarity(second.runs[fingerprint])
     return first.share(fingerprint) * second.share(fingerprint) * similarity
 
 
-def _is_sequential(fingerprint: int, first: RunnerEnd, second: RunnerEnd) -> bool:
+def _is_sequential(fingerprint: int, first: RunnerCrash, second: RunnerCrash) -> bool:
     """Return whether a request was sent to the second runner after the first had crashed.
 
     Many callers may send the same request to many runners at the same time. If these runners crash,
@@ -445,10 +445,10 @@
     return second.began_at(fingerprint) >= first.ended_at - ORDER_SLACK_SECONDS
 
 
-def _count_sequential(ends: list[RunnerEnd], fingerprint: int) -> int:
+def _count_sequential(ends: list[RunnerCrash], fingerprint: int) -> int:
     """Return how many of the crashes, in order, a request can have caused one after another."""
     count = 0
-    last: RunnerEnd | None = None
+    last: RunnerCrash | None = None
     for end in ends:
         if last is None or _is_sequential(fingerprint, last, end):
             count += 1
--- a/src/hillstack/core/runner_limit.py
+++ b/src/hillstack/core/runner_limit.py
@@ -22,7 +22,7 @@
 HINT_TRANSIT_SECONDS = 0.15
 # Requests per second that all nodes together still send to a runner with a limit of 0; without
 # them no node would learn that the limit has ended.
-LEAST_RATE = 0.25
+MIN_PROBE_RATE = 0.25
 
 
 class AnswerKind(enum.StrEnum):
@@ -48,14 +48,14 @@
     Attributes:
         kind: Kind of the answered request.
         status: Status code of the answer.
-        asked_seconds_ago: Seconds from the sending of the request to the answer.
+        seconds_since_request: Seconds from the sending of the request to the answer.
         request_id: Identifier of a caller's request; empty for other kinds.
         is_whole: Whether the answer shows that the runner has carried out the request.
     """
 
     kind: AnswerKind
     status: int
-    asked_seconds_ago: float = 0.0
+    seconds_since_request: float = 0.0
     request_id: str = ""
     is_whole: bool = False
 
@@ -71,7 +71,7 @@
     Attributes:
         rate: Requests per second that the runner accepts from all nodes; None without a limit.
         last_reported_at: When the latest answer with the limit arrived.
-        first_named_at: When the first answer with a limit arrived since the runner had none.
+        first_reported_at: When the first answer with a limit arrived since the runner had none.
         source: The first answer with the limit, for the log.
         asked_at: When the request of the latest applied answer was sent.
         kinds: The kinds of answers that contain the limit.
@@ -81,12 +81,12 @@
         told_at: When a peer or this node last sent a hint of the limit.
         may_probe: Whether one request may be sent to find out whether the limit has ended, since a
             peer reported its end.
-        no_room_until: This node gets no further share of the limit before this time.
+        exhausted_until: This node gets no further share of the limit before this time.
     """
 
     rate: float | None = None
     last_reported_at: float = float("-inf")
-    first_named_at: float = float("-inf")
+    first_reported_at: float = float("-inf")
     source: str = ""
     asked_at: float = float("-inf")
     kinds: frozenset[AnswerKind] = frozenset()
@@ -95,7 +95,7 @@
     hinted_asked_at: float = float("-inf")
     told_at: float = float("-inf")
     may_probe: bool = False
-    no_room_until: float = float("-inf")
+    exhausted_until: float = float("-inf")
 
     def in_force(self, now: float) -> float | None:
         """Return the requests per second that the runner accepts from all nodes, or None."""
@@ -111,7 +111,7 @@
     def rate_to_use(self, now: float) -> float | None:
         """Return the requests per second that all nodes may send to the runner, or None."""
         rate = self.in_force(now)
-        return None if rate is None else max(rate, LEAST_RATE)
+        return None if rate is None else max(rate, MIN_PROBE_RATE)
 
     def take(self, rate: float | None, source: AnswerSource, now: float) -> bool:
         """Apply the limit in the head of an answer; return whether the limit has changed.
@@ -121,7 +121,7 @@
             source: The answer.
             now: When the answer arrived, on the node's clock.
         """
-        asked_at = now - source.asked_seconds_ago
+        asked_at = now - source.seconds_since_request
         if rate is None:
             return self._apply_missing_limit(source, asked_at, now)
         if asked_at < self.asked_at:
@@ -129,7 +129,7 @@
         is_news = rate != self.rate
         self.may_probe = False
         if self.rate is None:
-            self.first_named_at, self.source = now, str(source)
+            self.first_reported_at, self.source = now, str(source)
         self.rate, self.last_reported_at, self.asked_at = rate, now, asked_at
         self.kinds |= {source.kind}
         return is_news
@@ -177,7 +177,7 @@
             self.hinted_until = float("-inf")
         if self.rate is not None and asked_at >= self.last_reported_at:
             self.may_probe = True
-            self.no_room_until = float("-inf")
+            self.exhausted_until = float("-inf")
 
     def take_probe(self) -> bool:
         """Return whether a request may be sent to probe for the end of the limit, once per hint."""
@@ -198,6 +198,6 @@
         if source.kind is not AnswerKind.REQUEST and source.kind not in self.kinds:
             return False
         self.rate, self.asked_at, self.may_probe = None, asked_at, False
-        self.hinted_until = self.no_room_until = float("-inf")
+        self.hinted_until = self.exhausted_until = float("-inf")
         self.kinds = frozenset()
         return True
--- a/src/hillstack/core/runner_pool.py
+++ b/src/hillstack/core/runner_pool.py
@@ -100,7 +100,7 @@
             None if it is listed.
         unlisted_at: Revision at which the directory had dropped the runner; None if not known.
         failures: Failures in a row.
-        last_heard_at: When bytes last arrived from the runner.
+        last_contact_at: When bytes last arrived from the runner.
         signals: Signals that the runner sent to this node; directory updates do not change them.
         hinted_until: Peers report the runner as leaving: until this time it is used only if no
             other runner is available.
@@ -122,7 +122,7 @@
     unlisted_until: float | None = None
     unlisted_at: StoreRevision | None = None
     failures: int = 0
-    last_heard_at: float = float("-inf")
+    last_contact_at: float = float("-inf")
     signals: ReceivedSignals = field(default_factory=ReceivedSignals)
     hinted_until: float = float("-inf")
     hinted_at: float = float("-inf")
@@ -144,7 +144,7 @@
     @property
     def ready_at(self) -> float:
         """When the runner is expected to accept new work, if it does not leave."""
-        return max(self.suspected_until, self.loading_until, self.signals.asked_until)
+        return max(self.suspected_until, self.loading_until, self.signals.unavailable_until)
 
     @property
     def leaves(self) -> bool:
@@ -166,7 +166,7 @@
         # A long prefill delays all streams by several steps.
         busy = self.prefill_done_at > now - SILENCE_SECONDS
         limit = BUSY_SILENCE_SECONDS if busy else SILENCE_SECONDS
-        if not self.attempts or now - self.last_heard_at < limit:
+        if not self.attempts or now - self.last_contact_at < limit:
             return False
         return any(attempt.started or now > attempt.due_at for attempt in self.attempts.all())
 
@@ -263,7 +263,7 @@
             return None
         return known
 
-    def lacks_start(self, entry: RunnerEntry) -> bool:
+    def lacks_start_time(self, entry: RunnerEntry) -> bool:
         """Return whether an entry lacks the start time that the latest entry of its name has."""
         latest = self._latest.get(entry.directory_name)
         return latest is not None and latest.started_ms > 0 and entry.started_ms == 0
@@ -283,7 +283,7 @@
             return entry.started_ms < latest.started_ms
         return entry.revision < latest.revision
 
-    def is_gone_before(self, entry: RunnerEntry) -> bool:
+    def was_dropped_in_earlier_era(self, entry: RunnerEntry) -> bool:
         """Return whether a runner was dropped in an earlier store era than that of its entry."""
         dropped = self._unlisted.get(entry.runner_id)
         if dropped is None or dropped.revision is None:
@@ -357,7 +357,7 @@
         """
         return self._received(runner_id).take(signals, source, now)
 
-    def hear_limit(
+    def apply_limit(
         self, runner_id: str, rate: float | None, source: AnswerSource, now: float
     ) -> bool:
         """Apply the limit in an answer of a process; return whether the limit changed.
@@ -373,7 +373,7 @@
             return received is not None and received.limit.take(None, source, now)
         return self._limit(runner_id).take(rate, source, now)
 
-    def hint_limit(self, runner_id: str, rate: float, age_seconds: float, now: float) -> bool:
+    def apply_limit_hint(self, runner_id: str, rate: float, age_seconds: float, now: float) -> bool:
         """Apply a peer's hint that a process reports a limit.
 
         Returns:
@@ -383,7 +383,7 @@
             return False
         return self._limit(runner_id).hint(rate, age_seconds, now)
 
-    def hint_limit_end(self, runner_id: str, age_seconds: float, now: float) -> None:
+    def apply_limit_end_hint(self, runner_id: str, age_seconds: float, now: float) -> None:
         """Apply a peer's hint that the limit of a process has ended."""
         limit = self._limits.get(runner_id)
         if limit is not None:
@@ -406,16 +406,16 @@
                 del self._limits[runner_id]
         return self._limits
 
-    def own_limits(self, now: float) -> dict[str, RunnerLimit]:
+    def directly_reported_limits(self, now: float) -> dict[str, RunnerLimit]:
         """Return the limits that processes have reported to this node directly."""
         limited = self.limited(now).items()
         return {runner_id: limit for runner_id, limit in limited if limit.rate is not None}
 
-    def limits_to_tell(self, now: float) -> dict[str, RunnerLimit]:
+    def limit_hints_due(self, now: float) -> dict[str, RunnerLimit]:
         """Return the directly reported limits of which no hint was sent lately."""
         return {
             runner_id: limit
-            for runner_id, limit in self.own_limits(now).items()
+            for runner_id, limit in self.directly_reported_limits(now).items()
             if now >= limit.told_at + HINT_AGAIN_SECONDS
         }
 
@@ -440,13 +440,15 @@
         """Return the runners of a service whose own signals may keep requests away from them."""
         found: list[Runner] = []
         for runner_id, runner in list(self._held_back.items()):
-            if self._runners.get(runner_id) is not runner or not runner.signals.hold_back(now):
+            if self._runners.get(runner_id) is not runner or not runner.signals.restricts_requests(
+                now
+            ):
                 del self._held_back[runner_id]
             elif runner.entry.service == service:
                 found.append(runner)
         return found
 
-    def hint_leaving(self, runner: Runner, now: float) -> None:
+    def apply_leaving_hint(self, runner: Runner, now: float) -> None:
         """Apply a peer's hint that a runner is leaving.
 
         The hint applies to one process and expires. If it is lost, late or wrong, a request may get
@@ -466,7 +468,7 @@
                 found.add(runner_id)
         return found
 
-    def to_hint(self, now: float) -> list[Runner]:
+    def leaving_hints_due(self, now: float) -> list[Runner]:
         """Return the leaving runners of which a hint to peers is due.
 
         These have signalled that they are leaving, but the directory does not list them as draining
@@ -601,14 +603,14 @@
 
     def heard(self, runner: Runner, now: float) -> None:
         """Record bytes from a runner, which ends a suspicion: it is alive."""
-        runner.last_heard_at = now
+        runner.last_contact_at = now
         if runner.suspected_until > now:
             runner.suspected_until = now
             runner.failures = 0
 
-    def suspected_by_peer(self, runner: Runner, now: float) -> None:
+    def apply_peer_suspicion(self, runner: Runner, now: float) -> None:
         """Apply a peer's suspicion, unless this node received bytes from the runner recently."""
-        if now - runner.last_heard_at >= SILENCE_SECONDS:
+        if now - runner.last_contact_at >= SILENCE_SECONDS:
             runner.suspected_until = max(runner.suspected_until, now + SUSPECT_SECONDS)
 
     def succeeded(self, runner: Runner) -> None:
--- a/src/hillstack/core/runner_signals.py
+++ b/src/hillstack/core/runner_signals.py
@@ -64,16 +64,16 @@
         """Whether the process is leaving."""
         return self.left_at is not None
 
-    def backoff_left(self, now: float) -> float:
+    def remaining_backoff(self, now: float) -> float:
         """Return the remaining seconds of the backoff; 0 without a backoff."""
         return max(0.0, self.backoff_until - now)
 
     @property
-    def asked_until(self) -> float:
+    def unavailable_until(self) -> float:
         """Until when this node may send no requests, for a backoff or an exhausted limit."""
-        return max(self.backoff_until, self.limit.no_room_until)
+        return max(self.backoff_until, self.limit.exhausted_until)
 
-    def hold_back(self, now: float) -> bool:
+    def restricts_requests(self, now: float) -> bool:
         """Return whether the signals may keep requests away from the process."""
         return self.leaves or now < self.backoff_until or self.limit.in_force(now) is not None
 
--- a/src/hillstack/daemon/cache_follower.py
+++ b/src/hillstack/daemon/cache_follower.py
@@ -174,7 +174,7 @@
         if node is not None and not self._state.topology.is_own_region(node.zone):
             return
         for holder_id in self._tasks:
-            parts = self._state.index.parts_of(holder_id, MIN_REPORTED_TOKENS)
+            parts = self._state.index.cached_parts_of(holder_id, MIN_REPORTED_TOKENS)
             entries = [CacheEntry(salt, part) for salt, part in parts]
             self._peers.send_cache(node_id, holder_id, entries)
 
@@ -185,7 +185,7 @@
         ended = {holder_id for holder_id, task in self._tasks.items() if task.done()}
         if not changed and not ended:
             return
-        watched = self._assignment.watched_by(self._state.node_id)
+        watched = self._assignment.holders_watched_by(self._state.node_id)
         own = {holder.holder_id: holder for holder in watched}
         for holder_id in (self._tasks.keys() - own.keys()) | ended:
             self._tasks.pop(holder_id).cancel()
@@ -255,7 +255,7 @@
         The store skips a save that would have to wait for too long.
         """
         due = self._clock() - UNCONFIRMED_SECONDS
-        for salt, part in self._state.index.take_unseen(holder.holder_id, due):
+        for salt, part in self._state.index.remove_unconfirmed(holder.holder_id, due):
             self._report(
                 holder, CacheEntry(salt, PromptPart(part.part_id, 0)), estimated=part.tokens
             )
--- a/src/hillstack/daemon/node.py
+++ b/src/hillstack/daemon/node.py
@@ -15,7 +15,7 @@
 from hillstack.core.fleet import Fleet
 from hillstack.core.membership import Datagram, Membership, MembershipTiming
 from hillstack.core.placement.base import Placement
-from hillstack.core.request_router import MAX_PEERS_TOLD, CompletionRequest, RequestRouter
+from hillstack.core.request_router import MAX_NOTIFIED_PEERS, CompletionRequest, RequestRouter
 from hillstack.core.rollout import BundleAdopter
 from hillstack.daemon.backend_watch import BackendWatch
 from hillstack.daemon.bundle_sync import BundleSync
@@ -132,7 +132,7 @@
         peers = [member for member in self.membership.serving() if member.node_id != own.node_id]
         self.rng.shuffle(peers)
         peers.sort(key=lambda member: member.zone != own.zone)
-        for member in peers[:MAX_PEERS_TOLD]:
+        for member in peers[:MAX_NOTIFIED_PEERS]:
             self._surroundings.peers.gossip(member.address, notice)
 
     def is_ready(self) -> bool:
--- a/src/hillstack/daemon/notice_reader.py
+++ b/src/hillstack/daemon/notice_reader.py
@@ -77,7 +77,7 @@
         for runner_id in notice.suspected:
             runner = self._state.pool.get(runner_id)
             if runner is not None:
-                self._state.pool.suspected_by_peer(runner, now)
+                self._state.pool.apply_peer_suspicion(runner, now)
         for runner_id in notice.restarted:
             runner = self._state.pool.get(runner_id)
             if runner is not None:
@@ -85,7 +85,7 @@
         for runner_id in notice.leaving:
             runner = self._state.pool.get(runner_id)
             if runner is not None:
-                self._state.pool.hint_leaving(runner, now)
+                self._state.pool.apply_leaving_hint(runner, now)
         for limit in notice.limits:
             self._apply_limit(limit, now)
         self._apply_cache(notice, now)
@@ -156,8 +156,8 @@
     def _apply_limit(self, limit: LimitNotice, now: float) -> None:
         pool, age_seconds = self._state.pool, max(0.0, limit.age_ms / MILLISECONDS)
         if limit.rate == NO_LIMIT:
-            pool.hint_limit_end(limit.runner_id, age_seconds, now)
-        elif pool.hint_limit(limit.runner_id, limit.rate, age_seconds, now):
+            pool.apply_limit_end_hint(limit.runner_id, age_seconds, now)
+        elif pool.apply_limit_hint(limit.runner_id, limit.rate, age_seconds, now):
             self._on_outdated_limit(limit.runner_id)
 
     def _apply_cache(self, notice: NodeNotice, now: float) -> None:
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -152,7 +152,7 @@
         now = self._clock()
         group = self._choice.group(self._zone)
         order = self._state.nodes.relay_order(group)
-        first = next((n for n in order if self._liveness.is_heard(n, now)), None)
+        first = next((n for n in order if self._liveness.is_directly_reachable(n, now)), None)
         if first != self._state.node_id:
             return []
         return self._liveness.silent_for(seconds, group, now)
@@ -240,7 +240,7 @@
         Without them it would send such a runner any number of requests until the first answer.
         """
         node, now = self._state.nodes.get(node_id), self._clock()
-        limits = self._state.pool.own_limits(now)
+        limits = self._state.pool.directly_reported_limits(now)
         if node is None or not limits:
             return
         notice = self._outbox.limits_only(
@@ -304,10 +304,10 @@
                 self._outbox.add_load(runner)
         self._outbox.set_announcements(self._recent_announcements())
         now = self._clock()
-        for runner in self._state.pool.to_hint(now):
+        for runner in self._state.pool.leaving_hints_due(now):
             if self._should_repeat(runner.hinted_at, now):
                 self.leaving(runner)
-        for runner_id, limit in self._state.pool.limits_to_tell(now).items():
+        for runner_id, limit in self._state.pool.limit_hints_due(now).items():
             if self._should_repeat(limit.told_at, now):
                 self.limit_changed(runner_id, limit)
         self.flush()
--- a/src/hillstack/daemon/runner_monitor.py
+++ b/src/hillstack/daemon/runner_monitor.py
@@ -64,7 +64,7 @@
         self._peers.suspected(runner)
         fields = {
             "runner": runner.runner_id,
-            "silent_seconds": round(now - runner.last_heard_at, 2),
+            "silent_seconds": round(now - runner.last_contact_at, 2),
             "attempts": len(runner.attempts),
             "pause_seconds": round(runner.suspected_until - now, 2),
         }
--- a/src/hillstack/platform/formats.py
+++ b/src/hillstack/platform/formats.py
@@ -13,7 +13,7 @@
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.routing_table import (
     EngineProfile,
-    KeptCacheStore,
+    KvCacheStore,
     RequestLimits,
     Route,
     RouteKind,
@@ -320,7 +320,7 @@
         )
     cache_store = None
     if body.kv_store_addr:
-        cache_store = KeptCacheStore(
+        cache_store = KvCacheStore(
             body.kv_store_addr, body.zone, body.kv_capacity_tokens, body.link_mbps
         )
     return Service(body.name, body.max_conns, engine, cache_store)
--- a/src/hillstack/serving/cache_beliefs.py
+++ b/src/hillstack/serving/cache_beliefs.py
@@ -17,7 +17,7 @@
 
 from hillstack.core.part_index import PromptPart
 from hillstack.core.prompt_shape import PromptShape
-from hillstack.core.routing_table import KeptCacheStore, RoutingTable
+from hillstack.core.routing_table import KvCacheStore, RoutingTable
 from hillstack.messages.peer_notices import PlacementNotice
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.job import PlacedAttempt
@@ -45,7 +45,7 @@
         self._cached_seconds_per_token: dict[tuple[str, str], float] = {}
         self._cached_for_table: RoutingTable | None = None
 
-    def should_save(self, store: KeptCacheStore, salt: str, shape: PromptShape, now: float) -> bool:
+    def should_save(self, store: KvCacheStore, salt: str, shape: PromptShape, now: float) -> bool:
         """Return whether a prompt has parts that the store lacks and later requests will need.
 
         The last part usually belongs to this prompt alone, so it is worth saving only if it is
@@ -53,7 +53,7 @@
         """
         index = self._state.index
         parts = shape.shared
-        if index.is_known(salt, shape.parts[-1].part_id):
+        if index.is_cached_anywhere(salt, shape.parts[-1].part_id):
             parts = shape.parts
         wanted = sum(part.tokens for part in parts)
         if index.matched_tokens(store.address, salt, parts) >= wanted:
--- a/src/hillstack/serving/fleet_state.py
+++ b/src/hillstack/serving/fleet_state.py
@@ -12,8 +12,8 @@
 from hillstack.core.node_directory import NodeDirectory, NodeEntry
 from hillstack.core.part_index import PartIndex
 from hillstack.core.probations import Probations
-from hillstack.core.routing_table import EngineProfile, KeptCacheStore, RoutingTable
-from hillstack.core.runner_ends import RunnerEndRecord
+from hillstack.core.routing_table import EngineProfile, KvCacheStore, RoutingTable
+from hillstack.core.runner_ends import RunnerCrashRecord
 from hillstack.core.runner_pool import Runner, RunnerEntry, RunnerPool
 from hillstack.core.shared_retry_budget import SharedRetryBudget
 from hillstack.core.software_rollouts import RolloutOrder, RolloutRecord, SoftwareRollouts
@@ -113,7 +113,7 @@
         self.table: RoutingTable | None = None
         self.pool = RunnerPool()
         self._doubtful_entries = DoubtfulEntries(self.pool)
-        self.runner_ends = RunnerEndRecord()
+        self.runner_ends = RunnerCrashRecord()
         self.crash_counts = CrashCounts()
         self.probations = Probations()
         self.index = PartIndex()
@@ -333,18 +333,18 @@
                 self.rollouts.withdraw(service, order.revision)
                 logger.info("rollout order withdrawn", extra={"service": service})
 
-    def kept_cache_stores(self, now: float) -> list[KeptCacheStore]:
+    def kept_cache_stores(self, now: float) -> list[KvCacheStore]:
         """Return the KV cache stores that answer."""
         stores = self.table.kept_cache_stores() if self.table is not None else []
         return [s for s in stores if now >= self._unavailable_until.get(s.address, now)]
 
-    def kept_cache_store(self, zone: str, now: float) -> KeptCacheStore | None:
+    def kept_cache_store(self, zone: str, now: float) -> KvCacheStore | None:
         """Return the KV cache store for runners of a zone: the nearest one in their region.
 
         None if no store of the region answers. A save to another region takes ten times as long,
         and all later saves queue behind it.
         """
-        nearest: KeptCacheStore | None = None
+        nearest: KvCacheStore | None = None
         least = Distance.OTHER_REGION
         for store in self.kept_cache_stores(now):
             distance = self.topology.distance(store.zone, zone)
@@ -456,7 +456,7 @@
         self.exposure.set_node_count(count)
 
     def _add_runner(self, entry: RunnerEntry, now: float) -> None:
-        if self.pool.lacks_start(entry):
+        if self.pool.lacks_start_time(entry):
             # A runner process always writes its start time, so something else wrote this entry.
             self._apply_removal(entry.directory_name, entry.revision, now)
             return
--- a/src/hillstack/serving/pipeline.py
+++ b/src/hillstack/serving/pipeline.py
@@ -426,7 +426,7 @@
         Otherwise the attempt continues, because the runner may send again.
         """
         now = self._clock()
-        is_silent = runner.is_silent(now) and now - runner.last_heard_at >= SILENCE_LIMIT_SECONDS
+        is_silent = runner.is_silent(now) and now - runner.last_contact_at >= SILENCE_LIMIT_SECONDS
         is_connection_silent = now - job.silent_since >= CONNECTION_SILENCE_SECONDS
         if not (runner.has_ended or is_silent or is_connection_silent):
             return
--- a/src/hillstack/serving/placement.py
+++ b/src/hillstack/serving/placement.py
@@ -221,9 +221,9 @@
         for runner in runners:
             if runner.leaves:
                 counts["leaving"] += 1
-            elif runner.signals.backoff_left(now) > 0:
+            elif runner.signals.remaining_backoff(now) > 0:
                 counts["backing_off"] += 1
-            elif now < runner.signals.limit.no_room_until:
+            elif now < runner.signals.limit.exhausted_until:
                 counts["limited"] += 1
             elif now < runner.suspected_until:
                 counts["suspected"] += 1
@@ -246,7 +246,7 @@
         if first is None:
             return None
         wait = _available_at(first) - now
-        if first.signals.asked_until >= _available_at(first):
+        if first.signals.unavailable_until >= _available_at(first):
             wait += self._rng.uniform(0.0, RETURN_SPREAD_SECONDS)
         return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait))
 
@@ -258,7 +258,7 @@
         backing_off = (
             runner
             for runner in self._runners_available_later(job, now)
-            if runner.signals.asked_until >= runner.ready_at > now
+            if runner.signals.unavailable_until >= runner.ready_at > now
         )
         return min(backing_off, key=_available_at, default=None)
 
@@ -597,7 +597,7 @@
 def _cross_region_surroundings(surroundings: Surroundings, request: ServingRequest) -> Surroundings:
     """Return the surroundings of candidates in another region, with the costs of the link."""
     cost = SECONDS_PER_BYTE * exchange_bytes(request)
-    return replace(surroundings, detour_seconds=DETOUR_SECONDS, detour_cost=cost)
+    return replace(surroundings, round_trip_seconds=DETOUR_SECONDS, round_trip_cost=cost)
 
 
 def _should_announce(placed: PlacedAttempt, shape: PromptShape) -> bool:
--- a/src/hillstack/serving/runner_ends.py
+++ b/src/hillstack/serving/runner_ends.py
@@ -21,10 +21,10 @@
 from hillstack.core.request_fingerprint import content_name, request_fingerprint
 from hillstack.core.runner_ends import (
     END_SECONDS,
-    FATAL_SECONDS,
+    FATAL_REFUSAL_SECONDS,
     FatalRequest,
-    RunAtEnd,
-    RunnerEnd,
+    RunAtCrash,
+    RunnerCrash,
     Suspicion,
 )
 from hillstack.core.runner_pool import Runner
@@ -147,7 +147,7 @@
 
     def _has_survived(self, runner: Runner, ended_at: float) -> bool:
         """Return whether a process that seemed to crash at a time has sent bytes afterwards."""
-        received_at = runner.last_heard_at
+        received_at = runner.last_contact_at
         if received_at <= ended_at + LATE_BYTES_SECONDS or received_at < self._on_time_since():
             return False
         if received_at < ended_at + MIN_RESTART_SECONDS:
@@ -164,7 +164,7 @@
             names = self._names(job)
             self._state.probations.begin(attempt_id, runner.runner_id, names)
             for name in names:
-                self._counts.note_trial(name, now)
+                self._counts.record_trial(name, now)
             self._send_probation(runner.runner_id, PROBATION_SECONDS, names)
             self._metrics.runner_ends.labels("suspect_sent").inc()
             self._log_suspect(job, runner)
@@ -195,9 +195,9 @@
         abandoned = _AbandonedRun(job, runner.runner_id, now, job.sent_at, job.answering_since)
         self._abandoned.append(abandoned)
 
-    def _abandoned_runs(self, runner_id: str, ended_at: float) -> dict[int, RunAtEnd]:
+    def _abandoned_runs(self, runner_id: str, ended_at: float) -> dict[int, RunAtCrash]:
         """Return the runs that this node abandoned at a runner shortly before its crash."""
-        runs: dict[int, RunAtEnd] = {}
+        runs: dict[int, RunAtCrash] = {}
         for abandoned in self._abandoned:
             since = ended_at - abandoned.at
             if (
@@ -208,7 +208,7 @@
             answering = (
                 None if abandoned.answering_since is None else ended_at - abandoned.answering_since
             )
-            run = RunAtEnd(ended_at - abandoned.sent_at, answering, self._content(abandoned.job))
+            run = RunAtCrash(ended_at - abandoned.sent_at, answering, self._content(abandoned.job))
             runs[self._fingerprint(abandoned.job)] = run
         return runs
 
@@ -271,7 +271,7 @@
             if not all(self._counts.may_try(name, rank, now, pause) for name in bounded):
                 return False
             for name in bounded:
-                self._counts.note_trial(name, now)
+                self._counts.record_trial(name, now)
             job.trial_send = job.sends
         if job.suspect_rank is None:
             job.suspect_rank = self._record.place(self._fingerprint(job))
@@ -284,7 +284,7 @@
         the same content may be the fatal one.
         """
         is_likely = fingerprint in self._record.fatal() or self._counts.is_bounded(fingerprint)
-        return FATAL_SECONDS if is_likely else 0.0
+        return FATAL_REFUSAL_SECONDS if is_likely else 0.0
 
     def _node_rank(self, name: int) -> int:
         """Return this node's rank in an order of all nodes that is the same on every node."""
@@ -363,7 +363,7 @@
         if runs and self._record.get(runner.runner_id) is None:
             self._note_lost_runs(runner, runs, now)
 
-    def _note_lost_runs(self, runner: Runner, runs: dict[int, RunAtEnd], now: float) -> None:
+    def _note_lost_runs(self, runner: Runner, runs: dict[int, RunAtCrash], now: float) -> None:
         if runner.runner_id not in self._locally_lost:
             self._metrics.runner_ends.labels("seen").inc()
             self._locally_lost[runner.runner_id] = now
@@ -381,7 +381,7 @@
                 names = (request.fingerprint, request.content)
                 self._state.probations.told(notice.runner_id, until, names)
                 for name in names:
-                    self._counts.note_trial(name, now)
+                    self._counts.record_trial(name, now)
             return
         if notice.taken_back:
             end = self._record.get(notice.runner_id)
@@ -416,11 +416,11 @@
         self._schedule_reaction()
 
     def _record_crash(
-        self, runner_id: str, ended_at: float, runs: dict[int, RunAtEnd], running: int
+        self, runner_id: str, ended_at: float, runs: dict[int, RunAtCrash], running: int
     ) -> None:
         """Record a crash, and count it for each request that the runner was running."""
-        self._record.note_end(runner_id, ended_at, runs, self._clock(), running)
-        if self._record.was_heard_after(runner_id, ended_at):
+        self._record.record_crash(runner_id, ended_at, runs, self._clock(), running)
+        if self._record.was_contacted_after(runner_id, ended_at):
             return
         for fingerprint, run in runs.items():
             crashed = CrashedRun(runner_id, ended_at - run.age, ended_at, run.is_settled)
@@ -491,7 +491,7 @@
             if now - end.ended_at < NOTICE_REPEAT_SECONDS:
                 self._send_crash_notices(end, now)
 
-    def _send_crash_notices(self, end: RunnerEnd, now: float) -> None:
+    def _send_crash_notices(self, end: RunnerCrash, now: float) -> None:
         for notice in self._notices(end, now):
             self._peers.runner_ended(notice)
 
@@ -532,12 +532,12 @@
             runner = self._state.pool.get(end.runner_id)
             if runner is None or not self._has_survived(runner, end.ended_at):
                 continue
-            self._record.take_back(end.runner_id, runner.last_heard_at)
+            self._record.take_back(end.runner_id, runner.last_contact_at)
             self._counts.take_back(end.runner_id)
             self._locally_lost.pop(end.runner_id, None)
             self._metrics.runner_ends.labels("taken_back").inc()
             logger.info("runner has not ended", extra={"runner": end.runner_id})
-            seen_ms_ago = max(0, int((now - runner.last_heard_at) * 1000))
+            seen_ms_ago = max(0, int((now - runner.last_contact_at) * 1000))
             self._peers.runner_ended(
                 RunnerEndNotice(end.runner_id, seen_ms_ago, [], taken_back=True)
             )
@@ -564,7 +564,7 @@
             if not run.is_settled:
                 continue
             survived = [
-                name for name in self._names(job) if self._counts.is_outlived(name, run.age)
+                name for name in self._names(job) if self._counts.has_survived(name, run.age)
             ]
             self._reset_counts(survived)
 
@@ -581,7 +581,7 @@
     async def _wait_for_peers(self, fingerprint: int) -> None:
         """Wait for other nodes' notices of the latest crash, so that all nodes decide alike."""
         remaining = (
-            self._record.ended_last_under(fingerprint) + PEER_NOTICE_WAIT_SECONDS - self._clock()
+            self._record.last_crash_under(fingerprint) + PEER_NOTICE_WAIT_SECONDS - self._clock()
         )
         if remaining > 0:
             await asyncio.sleep(remaining)
@@ -660,12 +660,12 @@
                 job.is_fatal = True
                 job.expire_now()
 
-    def _notices(self, end: RunnerEnd, now: float) -> list[RunnerEndNotice]:
+    def _notices(self, end: RunnerCrash, now: float) -> list[RunnerEndNotice]:
         """Return the notices of a crash, one per datagram; usually a single one."""
         parts = range(0, max(1, len(end.runs)), MAX_NOTICE_REQUESTS)
         return [self._notice(end, now, first) for first in parts]
 
-    def _notice(self, end: RunnerEnd, now: float, first: int = 0) -> RunnerEndNotice:
+    def _notice(self, end: RunnerCrash, now: float, first: int = 0) -> RunnerEndNotice:
         """Return one notice of a crash with some of its runs, the most suspected first."""
         runs = sorted(end.runs.items(), key=lambda item: (-item[1].weight, item[0]))
         reported = runs[first : first + MAX_NOTICE_REQUESTS]
@@ -681,9 +681,9 @@
             job.content = content_name(job.tenant_name, job.request.path, job.request.body)
         return job.content
 
-    def _run(self, job: Job, now: float) -> RunAtEnd:
+    def _run(self, job: Job, now: float) -> RunAtCrash:
         answering = None if job.answering_since is None else now - job.answering_since
-        return RunAtEnd(now - job.sent_at, answering, self._content(job))
+        return RunAtCrash(now - job.sent_at, answering, self._content(job))
 
     def _fingerprint(self, job: Job) -> int:
         if job.fingerprint is None:
@@ -707,7 +707,7 @@
     return not runner.stays(now) or now < runner.loading_until
 
 
-def _request_at_end(fingerprint: int, run: RunAtEnd) -> RequestAtEnd:
+def _request_at_end(fingerprint: int, run: RunAtCrash) -> RequestAtEnd:
     answering_ms = 0 if run.answering is None else round(run.answering * 1000)
     return RequestAtEnd(
         fingerprint,
@@ -718,12 +718,12 @@
     )
 
 
-def _run_at_end(request: RequestAtEnd) -> RunAtEnd:
+def _run_at_end(request: RequestAtEnd) -> RunAtCrash:
     answering = request.answering_ms / 1000 if request.started else None
-    return RunAtEnd(request.age_ms / 1000, answering, request.content)
+    return RunAtCrash(request.age_ms / 1000, answering, request.content)
 
 
-def _log_crash(runner: Runner, runs: dict[int, RunAtEnd]) -> None:
+def _log_crash(runner: Runner, runs: dict[int, RunAtCrash]) -> None:
     """Log this node's requests at a runner that crashed, the youngest runs first."""
     youngest = sorted(runs.items(), key=lambda item: item[1].age)[:MAX_LOGGED_RUNS]
     fields = {
--- a/src/hillstack/serving/runner_limits.py
+++ b/src/hillstack/serving/runner_limits.py
@@ -73,7 +73,7 @@
         if wait <= 0:
             self._log_result(job, runner, rate, "admitted")
             return True
-        limit.no_room_until = self._clock() + min(wait, LONGEST_PAUSE_SECONDS)
+        limit.exhausted_until = self._clock() + min(wait, LONGEST_PAUSE_SECONDS)
         self._log_result(job, runner, rate, "no room")
         return False
 
@@ -116,4 +116,4 @@
 
 def holds_back(limit: RunnerLimit, now: float) -> bool:
     """Return whether a limit currently keeps all requests of this node away from its runner."""
-    return limit.in_force(now) is not None and now < limit.no_room_until
+    return limit.in_force(now) is not None and now < limit.exhausted_until
--- a/src/hillstack/serving/signal_intake.py
+++ b/src/hillstack/serving/signal_intake.py
@@ -63,7 +63,7 @@
         if rate is not None:
             self._metrics.runner_signals.labels(LIMIT).inc()
             self._metrics.limited_calls.labels(source.kind.value).inc()
-        if not self._pool.hear_limit(runner_id, rate, source, self._clock()):
+        if not self._pool.apply_limit(runner_id, rate, source, self._clock()):
             return
         fields = {"runner": runner_id, "limit_per_second": rate, "source": str(source)}
         logger.info("runner limit" if rate is not None else "runner limit ended", extra=fields)
@@ -135,9 +135,9 @@
     signals = []
     if received.leaves:
         signals.append(LEAVING)
-    if received.backoff_left(now) > 0:
+    if received.remaining_backoff(now) > 0:
         signals.append(BACKOFF)
-    if received.limit.in_force(now) is not None and now < received.limit.no_room_until:
+    if received.limit.in_force(now) is not None and now < received.limit.exhausted_until:
         signals.append(LIMIT)
     return signals
 
@@ -149,14 +149,14 @@
     if received.left_at is not None:
         known["leaving_since_seconds"] = rounded_seconds(now - received.left_at)
         known["leaving_source"] = received.left_source
-    if received.backoff_left(now) > 0:
-        known["backoff_left_seconds"] = rounded_seconds(received.backoff_left(now))
+    if received.remaining_backoff(now) > 0:
+        known["backoff_left_seconds"] = rounded_seconds(received.remaining_backoff(now))
         known["backoff_asked_since_seconds"] = rounded_seconds(now - received.backoff_asked_at)
         known["backoff_source"] = received.backoff_source
     limit = received.limit
     if limit.in_force(now) is not None:
         known["limit_per_second"] = limit.in_force(now)
-        known["no_room_left_seconds"] = rounded_seconds(max(0.0, limit.no_room_until - now))
-        known["limit_since_seconds"] = rounded_seconds(now - limit.first_named_at)
+        known["no_room_left_seconds"] = rounded_seconds(max(0.0, limit.exhausted_until - now))
+        known["limit_since_seconds"] = rounded_seconds(now - limit.first_reported_at)
         known["limit_source"] = limit.source
     return known
--- a/src/hillstack/simulation/fleet_simulation.py
+++ b/src/hillstack/simulation/fleet_simulation.py
@@ -19,7 +19,7 @@
 from hillstack.core.fleet import Fleet, LoadReport
 from hillstack.core.placement.base import Placement
 from hillstack.core.prefix import FixedHashes, PrefixScope
-from hillstack.core.request_router import MAX_PEERS_TOLD, CompletionRequest, RequestRouter
+from hillstack.core.request_router import MAX_NOTIFIED_PEERS, CompletionRequest, RequestRouter
 from hillstack.messages.types import BackendKind, FillNotice, Machine
 from hillstack.simulation.engine_model import (
     EngineModel,
@@ -206,7 +206,7 @@
         if notice is None:
             return
         others = [other for other in self.routers if other is not router]
-        recipients = self._rng.sample(others, min(MAX_PEERS_TOLD, len(others)))
+        recipients = self._rng.sample(others, min(MAX_NOTIFIED_PEERS, len(others)))
         for other in recipients:
             if not self._is_cut(router.zone, other.zone):
                 self._schedule_after(
--- a/tests/fleet/builders.py
+++ b/tests/fleet/builders.py
@@ -9,7 +9,7 @@
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.routing_table import (
     EngineProfile,
-    KeptCacheStore,
+    KvCacheStore,
     RequestLimits,
     Route,
     RouteKind,
@@ -79,7 +79,7 @@
     *routes: Route,
     version: int = 1,
     keys: dict[str, TenantEntry] | None = None,
-    store: KeptCacheStore | None = None,
+    store: KvCacheStore | None = None,
 ) -> RoutingTable:
     services = [Service(APPLICATION), Service(ENGINES, engine=ENGINE)]
     if store is not None:
--- a/tests/fleet/test_cache_follower.py
+++ b/tests/fleet/test_cache_follower.py
@@ -12,7 +12,7 @@
 from hillstack.core.cache_watch import CacheHolder, NodeLiveness, WatchAssignment
 from hillstack.core.node_directory import NodeDirectory, NodeEntry
 from hillstack.core.part_index import PartIndex, PromptPart
-from hillstack.core.routing_table import KeptCacheStore
+from hillstack.core.routing_table import KvCacheStore
 from hillstack.daemon.cache_follower import (
     CacheChanges,
     CacheEntry,
@@ -27,7 +27,7 @@
 from tests.fleet.builders import ENGINES, make_entry, make_route, make_state, make_table
 
 SALT = "shared|m|1"
-STORE = KeptCacheStore("10.9.9.9:1", "zone-a", 1_000_000, 200_000.0)
+STORE = KvCacheStore("10.9.9.9:1", "zone-a", 1_000_000, 200_000.0)
 
 
 @dataclass
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from hillstack.core.answer_durations import (
-    KEPT_ANSWERS,
+    DEFAULT_OVERDUE_SECONDS,
+    MAX_SAMPLED_ANSWERS,
+    MIN_OVERDUE_SECONDS,
     OVERDUE_FACTOR,
-    SHORTEST_SECONDS,
-    UNKNOWN_SECONDS,
     AnswerDurations,
 )
 from hillstack.core.freshness import Freshness
@@ -251,8 +251,8 @@
 
 def test_an_answer_is_overdue_after_a_multiple_of_a_high_percentile() -> None:
     durations = AnswerDurations()
-    assert durations.overdue_seconds() == UNKNOWN_SECONDS
-    for number in range(KEPT_ANSWERS):
+    assert durations.overdue_seconds() == DEFAULT_OVERDUE_SECONDS
+    for number in range(MAX_SAMPLED_ANSWERS):
         durations.add(2.0 if number == 0 else 0.3)
     assert durations.overdue_seconds() == pytest.approx(OVERDUE_FACTOR * 0.3)
 
@@ -260,9 +260,9 @@
 def test_the_overdue_time_follows_durations_that_become_longer_or_shorter() -> None:
     durations = AnswerDurations()
     for seconds in (1.5, 0.01):
-        for _ in range(KEPT_ANSWERS):
+        for _ in range(MAX_SAMPLED_ANSWERS):
             durations.add(seconds)
-        expected = max(SHORTEST_SECONDS, OVERDUE_FACTOR * seconds)
+        expected = max(MIN_OVERDUE_SECONDS, OVERDUE_FACTOR * seconds)
         assert durations.overdue_seconds() == pytest.approx(expected)
 
 
--- a/tests/fleet/test_crash_counts.py
+++ b/tests/fleet/test_crash_counts.py
@@ -86,7 +86,7 @@
     trials = 0
     for second in range(4 * 3_600):
         if counts.may_try(NAME, 0, float(second)):
-            counts.note_trial(NAME, float(second))
+            counts.record_trial(NAME, float(second))
             trials += 1
     assert trials == len(TRIAL_PAUSES_SECONDS) == SENDS_ALLOWED_LATER
 
@@ -96,7 +96,7 @@
     trials = 0
     for second in range(4, 4 * 3_600):
         if counts.may_try(NAME, 0, float(second)):
-            counts.note_trial(NAME, float(second))
+            counts.record_trial(NAME, float(second))
             trials += 1
             crash(counts, 10 + trials, second + 0.2)
     assert trials == SENDS_ALLOWED_LATER
@@ -123,9 +123,9 @@
 
 def test_a_run_much_older_than_the_crashed_runs_has_survived() -> None:
     counts = make_bounded_counts()
-    assert not counts.is_outlived(NAME, 1.1)
-    assert counts.is_outlived(NAME, 1.3)
-    assert not counts.is_outlived(NAME + 1, 100.0)
+    assert not counts.has_survived(NAME, 1.1)
+    assert counts.has_survived(NAME, 1.3)
+    assert not counts.has_survived(NAME + 1, 100.0)
 
 
 def test_requests_with_one_crash_do_not_evict_those_with_several() -> None:
--- a/tests/fleet/test_fatal_requests.py
+++ b/tests/fleet/test_fatal_requests.py
@@ -14,7 +14,12 @@
 from hillstack.core.part_index import PromptPart
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.request_fingerprint import request_fingerprint
-from hillstack.core.runner_ends import END_SECONDS, EVIDENCE_SECONDS, FATAL_SECONDS, MAX_ENDS
+from hillstack.core.runner_ends import (
+    END_SECONDS,
+    FATAL_CRASH_RETENTION_SECONDS,
+    FATAL_REFUSAL_SECONDS,
+    MAX_ENDS,
+)
 from hillstack.messages.runner_ends import RequestAtEnd, RunnerEndNotice
 from hillstack.serving.runner_ends import NOTICE_INTERVAL_SECONDS
 from hillstack.serving.types import Verdict
@@ -461,14 +466,14 @@
     world = World(8, 1)
     world.try_until_done("node-0", FATAL)
     record = world.nodes["node-0"].state.runner_ends
-    world.run(FATAL_SECONDS - 1.0)
+    world.run(FATAL_REFUSAL_SECONDS - 1.0)
     assert world.try_until_done("node-0", FATAL).verdict() is Verdict.FAILED
     assert len(world.runners.ended()) == 2
     world.run(2.0)
     world.try_until_done("node-0", FATAL)
     assert world.try_until_done("node-0", FATAL).verdict() is Verdict.FAILED
     assert len(world.runners.ended()) == 3
-    world.run(EVIDENCE_SECONDS)
+    world.run(FATAL_CRASH_RETENTION_SECONDS)
     assert world.try_until_done("node-0", b"short 1").is_served
     assert not record
 
--- a/tests/fleet/test_peer_exchange.py
+++ b/tests/fleet/test_peer_exchange.py
@@ -10,7 +10,7 @@
 
 from hillstack.core.part_index import PromptPart
 from hillstack.core.relay_choice import DIRECT_NODES, RelayChoice
-from hillstack.core.routing_table import KeptCacheStore
+from hillstack.core.routing_table import KvCacheStore
 from hillstack.core.runner_load import OwnAttempt
 from hillstack.daemon.cache_follower import CacheEntry
 from hillstack.daemon.peer_exchange import PeerExchange
@@ -202,7 +202,7 @@
 
 
 def test_peers_avoid_a_cache_store_that_does_not_answer_for_a_while() -> None:
-    store = KeptCacheStore("10.0.0.9:1", "zone-a", 1_000_000, 200_000.0)
+    store = KvCacheStore("10.0.0.9:1", "zone-a", 1_000_000, 200_000.0)
     _, exchange, transport = make_node()
     other_state, other, _ = make_node()
     other_state.table = make_table(make_route(), store=store)
--- a/tests/fleet/test_pipeline.py
+++ b/tests/fleet/test_pipeline.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from hillstack.core.answer_durations import ANSWERS_A_LOOK
+from hillstack.core.answer_durations import ANSWERS_PER_UPDATE
 from hillstack.core.part_index import PromptPart
-from hillstack.core.routing_table import KeptCacheStore, RouteKind, ServiceShare, TenantEntry
+from hillstack.core.routing_table import KvCacheStore, RouteKind, ServiceShare, TenantEntry
 from hillstack.core.runner_load import OwnAttempt
 from hillstack.core.runner_pool import Runner
 from hillstack.core.shared_retry_budget import SharedRetryBudget
@@ -340,16 +340,16 @@
 def test_ordinary_work_of_an_application_server_is_not_broken_off(work_seconds: float) -> None:
     # inc-8f26: attempts counted as overdue after 0.4 s, but ordinary work takes up to 0.45 s.
     bench = make_bench(i_1=begins(work_seconds, b"a"), i_22=begins(work_seconds, b"b"))
-    for _ in range(ANSWERS_A_LOOK + 5):
+    for _ in range(ANSWERS_PER_UPDATE + 5):
         sink, error = bench.serve(make_request())
         assert error is None and sink.finished
     assert not bench.client.cancelled
-    assert len(bench.client.dispatches) == ANSWERS_A_LOOK + 5
+    assert len(bench.client.dispatches) == ANSWERS_PER_UPDATE + 5
 
 
 def test_a_silent_application_server_is_abandoned_soon_if_answers_are_fast() -> None:
     bench = make_bench(i_1=begins(0.02, b"a"), i_22=begins(0.02, b"b"))
-    for _ in range(ANSWERS_A_LOOK):
+    for _ in range(ANSWERS_PER_UPDATE):
         bench.serve(make_request())
     bench.client.behaviours["i-1"] = hangs()
     for _ in range(3):
@@ -610,7 +610,7 @@
     assert fetchable_tokens(bench, sent, bench.scheduler.now) == 2_000
 
 
-STORE = KeptCacheStore("10.9.9.9:1", "zone-a", 1_000_000, 10_000.0)
+STORE = KvCacheStore("10.9.9.9:1", "zone-a", 1_000_000, 10_000.0)
 
 
 def make_store_bench() -> Bench:
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -24,7 +24,7 @@
 )
 from hillstack.core.placement.kept_parts import Surroundings, find_cached_parts, move_seconds
 from hillstack.core.prompt_shape import PromptShape
-from hillstack.core.routing_table import KeptCacheStore
+from hillstack.core.routing_table import KvCacheStore
 from hillstack.core.runner_load import OwnAttempt, RunnerLoad
 from hillstack.core.runner_pool import Runner
 from tests.fleet.builders import ENGINE, ENGINES, make_entry
@@ -44,7 +44,7 @@
     runners: list[Runner],
     *,
     output: int = 50,
-    stores: Sequence[KeptCacheStore] = (),
+    stores: Sequence[KvCacheStore] = (),
     begin_before: float = math.inf,
     shared: PromptPart = SHARED,
 ) -> Choice | None:
@@ -82,7 +82,7 @@
 
 
 def test_a_kv_cache_store_is_a_source() -> None:
-    store = KeptCacheStore("10.9.9.9:1", "zone-a", 1_000_000, 200_000.0)
+    store = KvCacheStore("10.9.9.9:1", "zone-a", 1_000_000, 200_000.0)
     index = make_index("i-1", store.address)
     index.note(store.address, SALT, [SHARED])
     choice = choose(index, [make_runner("i-1")], stores=[store])
@@ -90,8 +90,8 @@
 
 
 def test_the_nearest_of_several_stores_is_the_source() -> None:
-    far = KeptCacheStore("10.9.9.8:1", "zone-b", 1_000_000, 200_000.0)
-    near = KeptCacheStore("10.9.9.9:1", "zone-a", 1_000_000, 200_000.0)
+    far = KvCacheStore("10.9.9.8:1", "zone-b", 1_000_000, 200_000.0)
+    near = KvCacheStore("10.9.9.9:1", "zone-a", 1_000_000, 200_000.0)
     index = make_index("i-1", far.address, near.address)
     for store in (far, near):
         index.note(store.address, SALT, [SHARED])
--- a/tests/fleet/test_regions_placement.py
+++ b/tests/fleet/test_regions_placement.py
@@ -10,12 +10,12 @@
 import pytest
 
 from hillstack.core.freshness import Freshness
-from hillstack.core.link_share import BURST_SECONDS, LEAST_BURST_BYTES, LinkShare
+from hillstack.core.link_share import BURST_SECONDS, MIN_BURST_BYTES, LinkShare
 from hillstack.core.part_index import PromptPart
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.routing_table import (
     EngineProfile,
-    KeptCacheStore,
+    KvCacheStore,
     RequestLimits,
     RouteKind,
     RoutingTable,
@@ -67,8 +67,8 @@
 BODY = b"x" * 9_200
 # Bytes of a prompt on the link; the direction to the runner carries more than the answer.
 PROMPT_BYTES = len(BODY) + HEAD_BYTES
-FAR_STORE = KeptCacheStore("10.9.9.9:1", "b-1", 1_000_000, 1_500_000.0)
-NEAR_STORE = KeptCacheStore("10.9.9.8:1", "a-2", 1_000_000, 1_500_000.0)
+FAR_STORE = KvCacheStore("10.9.9.9:1", "b-1", 1_000_000, 1_500_000.0)
+NEAR_STORE = KvCacheStore("10.9.9.8:1", "a-2", 1_000_000, 1_500_000.0)
 
 
 class Region:
@@ -78,7 +78,7 @@
         self,
         *,
         topology: Topology = TWO_REGIONS,
-        store: KeptCacheStore | None = None,
+        store: KvCacheStore | None = None,
         kind: RouteKind = RouteKind.SAFE,
     ) -> None:
         streams = make_route(RouteKind.STREAM, prefix="/gen/", service=ENGINES, resumable=True)
@@ -274,7 +274,7 @@
     for number in range(int(seconds * rate)):
         served += region.place_and_send(region.prompt(), number / rate) is not None
     carried = served * PROMPT_BYTES
-    most = max(LEAST_BURST_BYTES, BURST_SECONDS * link_share_bytes())
+    most = max(MIN_BURST_BYTES, BURST_SECONDS * link_share_bytes())
     assert 0.9 * seconds * link_share_bytes() < carried <= seconds * link_share_bytes() + most
 
 
--- a/tests/fleet/test_rollout_observer.py
+++ b/tests/fleet/test_rollout_observer.py
@@ -21,7 +21,7 @@
     RolloutEvidence,
 )
 from hillstack.core.rollout_judge import NO_OPINION, RolloutOpinion, Verdict
-from hillstack.core.runner_ends import RunAtEnd
+from hillstack.core.runner_ends import RunAtCrash
 from hillstack.core.software_rollouts import RolloutOrder, RolloutRecord, RolloutStage
 from hillstack.errors import BackendBrokenError
 from hillstack.messages.rollout_reports import OutcomeCounts, RolloutReport
@@ -511,8 +511,8 @@
     order = observed.state.rollouts.orders()[0]
     for number, runner_id in enumerate(runner_ids):
         at = 1.0 + 0.2 * number
-        runs = {7: RunAtEnd(0.1, None)}
-        observed.state.runner_ends.note_end(runner_id, at, runs, at, 1)
+        runs = {7: RunAtCrash(0.1, None)}
+        observed.state.runner_ends.record_crash(runner_id, at, runs, at, 1)
         runner = observed.state.pool.get(runner_id)
         assert runner is not None
         observed.observer._record_outcome(order, broken(runner_id, runner.entry.software), at)
--- a/tests/fleet/test_runner_ends.py
+++ b/tests/fleet/test_runner_ends.py
@@ -26,10 +26,10 @@
 
 from hillstack.core.runner_ends import (
     END_SECONDS,
-    EVIDENCE_SECONDS,
-    FATAL_SECONDS,
-    RunAtEnd,
-    RunnerEndRecord,
+    FATAL_CRASH_RETENTION_SECONDS,
+    FATAL_REFUSAL_SECONDS,
+    RunAtCrash,
+    RunnerCrashRecord,
     Suspicion,
 )
 
@@ -52,9 +52,9 @@
     over_at: float
     moves: int = 0
 
-    def at_end(self, now: float) -> RunAtEnd:
+    def at_end(self, now: float) -> RunAtCrash:
         answering = now - self.answers_at if now >= self.answers_at else None
-        return RunAtEnd(round(now - self.began_at, 3), answering)
+        return RunAtCrash(round(now - self.began_at, 3), answering)
 
 
 @dataclass
@@ -62,7 +62,7 @@
     """Runners with random requests; the crashes of the runners are noted in one record."""
 
     rng: Random
-    record: RunnerEndRecord = field(default_factory=RunnerEndRecord)
+    record: RunnerCrashRecord = field(default_factory=RunnerCrashRecord)
     runs: list[SimulatedRun] = field(default_factory=list)
     alive: set[int] = field(default_factory=lambda: set(range(RUNNERS)))
     requests_at_crashes: set[int] = field(default_factory=set)
@@ -94,7 +94,7 @@
         self.alive.discard(runner)
         present = [run for run in self.runs if run.runner == runner]
         present = [run for run in present if run.began_at <= now < run.over_at]
-        runs: dict[int, RunAtEnd] = {}
+        runs: dict[int, RunAtCrash] = {}
         for run in present:
             seen = run.at_end(now)
             known = runs.get(run.fingerprint)
@@ -103,7 +103,7 @@
         self.requests_at_crashes |= runs.keys()
         if runs.get(FATAL) is not None:
             self.fatal_crashes += 1
-        self.record.note_end(f"i-{runner}", now, runs, now, len(present))
+        self.record.record_crash(f"i-{runner}", now, runs, now, len(present))
         self.blamed |= self.record.fatal().keys()
         for run in present:
             self._move(run, now)
@@ -219,100 +219,100 @@
 
 
 def test_a_popular_request_that_never_succeeds_is_fatal() -> None:
-    record = RunnerEndRecord()
-    record.note_end("i-1", 1.0, {POPULAR: RunAtEnd(0.1)}, 1.0)
-    record.note_end("i-2", 1.2, {POPULAR: RunAtEnd(0.1)}, 1.2)
+    record = RunnerCrashRecord()
+    record.record_crash("i-1", 1.0, {POPULAR: RunAtCrash(0.1)}, 1.0)
+    record.record_crash("i-2", 1.2, {POPULAR: RunAtCrash(0.1)}, 1.2)
     assert record.suspicion(POPULAR, NOW) is Suspicion.FATAL
 
 
 def test_crashes_during_concurrent_runs_do_not_make_a_popular_request_fatal() -> None:
-    record = RunnerEndRecord()
-    record.note_end("i-1", 1.0, {POPULAR: RunAtEnd(0.4)}, 1.0)
-    record.note_end("i-2", 1.2, {POPULAR: RunAtEnd(0.5)}, 1.2)
+    record = RunnerCrashRecord()
+    record.record_crash("i-1", 1.0, {POPULAR: RunAtCrash(0.4)}, 1.0)
+    record.record_crash("i-2", 1.2, {POPULAR: RunAtCrash(0.5)}, 1.2)
     assert record.suspicion(POPULAR, NOW) is Suspicion.SUSPECT
 
 
 def test_a_successful_run_clears_a_request_until_the_next_crash() -> None:
-    record = RunnerEndRecord()
-    record.note_end("i-1", 1.0, {7: RunAtEnd(0.1)}, 1.0)
+    record = RunnerCrashRecord()
+    record.record_crash("i-1", 1.0, {7: RunAtCrash(0.1)}, 1.0)
     assert record.suspicion(7, NOW) is Suspicion.SUSPECT
     assert record.clear(7, 2.0) == ["i-1"]
     assert record.suspicion(7, NOW) is Suspicion.NONE
-    record.note_end("i-1", 1.0, {7: RunAtEnd(0.1)}, 2.5)
+    record.record_crash("i-1", 1.0, {7: RunAtCrash(0.1)}, 2.5)
     assert record.suspicion(7, NOW) is Suspicion.NONE
-    record.note_end("i-2", 3.0, {7: RunAtEnd(0.1)}, 3.0)
+    record.record_crash("i-2", 3.0, {7: RunAtCrash(0.1)}, 3.0)
     assert record.suspicion(7, NOW) is Suspicion.SUSPECT
 
 
 def test_retracting_a_crash_reverts_the_classification() -> None:
-    record = RunnerEndRecord()
-    record.note_end("i-1", 1.0, {7: RunAtEnd(0.1)}, 1.0)
-    record.note_end("i-2", 1.2, {7: RunAtEnd(0.1)}, 1.2)
+    record = RunnerCrashRecord()
+    record.record_crash("i-1", 1.0, {7: RunAtCrash(0.1)}, 1.0)
+    record.record_crash("i-2", 1.2, {7: RunAtCrash(0.1)}, 1.2)
     assert record.suspicion(7, NOW) is Suspicion.FATAL
     assert record.take_back("i-2", 1.3)
     assert record.suspicion(7, NOW) is Suspicion.SUSPECT
-    record.note_end("i-2", 1.2, {7: RunAtEnd(0.1)}, 1.4)
+    record.record_crash("i-2", 1.2, {7: RunAtCrash(0.1)}, 1.4)
     assert record.suspicion(7, NOW) is Suspicion.SUSPECT
-    record.note_end("i-2", 5.0, {7: RunAtEnd(0.1)}, 5.0)
+    record.record_crash("i-2", 5.0, {7: RunAtCrash(0.1)}, 5.0)
     assert record.suspicion(7, NOW) is Suspicion.FATAL
 
 
 def test_reports_of_several_nodes_about_one_crash_are_merged() -> None:
-    record = RunnerEndRecord()
-    record.note_end("i-1", 1.000, {7: RunAtEnd(0.1)}, 1.0)
-    record.note_end("i-1", 1.003, {8: RunAtEnd(0.2)}, 1.0)
+    record = RunnerCrashRecord()
+    record.record_crash("i-1", 1.000, {7: RunAtCrash(0.1)}, 1.0)
+    record.record_crash("i-1", 1.003, {8: RunAtCrash(0.2)}, 1.0)
     assert [set(end.runs) for end in record.ends()] == [{7, 8}]
 
 
 def test_a_settled_stream_is_no_suspect() -> None:
-    record = RunnerEndRecord()
-    record.note_end("i-1", 9.0, {7: RunAtEnd(5.0, 4.5), 8: RunAtEnd(0.1)}, 9.0)
+    record = RunnerCrashRecord()
+    record.record_crash("i-1", 9.0, {7: RunAtCrash(5.0, 4.5), 8: RunAtCrash(0.1)}, 9.0)
     assert record.suspicion(7, NOW) is Suspicion.NONE
     assert record.suspicion(8, NOW) is Suspicion.SUSPECT
 
 
 def test_requests_at_crashes_of_a_fatal_request_are_no_longer_suspects() -> None:
-    record = RunnerEndRecord()
-    record.note_end("i-1", 1.0, {7: RunAtEnd(0.1), 8: RunAtEnd(0.2)}, 1.0)
-    record.note_end("i-2", 1.2, {7: RunAtEnd(0.1), 9: RunAtEnd(0.2)}, 1.2)
+    record = RunnerCrashRecord()
+    record.record_crash("i-1", 1.0, {7: RunAtCrash(0.1), 8: RunAtCrash(0.2)}, 1.0)
+    record.record_crash("i-2", 1.2, {7: RunAtCrash(0.1), 9: RunAtCrash(0.2)}, 1.2)
     assert record.suspicion(7, NOW) is Suspicion.FATAL
     assert record.suspicion(8, NOW) is Suspicion.NONE
     assert record.suspicion(9, NOW) is Suspicion.NONE
 
 
 def test_of_two_requests_that_moved_together_neither_is_fatal_before_the_third_crash() -> None:
-    record = RunnerEndRecord()
+    record = RunnerCrashRecord()
     for number in (1, 2):
         at = float(number)
-        record.note_end(f"i-{number}", at, {7: RunAtEnd(0.1), 8: RunAtEnd(0.1)}, at)
+        record.record_crash(f"i-{number}", at, {7: RunAtCrash(0.1), 8: RunAtCrash(0.1)}, at)
     assert record.suspicion(7, NOW) is Suspicion.SUSPECT
     assert record.suspicion(8, NOW) is Suspicion.SUSPECT
-    record.note_end("i-3", 3.0, {8: RunAtEnd(0.1)}, 3.0)
+    record.record_crash("i-3", 3.0, {8: RunAtCrash(0.1)}, 3.0)
     assert record.suspicion(8, NOW) is Suspicion.FATAL
     assert record.suspicion(7, NOW) is Suspicion.NONE
 
 
 def test_crashes_of_a_fatal_request_are_retained_longer() -> None:
-    record = RunnerEndRecord()
-    record.note_end("i-1", 1.0, {7: RunAtEnd(0.1)}, 1.0)
-    record.note_end("i-2", 1.2, {7: RunAtEnd(0.1)}, 1.2)
-    record.note_end("i-3", 1.3, {8: RunAtEnd(0.1)}, 1.3)
+    record = RunnerCrashRecord()
+    record.record_crash("i-1", 1.0, {7: RunAtCrash(0.1)}, 1.0)
+    record.record_crash("i-2", 1.2, {7: RunAtCrash(0.1)}, 1.2)
+    record.record_crash("i-3", 1.3, {8: RunAtCrash(0.1)}, 1.3)
     record.expire(1.4 + END_SECONDS)
     assert [end.runner_id for end in record.ends()] == ["i-1", "i-2"]
-    assert record.suspicion(7, 1.1 + FATAL_SECONDS) is Suspicion.FATAL
-    # After FATAL_SECONDS the request is tried once more; one further crash makes it fatal again.
-    assert record.suspicion(7, 1.3 + FATAL_SECONDS) is Suspicion.SUSPECT
+    assert record.suspicion(7, 1.1 + FATAL_REFUSAL_SECONDS) is Suspicion.FATAL
+    # After FATAL_REFUSAL_SECONDS the request is tried once more; one further crash makes it fatal again.
+    assert record.suspicion(7, 1.3 + FATAL_REFUSAL_SECONDS) is Suspicion.SUSPECT
     assert record.rank(7) == 0
-    record.note_end("i-4", 100.0, {7: RunAtEnd(0.1), 9: RunAtEnd(0.1)}, 100.0)
+    record.record_crash("i-4", 100.0, {7: RunAtCrash(0.1), 9: RunAtCrash(0.1)}, 100.0)
     assert record.suspicion(7, 100.0) is Suspicion.FATAL
     assert record.suspicion(9, 100.0) is Suspicion.NONE
-    record.expire(100.0 + EVIDENCE_SECONDS)
+    record.expire(100.0 + FATAL_CRASH_RETENTION_SECONDS)
     assert not record
 
 
 def test_an_older_contact_does_not_replace_a_later_one() -> None:
-    record = RunnerEndRecord()
+    record = RunnerCrashRecord()
     record.take_back("i-1", 2.0)
     record.take_back("i-1", 1.0)
-    record.note_end("i-1", 1.5, {1: RunAtEnd(0.1)}, 2.1)
+    record.record_crash("i-1", 1.5, {1: RunAtCrash(0.1)}, 2.1)
     assert not record.ends()
--- a/tests/fleet/test_runner_limits.py
+++ b/tests/fleet/test_runner_limits.py
@@ -14,7 +14,7 @@
 from hillstack.core.cache_watch import CacheHolder
 from hillstack.core.runner_limit import (
     HINT_SECONDS,
-    LEAST_RATE,
+    MIN_PROBE_RATE,
     AnswerKind,
     AnswerSource,
     RunnerLimit,
@@ -66,13 +66,13 @@
 
 
 def answer(
-    asked_seconds_ago: float = 0.0,
+    seconds_since_request: float = 0.0,
     kind: AnswerKind = AnswerKind.REQUEST,
     *,
     is_whole: bool = True,
 ) -> AnswerSource:
     """Return the source of an answer with status 200."""
-    return AnswerSource(kind, 200, asked_seconds_ago, is_whole=is_whole)
+    return AnswerSource(kind, 200, seconds_since_request, is_whole=is_whole)
 
 
 # Reading a limit from an answer.
@@ -113,7 +113,7 @@
     limit = RunnerLimit()
     limit.take(0.0, REQUEST, NOW)
     assert limit.in_force(NOW) == 0.0
-    assert limit.rate_to_use(NOW) == LEAST_RATE
+    assert limit.rate_to_use(NOW) == MIN_PROBE_RATE
 
 
 # Which answer is in effect.
@@ -170,7 +170,7 @@
 def test_the_next_process_has_no_limit() -> None:
     pool = RunnerPool()
     pool.update(make_entry("i-1"))
-    pool.hear_limit("i-1", 2.0, REQUEST, NOW)
+    pool.apply_limit("i-1", 2.0, REQUEST, NOW)
     assert pool.limit_of("i-1", NOW) == 2.0
     pool.unlist("i-1", NOW, 0.0)
     pool.update(make_entry("i-2"))
@@ -183,7 +183,7 @@
 def test_a_limit_stays_in_effect_for_a_process_that_is_unlisted_and_listed_again() -> None:
     pool = RunnerPool()
     pool.update(make_entry("i-1", revision=1))
-    pool.hear_limit("i-1", 2.0, REQUEST, NOW)
+    pool.apply_limit("i-1", 2.0, REQUEST, NOW)
     pool.unlist("i-1", NOW, 0.0)
     pool.expire_unlisted(NOW + 60.0)
     pool.update(make_entry("i-1", revision=2))
@@ -259,8 +259,8 @@
     assert state.pool.limit_of("i-unknown", NOW) is None
     receive(NO_LIMIT, 10, NOW + 1)
     assert state.pool.limit_of("i-1", NOW + 1) is None
-    state.pool.hear_limit("i-1", 2.0, REQUEST, NOW + 2)
-    state.pool.hear_limit("i-1", None, REQUEST, NOW + 3)
+    state.pool.apply_limit("i-1", 2.0, REQUEST, NOW + 2)
+    state.pool.apply_limit("i-1", None, REQUEST, NOW + 3)
     receive(2.0, 500, NOW + 3.1)
     assert outdated == ["i-1"]
 
@@ -283,7 +283,7 @@
         )
         bench.pipeline._runner_limits = self.limits
         for runner_id in limited:
-            bench.state.pool.hear_limit(runner_id, 2.0, REQUEST, bench.scheduler.now)
+            bench.state.pool.apply_limit(runner_id, 2.0, REQUEST, bench.scheduler.now)
 
     def sent_to(self) -> list[str]:
         return [dispatch.runner_id for dispatch in self.bench.client.dispatches]
@@ -375,7 +375,7 @@
     limited = LimitedBench(bench, "i-1")
     limited.limiter.wait = 3.0
     bench.serve(make_request(), 0.01)
-    bench.state.pool.hear_limit("i-1", None, REQUEST, bench.scheduler.now)
+    bench.state.pool.apply_limit("i-1", None, REQUEST, bench.scheduler.now)
     sink, error = bench.serve(make_request(), 0.01)
     assert (sink.status, error) == (200, None)
 
@@ -384,7 +384,7 @@
     bench = make_bench(i_1=answers(b"a"), i_2=answers(b"b"))
     limited = LimitedBench(bench, "i-1")
     limited.limiter.wait = 3.0
-    bench.state.pool.hint_limit_end("i-1", 0.0, bench.scheduler.now + 1.0)
+    bench.state.pool.apply_limit_end_hint("i-1", 0.0, bench.scheduler.now + 1.0)
     bench.scheduler.run_until(1.0)
     for _ in range(10):
         bench.serve(make_request(), 0.01)
@@ -430,10 +430,10 @@
     scheduler.run_until(10.0)
     unlimited = len(feed.asked_at)
     assert unlimited >= 30
-    pool.hear_limit("i-1", rate, REQUEST, 10.0)
+    pool.apply_limit("i-1", rate, REQUEST, 10.0)
     scheduler.run_until(30.0)
     assert 1 <= len(feed.asked_at) - unlimited <= most
-    pool.hear_limit("i-1", None, REQUEST, 30.0)
+    pool.apply_limit("i-1", None, REQUEST, 30.0)
     before = len(feed.asked_at)
     scheduler.run_until(33.0)
     assert len(feed.asked_at) - before >= 8, (
@@ -446,7 +446,7 @@
 def test_a_cache_query_is_not_sent_without_room() -> None:
     scheduler, pool = Scheduler(), RunnerPool()
     pool.update(make_entry("i-1", ENGINES))
-    pool.hear_limit("i-1", 1.0, REQUEST, 0.0)
+    pool.apply_limit("i-1", 1.0, REQUEST, 0.0)
     limiter = FakeLimiter()
     limiter.wait = 0.5
     feed = FakeFeed(scheduler)
@@ -480,7 +480,7 @@
 def test_orders_and_reports_have_priority_and_wait_only_briefly_for_room() -> None:
     scheduler, pool = Scheduler(), RunnerPool()
     pool.update(make_entry("i-1", ENGINES))
-    pool.hear_limit("i-1", 1.0, REQUEST, 0.0)
+    pool.apply_limit("i-1", 1.0, REQUEST, 0.0)
     limiter = FakeLimiter()
     limiter.wait = 3.0
     sender = FakeOrders(scheduler)
@@ -697,7 +697,7 @@
 def test_a_runner_without_room_does_not_accept(network: NodeNetwork) -> None:
     runner = Runner(make_entry("i-1"))
     assert runner.accepts(NOW)
-    runner.signals.limit.no_room_until = NOW + 1.0
+    runner.signals.limit.exhausted_until = NOW + 1.0
     assert not runner.accepts(NOW)
     assert runner.accepts(NOW + 1.0)
 
@@ -718,7 +718,7 @@
     leaving, limited = pool.get("i-1"), pool.get("i-2")
     assert leaving is not None and limited is not None
     pool.hear("i-1", RunnerSignals(leaving=True), "request r-0: status 200", 0.0)
-    pool.hear_limit("i-2", 1.0, REQUEST, network.scheduler.now)
+    pool.apply_limit("i-2", 1.0, REQUEST, network.scheduler.now)
     network.at_node(sender, lambda: sender.exchange.leaving(leaving))
     network.at_node(sender, lambda: sender.exchange.limit_changed("i-2", limited.signals.limit))
     network.run(1.0)
--- a/tests/fleet/test_runner_pool.py
+++ b/tests/fleet/test_runner_pool.py
@@ -78,9 +78,9 @@
 def test_a_suspicion_of_a_peer_is_ignored_after_recent_contact() -> None:
     pool, runner = make_pool()
     pool.heard(runner, 1.0)
-    pool.suspected_by_peer(runner, 1.1)
+    pool.apply_peer_suspicion(runner, 1.1)
     assert runner.accepts(1.1)
-    pool.suspected_by_peer(runner, 1.1 + SILENCE_SECONDS)
+    pool.apply_peer_suspicion(runner, 1.1 + SILENCE_SECONDS)
     assert not runner.accepts(1.1 + SILENCE_SECONDS)
 
 
--- a/tests/fleet/test_runner_restarts.py
+++ b/tests/fleet/test_runner_restarts.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from hillstack.core.part_index import PromptPart
-from hillstack.core.runner_ends import RunAtEnd, RunnerEndRecord, Suspicion
+from hillstack.core.runner_ends import RunAtCrash, RunnerCrashRecord, Suspicion
 from hillstack.core.runner_load import OwnAttempt, RunnerLoad
 from hillstack.core.runner_pool import Runner
 from hillstack.daemon.change_log import StoredItem
@@ -212,8 +212,8 @@
 
 
 def test_two_crashes_under_one_name_are_counted_separately() -> None:
-    record = RunnerEndRecord()
-    record.note_end(FIRST, 9.0, {7: RunAtEnd(0.1)}, 9.0)
+    record = RunnerCrashRecord()
+    record.record_crash(FIRST, 9.0, {7: RunAtCrash(0.1)}, 9.0)
     assert record.suspicion(7, 9.5) is Suspicion.SUSPECT
-    record.note_end(SECOND, 9.5, {7: RunAtEnd(0.1)}, 9.5)
+    record.record_crash(SECOND, 9.5, {7: RunAtCrash(0.1)}, 9.5)
     assert record.suspicion(7, 9.5) is Suspicion.FATAL
--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -292,11 +292,11 @@
     assert received.take(BACKOFF, SOURCE, NOW)
     assert not received.take(RunnerSignals(backoff_seconds=1.0), SOURCE, NOW + 0.1)
     assert not received.take(RunnerSignals(), SOURCE, NOW + 0.2)
-    assert received.backoff_left(NOW + 0.2) == pytest.approx(2.8)
+    assert received.remaining_backoff(NOW + 0.2) == pytest.approx(2.8)
     assert received.take(BACKOFF, "later", NOW + 1.0)
-    assert received.backoff_left(NOW + 1.0) == pytest.approx(3.0)
+    assert received.remaining_backoff(NOW + 1.0) == pytest.approx(3.0)
     assert received.backoff_source == "later"
-    assert not received.hold_back(NOW + 4.0)
+    assert not received.restricts_requests(NOW + 4.0)
 
 
 def test_an_answer_that_was_under_way_does_not_end_a_backoff() -> None:
@@ -527,12 +527,12 @@
     pool.update(make_entry("i-1"))
     pool.hear("i-1", LEAVING, SOURCE, NOW)
     runner = listed(pool, "i-1")
-    assert pool.to_hint(NOW) == [runner]
-    pool.hint_leaving(runner, NOW)
-    assert pool.to_hint(NOW + HINT_AGAIN_SECONDS - 0.1) == []
-    assert pool.to_hint(NOW + HINT_AGAIN_SECONDS) == [runner]
+    assert pool.leaving_hints_due(NOW) == [runner]
+    pool.apply_leaving_hint(runner, NOW)
+    assert pool.leaving_hints_due(NOW + HINT_AGAIN_SECONDS - 0.1) == []
+    assert pool.leaving_hints_due(NOW + HINT_AGAIN_SECONDS) == [runner]
     pool.update(make_entry("i-1", draining=True, revision=2))
-    assert pool.to_hint(NOW + HINT_AGAIN_SECONDS) == []
+    assert pool.leaving_hints_due(NOW + HINT_AGAIN_SECONDS) == []
 
 
 def receive_leaving_notice(bench: SignalBench, *runner_ids: str) -> None:
--- a/tests/soak/observations.py
+++ b/tests/soak/observations.py
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunnerEnd:
+class RunnerCrash:
     """The crash of a runner under a fatal request.
 
     Attributes:
@@ -221,7 +221,7 @@
     limits: list[NamedLimit] = field(default_factory=list)
     earlier_builds: list[EarlierBuild] = field(default_factory=list)
     lags: list[tuple[float, float]] = field(default_factory=list)
-    runner_ends: list[RunnerEnd] = field(default_factory=list)
+    runner_ends: list[RunnerCrash] = field(default_factory=list)
     rollouts: dict[str, Rollout] = field(default_factory=dict)
     software: dict[str, str] = field(default_factory=dict)
 
--- a/tests/soak/system.py
+++ b/tests/soak/system.py
@@ -34,7 +34,7 @@
     NamedLimit,
     Observations,
     Run,
-    RunnerEnd,
+    RunnerCrash,
     SignalSent,
     Stop,
 )
@@ -97,7 +97,7 @@
         fatal = fatal_requests.fatal_name_of(request_id)
         if fatal and not self._ended:
             self._ended = True
-            self._observations.runner_ends.append(RunnerEnd(fatal, self.runner_id, now))
+            self._observations.runner_ends.append(RunnerCrash(fatal, self.runner_id, now))
             self._end(self.runner_id)
 
     def note_arrival(self, request_id: str) -> None:
--- a/tests/soak/test_version_promises.py
+++ b/tests/soak/test_version_promises.py
@@ -22,12 +22,12 @@
     Observations,
     Rollout,
     Run,
-    RunnerEnd,
+    RunnerCrash,
 )
 from tests.soak.promises import find_violations
 from tests.soak.software import CANARY_SLACK, FIRST_VERSION, Software, StatusRecordingStore
 
-ENDS = [RunnerEnd("fatal.1", f"i-{number}", 10.0 + number) for number in range(4)]
+ENDS = [RunnerCrash("fatal.1", f"i-{number}", 10.0 + number) for number in range(4)]
 AWAY = Disturbance("node-1", 10.5, 11.0)
 GOOD = Rollout(APPLICATION, "v2", 10.0, 20.0, False, ["running", "complete"], decided_at=18.0)
 BAD = replace(GOOD, is_bad=True, states=["running", "reverted"])
@@ -43,11 +43,11 @@
         (ENDS[:3], [Disturbance("node-1", 1.0, 6.0)], True),
         (ENDS[:3], [Disturbance("i-0", 10.5)], True),
         (ENDS[:4], [AWAY], True),
-        ([*ENDS[:2], RunnerEnd("fatal.2", "i-2", 12.0)], [], False),
+        ([*ENDS[:2], RunnerCrash("fatal.2", "i-2", 12.0)], [], False),
     ],
 )
 def test_a_request_that_ends_too_many_runners_is_found(
-    ends: list[RunnerEnd], troubles: list[Disturbance], is_broken: bool
+    ends: list[RunnerCrash], troubles: list[Disturbance], is_broken: bool
 ) -> None:
     violations = find_violations(Observations(runner_ends=ends, troubles=troubles))
     assert ["fatal.1: ended" in each for each in violations] == [True] * is_broken
@@ -171,7 +171,7 @@
 
 
 def test_varied_requests_may_crash_three_runners_long_after_the_third_crash() -> None:
-    ends = [RunnerEnd("fatal.varied.1", f"i-{number}", 10.0 * number) for number in range(6)]
+    ends = [RunnerCrash("fatal.varied.1", f"i-{number}", 10.0 * number) for number in range(6)]
     assert not find_violations(Observations(runner_ends=ends))
-    more = [*ends, RunnerEnd("fatal.varied.1", "i-9", 70.0)]
+    more = [*ends, RunnerCrash("fatal.varied.1", "i-9", 70.0)]
     assert find_violations(Observations(runner_ends=more))
--- a/tests/soak/version_promises.py
+++ b/tests/soak/version_promises.py
@@ -7,7 +7,7 @@
 
 from tests.fleet.builders import APPLICATION, ENGINES
 from tests.soak.fatal_requests import is_varied
-from tests.soak.observations import NODE_PREFIX, STORE, Observations, Rollout, RunnerEnd
+from tests.soak.observations import NODE_PREFIX, STORE, Observations, Rollout, RunnerCrash
 from tests.soak.software import CANARY_SHARE, CANARY_SLACK, is_decided
 from tests.soak.timed_promises import CONTACT_SECONDS
 
@@ -21,7 +21,7 @@
 
 def runners_ended(seen: Observations) -> Iterator[str]:
     """Return the fatal requests that crashed more runners than allowed."""
-    by_request: dict[str, list[RunnerEnd]] = defaultdict(list)
+    by_request: dict[str, list[RunnerCrash]] = defaultdict(list)
     for end in seen.runner_ends:
         by_request[end.fatal].append(end)
     for fatal, ends in by_request.items():
@@ -35,7 +35,7 @@
             yield f"{fatal}: ended {len(ends)} runners: {times}"
 
 
-def _find_late_ends(fatal: str, ends: list[RunnerEnd]) -> Iterator[str]:
+def _find_late_ends(fatal: str, ends: list[RunnerCrash]) -> Iterator[str]:
     """Return a violation if too many tries crashed runners long after the third crash."""
     if len(ends) <= MAX_ENDS_WITH_DISTURBED_NODES:
         return
--- a/tests/stateful/test_crash_counts.py
+++ b/tests/stateful/test_crash_counts.py
@@ -53,7 +53,7 @@
         if counts.is_bounded(NAME):
             if not counts.may_try(NAME, node, self.now):
                 return
-            counts.note_trial(NAME, self.now)
+            counts.record_trial(NAME, self.now)
             self._broadcast(node, None)
         crash = CrashedRun(
             f"i-{len(self.crashes) + len(self.pending)}", self.now, self.now + CRASH_SECONDS
@@ -115,7 +115,7 @@
         if message.crash is not None:
             counts.note(NAME, message.crash)
         else:
-            counts.note_trial(NAME, self.now)
+            counts.record_trial(NAME, self.now)
 
 
 TestCountsInAnyOrder = CountsInAnyOrder.TestCase
--- a/tests/stateful/test_runner_restarts.py
+++ b/tests/stateful/test_runner_restarts.py
@@ -168,7 +168,7 @@
                 process = runner.entry.started_ms
                 assert runner.weights_after_load(MODEL) // WEIGHTS_OF_PROCESS == process
                 assert runner.running(self.now) in (0, process)
-                parts = state.index.parts_of(runner.runner_id, 1)
+                parts = state.index.cached_parts_of(runner.runner_id, 1)
                 assert {part.part_id for _, part in parts} <= {f"part-{process}"}
 
     @invariant()
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -32,7 +32,7 @@
 from hillstack.core.placement.kept_parts import Surroundings
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.relay_choice import DIRECT_NODES
-from hillstack.core.routing_table import EngineProfile, KeptCacheStore
+from hillstack.core.routing_table import EngineProfile, KvCacheStore
 from hillstack.core.runner_load import RunnerLoad
 from hillstack.core.runner_pool import RunnerEntry, RunnerPool
 from hillstack.core.store_revision import StoreRevision
@@ -187,7 +187,7 @@
 
 def _choice(pool: RunnerPool, rng: Random, topology: Topology) -> Callable[[], object]:
     index = PartIndex()
-    store = KeptCacheStore("10.9.9.9:1", "zone-0", 1_000_000, 200_000.0)
+    store = KvCacheStore("10.9.9.9:1", "zone-0", 1_000_000, 200_000.0)
     index.set_capacity(store.address, store.capacity_tokens)
     runners = pool.all()
     for runner in runners:
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -181,7 +181,7 @@
     Mutation(
         "every node watches every holder",
         "daemon/cache_follower.py",
-        "watched = self._assignment.watched_by(self._state.node_id)",
+        "watched = self._assignment.holders_watched_by(self._state.node_id)",
         "watched = list(holders)",
     ),
     Mutation(
@@ -675,7 +675,7 @@
     Mutation(
         "a backoff that a runner asks for is passed over",
         "core/runner_pool.py",
-        "return max(self.suspected_until, self.loading_until, self.signals.asked_until)",
+        "return max(self.suspected_until, self.loading_until, self.signals.unavailable_until)",
         "return max(self.suspected_until, self.loading_until)",
     ),
     Mutation(
@@ -766,8 +766,8 @@
     Mutation(
         "a runner without room is asked for again at once",
         "serving/runner_limits.py",
-        "limit.no_room_until = self._clock() + min(wait, LONGEST_PAUSE_SECONDS)",
-        "limit.no_room_until = self._clock() + 0.0001",
+        "limit.exhausted_until = self._clock() + min(wait, LONGEST_PAUSE_SECONDS)",
+        "limit.exhausted_until = self._clock() + 0.0001",
     ),
     Mutation(
         "a request waits for a holder that says nothing",
@@ -916,7 +916,7 @@
     Mutation(
         "trials beyond the bound are not counted",
         "core/crash_counts.py",
-        "spent = max(crashes.sent_late(), crashes.trials)",
+        "spent = max(crashes.sends_beyond_bound(), crashes.trials)",
         "spent = 0",
     ),
     Mutation(
--- a/tools/notice_cost.py
+++ b/tools/notice_cost.py
@@ -16,7 +16,7 @@
 from hillstack.core.relay_choice import RelayChoice
 from hillstack.core.routing_table import (
     EngineProfile,
-    KeptCacheStore,
+    KvCacheStore,
     RequestLimits,
     RoutingTable,
     Service,
@@ -45,7 +45,7 @@
 NODES = 79
 RUNNERS = 45
 ZONES = ("zone-0", "zone-1", "zone-2")
-STORE = KeptCacheStore("10.9.9.9:1", "zone-1", 2_531_133, 410_000.0)
+STORE = KvCacheStore("10.9.9.9:1", "zone-1", 2_531_133, 410_000.0)
 ENGINE = EngineProfile(16, 86_721, 163_840.0, 1_100_000.0, ("model",))
 SALT = "shared|model|3"
 PROMPTS = 4
