--- a/src/hillstack/core/bucket_holders.py
+++ b/src/hillstack/core/bucket_holders.py
@@ -52,7 +52,7 @@
             return []
         return self._choice.relays_of_others(group, now)
 
-    def note_silent(self, node_id: str, now: float) -> None:
+    def record_unreachable(self, node_id: str, now: float) -> None:
         """Record that a holder did not answer."""
         self._skipped_until[node_id] = now + SKIP_SECONDS
 
--- a/src/hillstack/core/doubtful_entries.py
+++ b/src/hillstack/core/doubtful_entries.py
@@ -18,7 +18,7 @@
 LAPSE_SECONDS = 5.0
 
 
-class DoubtfulEntries:
+class UnconfirmedEntries:
     """The entries that are withheld from use, by their names in the directory.
 
     Args:
@@ -29,7 +29,7 @@
         self._pool = pool
         self._withheld: dict[str, tuple[RunnerEntry, float]] = {}
 
-    def keep_back(self, entry: RunnerEntry, now: float) -> bool:
+    def withhold(self, entry: RunnerEntry, now: float) -> bool:
         """Withhold an entry if its runner may have stopped; return whether it is withheld."""
         name = entry.directory_name
         withheld, _ = self._withheld.get(name, (None, 0.0))
--- a/src/hillstack/core/node_directory.py
+++ b/src/hillstack/core/node_directory.py
@@ -35,7 +35,7 @@
     revision: StoreRevision = NO_REVISION
     link_megabits: float = 0.0
 
-    def is_same_but_revision(self, other: NodeEntry) -> bool:
+    def equals_except_revision(self, other: NodeEntry) -> bool:
         """Return whether another entry is equal except for its revision."""
         same_place = (self.address, self.zone) == (other.address, other.zone)
         return same_place and self.link_megabits == other.link_megabits
@@ -104,7 +104,7 @@
         known = self._nodes.get(node.node_id)
         self._nodes[node.node_id] = node
         self._unlisted.pop(node.node_id, None)
-        if known is None or not known.is_same_but_revision(node):
+        if known is None or not known.equals_except_revision(node):
             self._changed()
 
     def unlist(self, node_id: str, now: float) -> bool:
@@ -115,7 +115,7 @@
         self._changed()
         return True
 
-    def note_heard(self, node_id: str, now: float) -> None:
+    def record_contact(self, node_id: str, now: float) -> None:
         """Record a message from a node, which may have been listed after the last read of the list.
 
         During a store outage the first node of a new deployment may know only itself, while the
--- a/src/hillstack/core/order_age.py
+++ b/src/hillstack/core/order_age.py
@@ -7,7 +7,7 @@
 
 # Assumed age of an order when a node first sees it: the interval of one poll of the store plus the
 # interval of one check for new orders.
-HEARD_AFTER_SECONDS = 0.75
+FIRST_SEEN_AGE_SECONDS = 0.75
 
 
 class OrderAge:
@@ -20,7 +20,7 @@
     """
 
     def __init__(self, seen_at: float) -> None:
-        self._ordered_at = seen_at - HEARD_AFTER_SECONDS
+        self._ordered_at = seen_at - FIRST_SEEN_AGE_SECONDS
         self._record_revision: StoreRevision | None = None
 
     @property
@@ -28,7 +28,7 @@
         """Estimated time of the order on this node's clock; updates can only make it earlier."""
         return self._ordered_at
 
-    def note_told(self, ordered_at: float) -> None:
+    def apply_peer_age(self, ordered_at: float) -> None:
         """Apply the time of the order according to the oldest age that peers reported.
 
         A record contains the age at the time of its writing, and a starting node reads the record
--- a/src/hillstack/core/own_outcomes.py
+++ b/src/hillstack/core/own_outcomes.py
@@ -22,7 +22,7 @@
 from hillstack.messages.rollout_reports import OutcomeCounts
 
 # Connections broken by a network failure are noticed within some tenths of a second of each other.
-CUT_SECONDS = 0.5
+DISCONNECT_WINDOW_SECONDS = 0.5
 # A network failure breaks connections to many runners; two may break together by chance.
 MIN_BROKEN_RUNNERS = 3
 # Greatest number of broken attempts whose cause is undecided. Beyond it the oldest one counts as a
@@ -57,7 +57,7 @@
     return min(DELAY_BUCKETS - 1, max(0, place))
 
 
-class OwnOutcomes:
+class LocalOutcomes:
     """Outcome counts of one node for one rollout order."""
 
     def __init__(self) -> None:
@@ -76,20 +76,20 @@
             self._count(self._pending.popleft()[0])
 
     def settle(self, now: float, excused: Set[str] = frozenset()) -> list[AttemptOutcome]:
-        """Decide the broken attempts of more than ``CUT_SECONDS`` ago; return those that count.
+        """Decide the broken attempts of more than ``DISCONNECT_WINDOW_SECONDS`` ago; return those that count.
 
         Args:
             now: Time on the clock of ``add``.
             excused: Runners whose crash is not attributed to their version.
         """
         counted = []
-        while self._pending and now - self._pending[0][1] >= CUT_SECONDS:
+        while self._pending and now - self._pending[0][1] >= DISCONNECT_WINDOW_SECONDS:
             outcome, at = self._pending.popleft()
             self._decided.append((outcome, at))
             if outcome.runner_id not in excused and not self._was_network_failure(at):
                 self._count(outcome)
                 counted.append(outcome)
-        while self._decided and now - self._decided[0][1] > 2 * CUT_SECONDS:
+        while self._decided and now - self._decided[0][1] > 2 * DISCONNECT_WINDOW_SECONDS:
             self._decided.popleft()
         return counted
 
@@ -112,7 +112,7 @@
         around = [
             outcome
             for outcome, other_at in (*self._decided, *self._pending)
-            if abs(other_at - at) <= CUT_SECONDS
+            if abs(other_at - at) <= DISCONNECT_WINDOW_SECONDS
         ]
         runners = {outcome.runner_id for outcome in around}
         versions = {outcome.key.version for outcome in around}
--- a/src/hillstack/core/relay_choice.py
+++ b/src/hillstack/core/relay_choice.py
@@ -60,7 +60,7 @@
         self._received_at[node_id] = now
         self._unreachable_until.pop(node_id, None)
 
-    def pass_over(self, node_id: str, now: float) -> None:
+    def mark_unreachable(self, node_id: str, now: float) -> None:
         """Record that a node did not answer.
 
         The node is not used as a relay for ``UNREACHABLE_SECONDS``, or until it sends a datagram.
@@ -91,21 +91,21 @@
         """Record a datagram from the relay of a zone in this node's region."""
         self._zones_received_at[zone] = now
 
-    def hears_zone(self, zone: str, now: float) -> bool:
+    def is_zone_relay_reachable(self, zone: str, now: float) -> bool:
         """Return whether the relay of a zone in this node's region sent a datagram lately."""
         return now - self._zones_received_at.get(zone, float("-inf")) < ZONE_TIMEOUT_SECONDS
 
-    def heard_speaker(self, region: str, node_id: str, now: float) -> None:
+    def record_border_relay(self, region: str, node_id: str, now: float) -> None:
         """Record a datagram from the border relay of another region."""
         self._border_relays[region] = node_id, now
 
-    def speaks_for_region(self, zone: str, now: float) -> bool:
+    def sends_for_region(self, zone: str, now: float) -> bool:
         """Return whether the relay of a zone in this node's region is the region's border relay."""
         for other in self.region_group(self.topology.region).zones:
             if other == zone:
                 return True
             self._zones_received_at.setdefault(other, now)
-            if self.hears_zone(other, now):
+            if self.is_zone_relay_reachable(other, now):
                 return False
         return True
 
@@ -136,7 +136,7 @@
         """Return the relays of all zones, without that of ``zone`` and this node."""
         return self._relays_of(self._directory.zones(), zone, now)
 
-    def relays_near(self, zone: str, now: float) -> list[NodeEntry]:
+    def relays_in_region(self, zone: str, now: float) -> list[NodeEntry]:
         """Return the relays of this node's region, without that of ``zone`` and this node."""
         is_near = self.topology.is_own_region
         return self._relays_of((z for z in self._directory.zones() if is_near(z)), zone, now)
@@ -160,7 +160,7 @@
         reachable = (node_id for node_id in order if self._is_reachable(node_id, now))
         return next(reachable, order[0] if order else None)
 
-    def before_this(self, group: NodeGroup, now: float) -> list[str]:
+    def preceding_nodes(self, group: NodeGroup, now: float) -> list[str]:
         """Return the reachable nodes that precede this node in a group's relay order."""
         order = self._directory.relay_order(group)
         place = order.index(self._node_id) if self._node_id in order else len(order)
@@ -187,5 +187,5 @@
             return True
         if now - max(since, self._received_at.get(node_id, since)) < SILENT_SECONDS:
             return True
-        self.pass_over(node_id, now)
+        self.mark_unreachable(node_id, now)
         return False
--- a/src/hillstack/core/rollout_evidence.py
+++ b/src/hillstack/core/rollout_evidence.py
@@ -23,7 +23,7 @@
 # deployment, each restarted a few times within a rollout. Counts of further processes are ignored.
 MOST_PROCESSES = 2_000
 # Greatest number of outcome keys; outcomes with further keys are ignored.
-MOST_KEYS = 256
+MAX_OUTCOME_KEYS = 256
 # A node that has sent no report for this long is not counted as a reporter.
 REPORTER_SECONDS = 30.0
 # A process that has sent no report for this long, while another process of its node reports, has
@@ -154,7 +154,7 @@
         key = OutcomeKey(counts.version, counts.route, counts.busy)
         total = self._totals.get(key)
         if total is None:
-            if len(self._totals) >= MOST_KEYS:
+            if len(self._totals) >= MAX_OUTCOME_KEYS:
                 return
             total = self._totals[key] = OutcomeCounter()
         known = reported.setdefault(key, OutcomeCounter())
--- a/src/hillstack/core/software_rollouts.py
+++ b/src/hillstack/core/software_rollouts.py
@@ -183,7 +183,7 @@
         del self._orders[service]
         return True
 
-    def take_record(self, record: RolloutRecord) -> bool:
+    def apply_record(self, record: RolloutRecord) -> bool:
         """Apply a record; return whether it replaced the known one."""
         service = record.service
         known = self._records.get(service)
@@ -276,13 +276,13 @@
             return True
         return service in self._untrusted_counts
 
-    def left_undecided(self, service: str) -> frozenset[str]:
+    def untrusted_targets(self, service: str) -> frozenset[str]:
         """Return the targets of earlier orders that were not trusted when those orders ended."""
         if service not in self._untrusted_counts:
             return frozenset()
         return frozenset(version for of, version in self._untrusted if of == service)
 
-    def may_finish_shift(self, service: str, version: str) -> bool:
+    def may_serve_during_shift(self, service: str, version: str) -> bool:
         """Return whether runners of a closed version may still get requests during the shift.
 
         This applies to the version that traffic moves away from, not to a rejected one.
--- a/src/hillstack/core/store_era.py
+++ b/src/hillstack/core/store_era.py
@@ -32,7 +32,7 @@
         """Register a handler that is called with the source of each new era except the first."""
         self._on_new.append(handler)
 
-    def handle_fallen(self, handler: Callable[[], None]) -> None:
+    def handle_decreased(self, handler: Callable[[], None]) -> None:
         """Register a handler that is called when new answers of the store contain a lower era."""
         self._on_decreased.append(handler)
 
@@ -53,7 +53,7 @@
         for handler in self._on_new:
             handler(source)
 
-    def of_answer(
+    def era_of_answer(
         self, reported: int | None, era_at_request: int, *, may_be_old: bool
     ) -> int | None:
         """Return the era of an answer of the store; None if that era has ended.
--- a/src/hillstack/core/token_buckets.py
+++ b/src/hillstack/core/token_buckets.py
@@ -216,7 +216,7 @@
         bucket.level -= given
         return given
 
-    def put_back(
+    def end_lease(
         self, tenant: str, limit: TenantLimit, node_id: str, tokens: float, now: float
     ) -> None:
         """End a node's lease and add its unused tokens to the bucket."""
--- a/src/hillstack/core/token_leases.py
+++ b/src/hillstack/core/token_leases.py
@@ -7,7 +7,7 @@
 # Most time that a node contributes at once: slightly more than the interval between its messages.
 # Older time is lost. Time that nodes have not contributed yet adds to the bursts in the worst
 # window, here six tenths of a second of each limit's rate.
-MAX_HANDED_SECONDS = 0.6
+MAX_CONTRIBUTED_SECONDS = 0.6
 # Averaging time of a node's usage, about the interval between two renewals.
 USAGE_WINDOW_SECONDS = 0.5
 # A node leases tokens ahead for its usage of this time, two renewals.
@@ -48,11 +48,11 @@
         self._leases: dict[str, _Lease] = {}
 
     def hand_over(self, now: float) -> float:
-        """Return the time since the last contribution, limited to ``MAX_HANDED_SECONDS``.
+        """Return the time since the last contribution, limited to ``MAX_CONTRIBUTED_SECONDS``.
 
         The time counts as contributed from now on, even if the message is lost.
         """
-        seconds = min(MAX_HANDED_SECONDS, max(0.0, now - self._contributed_until))
+        seconds = min(MAX_CONTRIBUTED_SECONDS, max(0.0, now - self._contributed_until))
         self._contributed_until = now
         return seconds
 
@@ -71,7 +71,7 @@
         lease.ends_at = min(lease.ends_at, ends_at) if lease.tokens > 0 else ends_at
         lease.tokens += tokens
 
-    def take_out(self, tenant: str, now: float) -> float:
+    def withdraw_tokens(self, tenant: str, now: float) -> float:
         """Remove and return all tokens of a tenant."""
         lease = self._valid(tenant, now)
         tokens, lease.tokens = lease.tokens, 0.0
--- a/src/hillstack/core/weights_rollout.py
+++ b/src/hillstack/core/weights_rollout.py
@@ -94,7 +94,7 @@
 
     def _is_due(self, runner: Runner, now: float) -> bool:
         version = runner.weights_version(self._model)
-        return now >= self._versions.named_after(self._model, version) + START_DELAY_SECONDS
+        return now >= self._versions.bound_start(self._model, version) + START_DELAY_SECONDS
 
     def _is_urgent(self, runner: Runner, now: float) -> bool:
         return self._deadline(runner) - now < URGENT_SECONDS
--- a/src/hillstack/core/weights_versions.py
+++ b/src/hillstack/core/weights_versions.py
@@ -144,7 +144,7 @@
             if now - entry.acknowledged_after < self.grace
         ]
 
-    def lacks_naming(self, now: float) -> bool:
+    def lacks_announcement_time(self, now: float) -> bool:
         """Return whether the time of announcement is unknown for any version not yet in effect."""
         return any(
             entry.acknowledged_after == -math.inf and now < entry.not_before + self.grace
@@ -183,7 +183,7 @@
             allowed = announcement.version
         return allowed
 
-    def named_after(self, model: str, version: int) -> float:
+    def bound_start(self, model: str, version: int) -> float:
         """Return from when the bound of the next version above ``version`` counts.
 
         The result is infinite if there is no later version.
@@ -194,7 +194,7 @@
     def superseded_at(self, model: str, version: int) -> float:
         """Return when the next version above ``version`` was announced, at the earliest.
 
-        The result is infinite if there is no later version. Unlike the result of ``named_after`` it
+        The result is infinite if there is no later version. Unlike the result of ``bound_start`` it
         does not move when bounds restart after an outage.
         """
         following = self.superseding(model, version)
@@ -202,7 +202,7 @@
 
     def deadline(self, model: str, version: int) -> float:
         """Return when runners with ``version`` must no longer be used."""
-        return self.named_after(model, version) + self.grace
+        return self.bound_start(model, version) + self.grace
 
     def superseding(self, model: str, version: int) -> Announcement | None:
         """Return the next announced version above ``version``, or None."""
--- a/src/hillstack/daemon/limit_client.py
+++ b/src/hillstack/daemon/limit_client.py
@@ -183,7 +183,7 @@
                 self._holders.note_answer(node.node_id)
                 self._settle(waiting, answer)
                 return
-            self._holders.note_silent(node.node_id, self._clock())
+            self._holders.record_unreachable(node.node_id, self._clock())
             logger.info("no answer about limits", extra={"peer": node.node_id})
         self._local_number += 1
         question = self._question(waiting, self._local_number)
@@ -220,7 +220,7 @@
         tokens = [
             TenantTokens(
                 tenant,
-                self._leases.take_out(tenant, now),
+                self._leases.withdraw_tokens(tenant, now),
                 needs.get(tenant, []),
                 self._leases.wanted(tenant, now),
                 self._scope.source.reported_rate(tenant),
--- a/src/hillstack/daemon/limit_holder.py
+++ b/src/hillstack/daemon/limit_holder.py
@@ -146,7 +146,7 @@
             limit = self._limit(entry.tenant, entry.rate)
             if limit is None:
                 continue
-            self._buckets.put_back(entry.tenant, limit, question.node_id, entry.returned, now)
+            self._buckets.end_lease(entry.tenant, limit, question.node_id, entry.returned, now)
             if not entry.needs:
                 continue
             cost = sum(need.cost for need in entry.needs)
--- a/src/hillstack/daemon/notice_relay.py
+++ b/src/hillstack/daemon/notice_relay.py
@@ -198,7 +198,7 @@
         return [node.address for node in nodes if node.node_id != self._state.node_id]
 
     def _relay_addresses(self, now: float) -> list[str]:
-        return [node.address for node in self._choice.relays_near(self._zone, now)]
+        return [node.address for node in self._choice.relays_in_region(self._zone, now)]
 
     def _schedule(self, *, urgent: bool) -> None:
         if urgent:
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -426,7 +426,7 @@
     def _on_region_batch(self, payload: bytes, peer: str) -> None:
         batch = unpack(payload, RelayBatch, peer)
         now = self._clock()
-        self._choice.heard_speaker(batch.region, batch.relay_id, now)
+        self._choice.record_border_relay(batch.region, batch.relay_id, now)
         notices = self._apply_batch(batch, peer)
         self._relay.forward_region_batch(batch, now, urgent=_is_urgent(notices))
 
@@ -449,7 +449,7 @@
 
     def _apply_notice(self, notice: NodeNotice, now: float) -> None:
         """Apply a notice except for its loads, and record that its sender is alive."""
-        self._state.nodes.note_heard(notice.node_id, now)
+        self._state.nodes.record_contact(notice.node_id, now)
         is_new = self._liveness.heard(notice.node_id, notice.incarnation, now)
         self._reader.take(notice, now)
         if is_new:
--- a/src/hillstack/daemon/region_crossing.py
+++ b/src/hillstack/daemon/region_crossing.py
@@ -102,7 +102,7 @@
 
     def is_border_relay(self, now: float) -> bool:
         """Return whether this node is the border relay of its region."""
-        return self._is_relay(now) and self._choice.speaks_for_region(self._zone, now)
+        return self._is_relay(now) and self._choice.sends_for_region(self._zone, now)
 
     def add_loads(self, zone: str, loads: Iterable[LoadNotice], now: float) -> None:
         """Record the loads that a zone of this region has on runners."""
@@ -199,7 +199,7 @@
     def _add_zones(self, outbox: RelayOutbox, now: float) -> None:
         """Report which zones of this region are alive."""
         for zone in self._choice.region_group(self._choice.topology.region).zones:
-            if zone == self._zone or self._choice.hears_zone(zone, now):
+            if zone == self._zone or self._choice.is_zone_relay_reachable(zone, now):
                 outbox.add_zone(zone)
 
     def _control_notice(self, notice: NodeNotice, now: float) -> NodeNotice | None:
--- a/src/hillstack/daemon/rollout_decider.py
+++ b/src/hillstack/daemon/rollout_decider.py
@@ -217,7 +217,7 @@
         opinion = self._observations.opinion(self._service)
         evidence = self._observations.evidence(self._service)
         if evidence is not None:
-            watch.age.note_told(evidence.ordered_at)
+            watch.age.apply_peer_age(evidence.ordered_at)
         return RolloutView(
             order=watch.order,
             record=self._record(),
@@ -229,7 +229,7 @@
             live_nodes=self._live_nodes(),
             places=self._places(watch, now),
             apply_seconds=self._apply_seconds,
-            passed_over=self._state.rollouts.left_undecided(self._service),
+            passed_over=self._state.rollouts.untrusted_targets(self._service),
             has_lost_record=self._state.rollouts.has_lost_record(self._service),
         )
 
--- a/src/hillstack/daemon/store_sync.py
+++ b/src/hillstack/daemon/store_sync.py
@@ -176,7 +176,7 @@
         self._history_lost = False
         self._restore_event = asyncio.Event()
         state.store_era.handle_new(self._on_new_era)
-        state.store_era.handle_fallen(self.read_anew)
+        state.store_era.handle_decreased(self.read_anew)
 
     async def run(self) -> None:
         """Poll and apply changes until cancelled."""
@@ -282,7 +282,7 @@
     async def _announce_if_missing(self) -> None:
         """Write this node's entry if it is missing from the store, differs or was removed."""
         known = self._state.nodes.get(self._state.node_id)
-        if known is not None and known.is_same_but_revision(self._own):
+        if known is not None and known.equals_except_revision(self._own):
             return
         own = self._own
         revision = await self._store.announce_node(own)
@@ -335,7 +335,7 @@
     def _peers_before_this(self, groups: list[NodeGroup]) -> list[str]:
         """Return the first nodes of the nearest group that has nodes before this one."""
         now = self._clock()
-        before = (self._choice.before_this(group, now) for group in groups)
+        before = (self._choice.preceding_nodes(group, now) for group in groups)
         return next((nodes[:MAX_PEERS_ASKED] for nodes in before if nodes), [])
 
     async def _poll_again(self, revision: StoreRevision) -> StoreRevision:
@@ -372,7 +372,7 @@
         for node_id in node_ids:
             relayed = await self._peers.ask(node_id, revision)
             if relayed is None:
-                self._choice.pass_over(node_id, self._clock())
+                self._choice.mark_unreachable(node_id, self._clock())
             elif relayed.is_complete and self._is_fresh(relayed):
                 self._note_source(node_id)
                 return relayed
@@ -392,7 +392,7 @@
         that poll peers get the times with each answer, but the first node of a group polls the
         store only.
         """
-        if not self._state.versions.lacks_naming(self._clock()):
+        if not self._state.versions.lacks_announcement_time(self._clock()):
             return
         others = self._choice.others(self._groups()[-1], self._clock())
         for node_id in self._rng.sample(others, min(MAX_PEERS_ASKED, len(others))):
--- a/src/hillstack/platform/store.py
+++ b/src/hillstack/platform/store.py
@@ -394,7 +394,7 @@
                 note_silence(self._session, self._address)
             text = str(error) or type(error).__name__
             raise PlatformOutcomeUnknownError(text, step=step, peer=self._address) from error
-        era = self._era.of_answer(named_era, era_before_call, may_be_old=may_be_old)
+        era = self._era.era_of_answer(named_era, era_before_call, may_be_old=may_be_old)
         if era is None:
             raise OutdatedAnswerError(
                 "answer from an earlier store era", step=step, peer=self._address
--- a/src/hillstack/serving/fleet_state.py
+++ b/src/hillstack/serving/fleet_state.py
@@ -7,7 +7,7 @@
 
 from hillstack.core.cache_watch import CacheHolder
 from hillstack.core.crash_counts import CrashCounts
-from hillstack.core.doubtful_entries import DoubtfulEntries
+from hillstack.core.doubtful_entries import UnconfirmedEntries
 from hillstack.core.freshness import Freshness
 from hillstack.core.node_directory import NodeDirectory, NodeEntry
 from hillstack.core.part_index import PartIndex
@@ -112,7 +112,7 @@
         self.budget = budget
         self.table: RoutingTable | None = None
         self.pool = RunnerPool()
-        self._doubtful_entries = DoubtfulEntries(self.pool)
+        self._doubtful_entries = UnconfirmedEntries(self.pool)
         self.runner_ends = RunnerCrashRecord()
         self.crash_counts = CrashCounts()
         self.probations = Probations()
@@ -430,7 +430,7 @@
 
     def _apply_rollout_record(self, record: RolloutRecord) -> None:
         before = self.rollouts.record(record.service)
-        if not self.rollouts.take_record(record) or _is_same_stage(before, record):
+        if not self.rollouts.apply_record(record) or _is_same_stage(before, record):
             return
         fields = {
             "service": record.service,
@@ -460,7 +460,7 @@
             # A runner process always writes its start time, so something else wrote this entry.
             self._apply_removal(entry.directory_name, entry.revision, now)
             return
-        if not self._doubtful_entries.keep_back(entry, now):
+        if not self._doubtful_entries.withhold(entry, now):
             self._apply_entry(entry, now)
 
     def _apply_entry(self, entry: RunnerEntry, now: float) -> None:
--- a/src/hillstack/serving/rollout_observer.py
+++ b/src/hillstack/serving/rollout_observer.py
@@ -16,7 +16,7 @@
 from typing import Protocol
 
 from hillstack.core.order_age import OrderAge
-from hillstack.core.own_outcomes import AttemptOutcome, OwnOutcomes
+from hillstack.core.own_outcomes import AttemptOutcome, LocalOutcomes
 from hillstack.core.rollout_evidence import OutcomeKey, OutcomeTotals, RolloutEvidence
 from hillstack.core.rollout_judge import NO_OPINION, RolloutOpinion, Verdict, opinion_of
 from hillstack.core.rollout_plan import is_decided
@@ -98,7 +98,7 @@
     """
 
     evidence: RolloutEvidence = field(default_factory=RolloutEvidence)
-    outcomes: OwnOutcomes = field(default_factory=OwnOutcomes)
+    outcomes: LocalOutcomes = field(default_factory=LocalOutcomes)
     judge: RolloutJudge | None = None
     age: OrderAge | None = None
     median_seconds: float | None = None
@@ -357,7 +357,7 @@
         record = self._state.rollouts.record(order.service)
         if record is not None and is_of_order(record, order):
             observed.age.note(record, now)
-        observed.age.note_told(observed.evidence.ordered_at)
+        observed.age.apply_peer_age(observed.evidence.ordered_at)
         return observed.age.ordered_at
 
     def _count_old_running(self, order: RolloutOrder) -> int:
--- a/src/hillstack/serving/version_choice.py
+++ b/src/hillstack/serving/version_choice.py
@@ -181,7 +181,9 @@
         rollouts = self._state.rollouts
         if rollouts.stage(service) is RolloutStage.SHIFTING:
             return [
-                r for r in groups.closed if rollouts.may_finish_shift(service, r.entry.software)
+                r
+                for r in groups.closed
+                if rollouts.may_serve_during_shift(service, r.entry.software)
             ]
         sole_version = self._sole_version(service, now)
         return [
--- a/tests/fleet/test_peer_exchange.py
+++ b/tests/fleet/test_peer_exchange.py
@@ -238,7 +238,7 @@
     other_state.apply(WeightsNamed(MODEL, 2), known)
     exchange.repeat_loads()
     deliver(transport, other)
-    assert other_state.versions.named_after(MODEL, 1) == known
+    assert other_state.versions.bound_start(MODEL, 1) == known
 
 
 def test_the_first_node_that_reads_a_version_reports_it_at_once() -> None:
@@ -252,7 +252,7 @@
     deliver(transport, receiver)
     assert second.versions.newest(MODEL) == 7
     # It counts from this node's own proof, because the delay of the notice is unknown.
-    assert second.versions.named_after(MODEL, 6) == 98.0
+    assert second.versions.bound_start(MODEL, 6) == 98.0
     assert not answers.sent  # Only a node that read it from the store reports it.
 
 
@@ -267,19 +267,19 @@
     exchange.repeat_loads()
     deliver(transport, other)
     assert other_state.versions.deadline(MODEL, 1) == pytest.approx(102.6)
-    assert other_state.versions.named_after(MODEL, 1) == 95.0
+    assert other_state.versions.bound_start(MODEL, 1) == 95.0
 
 
 def test_an_outage_seen_by_one_node_does_not_move_the_bounds_of_others() -> None:
     state, exchange, transport = make_node()
     state.apply(WeightsNamed(MODEL, 2), 95.0)
     state.store_regained(99.0)
-    assert state.versions.named_after(MODEL, 1) == 99.0
+    assert state.versions.bound_start(MODEL, 1) == 99.0
     other_state, other, _ = make_node()
     other_state.apply(WeightsNamed(MODEL, 2), 95.0)
     exchange.repeat_loads()
     deliver(transport, other)
-    assert other_state.versions.named_after(MODEL, 1) == 95.0
+    assert other_state.versions.bound_start(MODEL, 1) == 95.0
 
 
 def test_placements_are_sent_sooner_than_loads_and_with_them() -> None:
--- a/tests/fleet/test_restored_beliefs.py
+++ b/tests/fleet/test_restored_beliefs.py
@@ -141,7 +141,7 @@
 
 
 def test_a_verdict_that_the_store_has_lost_is_written_again(rollouts: SoftwareRollouts) -> None:
-    rollouts.take_record(REVERTED)
+    rollouts.apply_record(REVERTED)
     rollouts.retain_records(set(), rev(70, era=4))
     again = replace(ORDER, revision=rev(81, era=4))
     rollouts.take_order(again)
@@ -149,12 +149,12 @@
     assert rollouts.has_lost_record(SERVICE)
     lost = rollouts.record(SERVICE)
     assert lost is not None and lost.revision == NO_REVISION
-    rollouts.take_record(replace(lost, revision=rev(90, era=4)))
+    rollouts.apply_record(replace(lost, revision=rev(90, era=4)))
     assert not rollouts.has_lost_record(SERVICE)
 
 
 def test_an_earlier_stage_in_the_copy_does_not_undo_a_revert(rollouts: SoftwareRollouts) -> None:
-    rollouts.take_record(REVERTED)
+    rollouts.apply_record(REVERTED)
     rollouts.take_order(replace(ORDER, revision=rev(83, era=4)))
     canary = replace(
         REVERTED,
@@ -163,7 +163,7 @@
         rejected=(),
         revision=rev(84, era=4),
     )
-    rollouts.take_record(canary)
+    rollouts.apply_record(canary)
     assert rollouts.stage(SERVICE) is RolloutStage.REVERTED
     assert rollouts.has_lost_record(SERVICE)
     retained = rollouts.record(SERVICE)
@@ -172,7 +172,7 @@
 
 def test_another_order_after_a_restore_is_another_rollout(rollouts: SoftwareRollouts) -> None:
     rollouts.condemn(SERVICE, ORDER.identity)
-    rollouts.take_record(REVERTED)
+    rollouts.apply_record(REVERTED)
     assert rollouts.take_order(replace(ORDER, target="v3", revision=rev(80, era=4)))
     started = replace(
         REVERTED,
@@ -181,7 +181,7 @@
         stage=RolloutStage.CANARY,
         revision=rev(82, era=4),
     )
-    assert rollouts.take_record(started)
+    assert rollouts.apply_record(started)
     assert rollouts.access(SERVICE, "v3") is VersionAccess.CANARY
     assert rollouts.access(SERVICE, "v2") is VersionAccess.CLOSED
 
--- a/tests/fleet/test_rollout_observer.py
+++ b/tests/fleet/test_rollout_observer.py
@@ -9,11 +9,16 @@
 
 import pytest
 
-from hillstack.core.order_age import HEARD_AFTER_SECONDS
-from hillstack.core.own_outcomes import CUT_SECONDS, AttemptOutcome, OwnOutcomes, delay_bucket
+from hillstack.core.order_age import FIRST_SEEN_AGE_SECONDS
+from hillstack.core.own_outcomes import (
+    DISCONNECT_WINDOW_SECONDS,
+    AttemptOutcome,
+    LocalOutcomes,
+    delay_bucket,
+)
 from hillstack.core.rollout_evidence import (
     DELAY_BUCKETS,
-    MOST_KEYS,
+    MAX_OUTCOME_KEYS,
     MOST_PROCESSES,
     REPORTER_SECONDS,
     OutcomeKey,
@@ -145,13 +150,13 @@
 
 def test_evidence_is_bounded() -> None:
     evidence = RolloutEvidence()
-    for number in range(MOST_KEYS + 10):
+    for number in range(MAX_OUTCOME_KEYS + 10):
         evidence.take("a", 1, report(counts(1, route=f"r-{number}")), 0.0)
     for number in range(MOST_PROCESSES + 10):
         evidence.take("b", number, report(counts(1)), 0.0)
-    assert len(evidence.totals()) == MOST_KEYS
+    assert len(evidence.totals()) == MAX_OUTCOME_KEYS
     # Outcomes and processes beyond the limits are ignored; one of the processes is "a".
-    assert sum(total.answered for total in evidence.totals().values()) <= MOST_KEYS
+    assert sum(total.answered for total in evidence.totals().values()) <= MAX_OUTCOME_KEYS
 
 
 def test_a_report_with_too_many_or_too_few_delays_is_cut_or_padded() -> None:
@@ -176,15 +181,15 @@
 
 
 def test_a_broken_answer_counts_after_the_cut_window() -> None:
-    outcomes = OwnOutcomes()
+    outcomes = LocalOutcomes()
     outcomes.add(broken("n-0", NEW), 1.0)
-    assert not outcomes.settle(1.0 + CUT_SECONDS / 2)
-    assert len(outcomes.settle(1.0 + CUT_SECONDS)) == 1
+    assert not outcomes.settle(1.0 + DISCONNECT_WINDOW_SECONDS / 2)
+    assert len(outcomes.settle(1.0 + DISCONNECT_WINDOW_SECONDS)) == 1
     assert outcomes.rows()[0].failed == 1
 
 
 def test_connections_to_several_versions_broken_by_a_network_cut_do_not_count() -> None:
-    outcomes = OwnOutcomes()
+    outcomes = LocalOutcomes()
     for runner_id, version, at in (("n-0", NEW, 1.0), ("o-0", OLD, 1.2), ("o-1", OLD, 1.3)):
         outcomes.add(broken(runner_id, version), at)
     assert not outcomes.settle(1.5) and not outcomes.settle(3.0)
@@ -192,14 +197,14 @@
 
 
 def test_new_runners_that_break_together_are_not_a_network_cut() -> None:
-    outcomes = OwnOutcomes()
+    outcomes = LocalOutcomes()
     for number in range(4):
         outcomes.add(broken(f"n-{number}", NEW), 1.0)
     assert len(outcomes.settle(2.0)) == 4
 
 
 def test_attempts_broken_by_a_fatal_request_do_not_count() -> None:
-    outcomes = OwnOutcomes()
+    outcomes = LocalOutcomes()
     outcomes.add(broken("n-0", NEW), 1.0)
     outcomes.add(broken("n-1", NEW), 1.0)
     counted = outcomes.settle(2.0, excused={"n-0"})
@@ -407,7 +412,7 @@
             node.observer.tick(now)
         first.observer.take_report("second", 1, second.reporter.latest(), now)
         second.observer.take_report("first", 1, first.reporter.latest(), now)
-    age = now + HEARD_AFTER_SECONDS
+    age = now + FIRST_SEEN_AGE_SECONDS
     assert age - 0.001 <= first.reporter.latest().order_age_ms / 1000 <= age
 
 
--- a/tests/fleet/test_rollout_plan.py
+++ b/tests/fleet/test_rollout_plan.py
@@ -215,7 +215,7 @@
 def test_a_late_report_does_not_close_the_target_of_a_complete_rollout() -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
-    rollouts.take_record(replace(CANARY, stage=RolloutStage.COMPLETE))
+    rollouts.apply_record(replace(CANARY, stage=RolloutStage.COMPLETE))
     rollouts.condemn("app", ORDER.revision)
     assert rollouts.stage("app") is RolloutStage.COMPLETE
 
@@ -223,7 +223,7 @@
 def test_a_condemned_version_is_closed_although_its_record_trusts_it() -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
-    rollouts.take_record(SHIFTING)
+    rollouts.apply_record(SHIFTING)
     rollouts.condemn("app", ORDER.revision)
     assert rollouts.stage("app") is RolloutStage.REVERTED
 
@@ -235,14 +235,14 @@
     assert step.record.stage is RolloutStage.SHIFTING
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
-    rollouts.take_record(before)
+    rollouts.apply_record(before)
     assert rollouts.access("app", "v2") is VersionAccess.OPEN
 
 
 def test_a_reverted_version_is_a_canary_again_under_the_next_order() -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
-    rollouts.take_record(replace(CANARY, order_revision=rev(3), stage=RolloutStage.REVERTED))
+    rollouts.apply_record(replace(CANARY, order_revision=rev(3), stage=RolloutStage.REVERTED))
     assert rollouts.access("app", "v2") is VersionAccess.CANARY
 
 
@@ -266,7 +266,7 @@
 ) -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
-    rollouts.take_record(replace(CANARY, order_revision=rev(3), stage=before))
+    rollouts.apply_record(replace(CANARY, order_revision=rev(3), stage=before))
     rollouts.condemn("app", ORDER.revision)
     assert rollouts.stage("app") is stage
 
@@ -286,13 +286,13 @@
     rollouts.take_order(replace(ORDER, target="v3", revision=rev(7)))
     assert rollouts.access("app", "v2") is VersionAccess.CLOSED
     assert rollouts.access("app", "v3") is VersionAccess.CANARY
-    assert not rollouts.may_finish_shift("app", "v2")
+    assert not rollouts.may_serve_during_shift("app", "v2")
 
 
 def test_a_target_condemned_while_shifting_stays_closed_when_its_order_is_withdrawn() -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
-    rollouts.take_record(SHIFTING)
+    rollouts.apply_record(SHIFTING)
     rollouts.condemn("app", ORDER.revision)
     rollouts.withdraw("app", rev(7))
     assert rollouts.access("app", "v2") is VersionAccess.CLOSED
@@ -301,7 +301,7 @@
 def test_a_trusted_target_is_open_when_its_order_is_withdrawn() -> None:
     rollouts = SoftwareRollouts()
     rollouts.take_order(ORDER)
-    rollouts.take_record(SHIFTING)
+    rollouts.apply_record(SHIFTING)
     rollouts.withdraw("app", rev(7))
     assert rollouts.access("app", "v2") is VersionAccess.OPEN
 
@@ -313,7 +313,7 @@
     again = replace(ORDER, revision=rev(8))
     rollouts.take_order(again)
     assert rollouts.access("app", "v2") is VersionAccess.CANARY
-    rollouts.take_record(replace(SHIFTING, order_revision=rev(8), revision=rev(9)))
+    rollouts.apply_record(replace(SHIFTING, order_revision=rev(8), revision=rev(9)))
     rollouts.withdraw("app", rev(10))
     assert rollouts.access("app", "v2") is VersionAccess.OPEN
 
@@ -323,10 +323,10 @@
     for number in range(MAX_UNTRUSTED_VERSIONS + 2):
         rollouts.take_order(replace(ORDER, target=f"v{number}", revision=rev(2 * number + 1)))
         rollouts.withdraw("app", rev(2 * number + 2))
-    left = rollouts.left_undecided("app")
+    left = rollouts.untrusted_targets("app")
     assert len(left) == MAX_UNTRUSTED_VERSIONS
     assert "v0" not in left and f"v{MAX_UNTRUSTED_VERSIONS + 1}" in left
     for number in range(MAX_UNTRUSTED_VERSIONS + 2):
         rollouts.take_order(replace(ORDER, service=f"app-{number}"))
         rollouts.withdraw(f"app-{number}", rev(6))
-    assert not rollouts.left_undecided("app")
+    assert not rollouts.untrusted_targets("app")
--- a/tests/fleet/test_store_sync.py
+++ b/tests/fleet/test_store_sync.py
@@ -334,7 +334,7 @@
     bench.store.pending = [WeightsNamed(MODEL, 7)]
     bench.scheduler.run_until(11.0)
     assert bench.state.versions.newest(MODEL) == 7
-    assert 8.0 < bench.state.versions.named_after(MODEL, 6) <= 9.0
+    assert 8.0 < bench.state.versions.bound_start(MODEL, 6) <= 9.0
     assert bench.state.versions.superseded_at(MODEL, 6) <= 3.0
 
 
@@ -387,7 +387,7 @@
     proved_at = bench.state.freshness.proved_at()
     bench.store.pending = [WeightsNamed(MODEL, 5)]
     bench.run(1.1)
-    assert bench.state.versions.named_after(MODEL, 4) == proved_at
+    assert bench.state.versions.bound_start(MODEL, 4) == proved_at
 
 
 def test_a_version_that_a_poll_did_not_return_counts_from_before_the_poll(bench: Bench) -> None:
@@ -405,7 +405,7 @@
     bench.store.failure = None
     bench.run(1.1)
     assert bench.state.versions.newest(MODEL) == 5
-    assert bench.state.versions.named_after(MODEL, 4) == proved_at
+    assert bench.state.versions.bound_start(MODEL, 4) == proved_at
 
 
 def test_requests_wait_for_the_first_store_read_but_not_for_a_store_that_is_down() -> None:
--- a/tests/fleet/test_tenant_limits.py
+++ b/tests/fleet/test_tenant_limits.py
@@ -12,7 +12,7 @@
 
 from hillstack.core.tenant_limits import LimitTolerance, LimitUnit, TenantLimit
 from hillstack.core.token_buckets import OVERFILL_SHARE, TokenBuckets
-from hillstack.core.token_leases import MAX_HANDED_SECONDS, TokenLeases
+from hillstack.core.token_leases import MAX_CONTRIBUTED_SECONDS, TokenLeases
 
 TENANT = "tenant-1"
 LIMIT = TenantLimit(1_000.0, 1_000.0, LimitUnit.TOKENS, 200.0)
@@ -162,7 +162,7 @@
     buckets = full_buckets()
     first = buckets.lease(TENANT, LIMIT, "node-1", 1e9, 20.0)
     assert buckets.lease(TENANT, LIMIT, "node-2", 1e9, 20.0) == 0
-    buckets.put_back(TENANT, LIMIT, "node-1", first, 20.1)
+    buckets.end_lease(TENANT, LIMIT, "node-1", first, 20.1)
     assert math.isclose(buckets.lease(TENANT, LIMIT, "node-2", 1e9, 20.1), first)
 
 
@@ -198,7 +198,7 @@
 def test_a_node_does_not_contribute_the_time_of_a_pause() -> None:
     leases = TokenLeases(0.0)
     assert leases.hand_over(0.4) == 0.4
-    assert leases.hand_over(9.0) == MAX_HANDED_SECONDS
+    assert leases.hand_over(9.0) == MAX_CONTRIBUTED_SECONDS
     assert leases.hand_over(9.0) == 0
 
 
@@ -212,7 +212,7 @@
 def test_tokens_that_are_taken_out_can_not_be_spent() -> None:
     leases = TokenLeases(0.0)
     leases.add(TENANT, 100.0, 1.2, 0.0)
-    assert leases.take_out(TENANT, 0.1) == 100
+    assert leases.withdraw_tokens(TENANT, 0.1) == 100
     assert not leases.spend(TENANT, 1.0, 0.1)
 
 
@@ -254,7 +254,7 @@
     @rule(node=st.integers(0, NODES - 1), holder=st.integers(0, 2), is_lost=st.booleans())
     def hand_over(self, node: int, holder: int, is_lost: bool) -> None:
         seconds = self.nodes[node].hand_over(self.now)
-        returned = self.nodes[node].take_out(TENANT, self.now)
+        returned = self.nodes[node].withdraw_tokens(TENANT, self.now)
         self.numbers[node] += 1
         is_first, self.is_first[node] = self.is_first[node], False
         if is_lost:
@@ -263,7 +263,7 @@
         name = f"node-{node}"
         number = self.numbers[node]
         buckets.contribute(name, 1, number, seconds, NODES, self.now, is_first=is_first)
-        buckets.put_back(TENANT, LIMIT, name, returned, self.now)
+        buckets.end_lease(TENANT, LIMIT, name, returned, self.now)
 
     @rule(seconds=st.integers(1, 12))
     def hand_over_in_turn(self, seconds: int) -> None:
--- a/tests/fleet/test_weights_bound.py
+++ b/tests/fleet/test_weights_bound.py
@@ -45,7 +45,7 @@
 
 def bound_starts(network: NodeNetwork) -> list[float]:
     """Return the time from which each node counts the grace period of version 1."""
-    return [node.state.versions.named_after(MODEL, 1) for node in network.nodes.values()]
+    return [node.state.versions.bound_start(MODEL, 1) for node in network.nodes.values()]
 
 
 @pytest.mark.parametrize(
@@ -85,7 +85,7 @@
     order = network.nodes["node-0"].state.nodes.relay_order(group)
     started = restart(network, network.nodes[order[place]])
     network.run(2.5)
-    counts_from = started.state.versions.named_after(MODEL, 1)
+    counts_from = started.state.versions.bound_start(MODEL, 1)
     assert named_at - EARLY_SECONDS <= counts_from <= named_at
     network.close()
 
@@ -112,7 +112,7 @@
     order = next(iter(network.nodes.values())).state.nodes.relay_order(None)
     asked_node = network.nodes[order[0]]  # All other nodes send their questions to this node.
     asked_node.state.store_regained(network.scheduler.now)
-    assert asked_node.state.versions.named_after(MODEL, 1) == network.scheduler.now
+    assert asked_node.state.versions.bound_start(MODEL, 1) == network.scheduler.now
     network.run(3.0)
     moved = [moment for moment in bound_starts(network) if moment > named_at]
     assert len(moved) == 1
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -141,7 +141,7 @@
     buckets.contribute(node_id, 1, question.number, question.seconds, nodes, now)
     grants = []
     for report in question.tenants:
-        buckets.put_back(report.tenant, LIMIT, node_id, report.returned, now)
+        buckets.end_lease(report.tenant, LIMIT, node_id, report.returned, now)
         leased = buckets.lease(report.tenant, LIMIT, node_id, report.ahead, now)
         grants.append(TenantGrant(report.tenant, [], leased))
     answer = TokenAnswer(PROTOCOL_VERSION, question.number, grants)
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -440,7 +440,7 @@
     Mutation(
         "a paused node brings all of its pause",
         "core/token_leases.py",
-        "min(MAX_HANDED_SECONDS, max(0.0, now - self._contributed_until))",
+        "min(MAX_CONTRIBUTED_SECONDS, max(0.0, now - self._contributed_until))",
         "now - self._contributed_until",
     ),
     Mutation(
@@ -639,7 +639,7 @@
     Mutation(
         "a starting node asks nobody when weights were named",
         "daemon/store_sync.py",
-        "if not self._state.versions.lacks_naming(self._clock()):",
+        "if not self._state.versions.lacks_announcement_time(self._clock()):",
         "if True:",
     ),
     Mutation(
