--- a/src/hillstack/daemon/cache_follower.py
+++ b/src/hillstack/daemon/cache_follower.py
@@ -239,7 +239,7 @@
             self._report(holder, dropped, estimated=part.tokens)
         for entry in listing.entries:
             self._observe(holder, entry)
-        self._state.note_cache_heard(holder.holder_id)
+        self._state.note_cache_known(holder.holder_id)
         fields = {
             "holder": holder.holder_id,
             "epoch": listing.epoch,
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -74,7 +74,7 @@
 from hillstack.serving.region_choice import RegionChoice
 from hillstack.serving.rollout_observer import RolloutObserver
 from hillstack.serving.runner_limits import RunnerLimits
-from hillstack.serving.signal_intake import SignalIntake
+from hillstack.serving.signal_intake import SignalReceiver
 
 logger = logging.getLogger(__name__)
 
@@ -134,7 +134,7 @@
         # Counted from the start of the process, not from the end of loading its libraries: loading
         # takes up to a second on a busy machine, and older weights would stay in use that much
         # longer.
-        self._state.unjudged_until = times.entered_at + contact
+        self._state.bounds_enforced_from = times.entered_at + contact
         self._store_session = make_store_session()
         self._runner_session = make_runner_session()
         self._metrics = FleetMetrics()
@@ -152,7 +152,7 @@
         self._link = PeerLink()
         choice = RelayChoice(settings.node.id, self._state.nodes, self._state.topology)
         self._peers = PeerExchange(self._state, self._link, choice, zone, self._clock, rng)
-        signals = SignalIntake(
+        signals = SignalReceiver(
             self._state.pool,
             self._metrics,
             self._clock,
@@ -170,7 +170,7 @@
             resting_connections(self._runner_session),
             RegionChoice(self._state, settings.node.region_link_megabits),
         )
-        self._peers.handle_placements(placement.observe_placement, placement.observe_read)
+        self._peers.handle_placements(placement.observe_placement, placement.observe_prefilled)
         self._shared_runner_limits = self._share_runner_limits(choice, rng)
         runner_limits = RunnerLimits(
             self._state.pool, self._shared_runner_limits, self._metrics, self._clock
@@ -186,7 +186,7 @@
             self._state,
             self._peers,
             lambda order, ordered_at: RolloutJudge(order.target, ordered_at, order.over_seconds),
-            placement.usual_seconds,
+            placement.median_answer_seconds,
             self._metrics,
             self._clock,
             rng,
@@ -212,7 +212,7 @@
             self._observer,
             runner_limits,
         )
-        self._pipeline.runner_ends.handle_lag(self._lag.on_time_since)
+        self._pipeline.runner_ends.set_lag_source(self._lag.on_time_since)
         self._peers.handle_runner_ends(self._pipeline.runner_ends.observe)
         # The order matters: the cache contents open the start gate of the new peer (``StartGate``),
         # so the reports of runner crashes have to arrive before them.
--- a/src/hillstack/daemon/notice_reader.py
+++ b/src/hillstack/daemon/notice_reader.py
@@ -169,7 +169,7 @@
             self._state.note_unavailable(address, now)
 
     def _apply_cached(self, notice: CacheNotice) -> None:
-        self._state.note_cache_heard(notice.holder_id)
+        self._state.note_cache_known(notice.holder_id)
         for part in notice.prompt_parts():
             self._state.index.confirm(notice.holder_id, notice.salt, part)
 
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -162,7 +162,7 @@
         self._outbox.add_placement(notice)
         self._schedule_placements()
 
-    def prompt_read(self, number: int) -> None:
+    def prompt_prefilled(self, number: int) -> None:
         """Report that the prompt of a placement was processed, so its parts can be fetched.
 
         The report is not urgent: until it arrives, peers already count the parts as cached at that
@@ -268,7 +268,7 @@
             notice = self._outbox.runner_end_only(ended)
             self._link.send(DatagramKind.NOTICE, peer_notices.encode(notice), node.address)
 
-    def tell_rollouts(self, reports: list[RolloutReport], *, urgent: bool = False) -> None:
+    def send_rollout_reports(self, reports: list[RolloutReport], *, urgent: bool = False) -> None:
         """Report what this node observed of the running rollouts, soon or at once."""
         self._outbox.set_rollouts(reports)
         if urgent:
--- a/src/hillstack/daemon/store_sync.py
+++ b/src/hillstack/daemon/store_sync.py
@@ -382,7 +382,7 @@
         """Apply a peer's announcement times of the weights versions that this node knows."""
         now = self._clock()
         for named in relayed.named:
-            self._state.narrow_weights_named(named, node_id, now)
+            self._state.narrow_weights_bound(named, node_id, now)
 
     async def _ask_announcement_times(self, revision: StoreRevision) -> None:
         """Ask peers when the weights versions were announced that this node found at its start.
@@ -475,7 +475,7 @@
         if ended_at is None:
             return
         if ended_at - self._state.freshness.proved_at() > self._fresh_seconds():
-            self._state.store_regained(ended_at, self._clock())
+            self._state.note_store_recovered(ended_at, self._clock())
 
     def _retain(self, keys: Collection[str], revision: StoreRevision) -> None:
         """Remove everything that is missing from a full key list read at a revision."""
@@ -544,4 +544,4 @@
         if failure_seconds >= OUTAGE_SECONDS:
             self._state.note_calls_failed(self._failed_at)
         if outage_ended_at is not None:
-            self._state.store_regained(outage_ended_at, self._clock())
+            self._state.note_store_recovered(outage_ended_at, self._clock())
--- a/src/hillstack/serving/fleet_state.py
+++ b/src/hillstack/serving/fleet_state.py
@@ -59,7 +59,7 @@
 # OUTAGE_EFFECT_SECONDS, with a margin.
 UNLISTED_GRACE_SECONDS = 1.6
 # The operator writes lost orders again within a few seconds of a restore of the store.
-WRITTEN_AGAIN_SECONDS = 10.0
+REWRITE_WAIT_SECONDS = 10.0
 # Smaller moves of a bound are not logged. Answers of peers differ by some tenths of a millisecond:
 # on a day with 69 nodes, 702 of 823 moves were shorter than one millisecond.
 MIN_LOGGED_MOVE_SECONDS = 0.01
@@ -69,7 +69,7 @@
 
 # Assumed number of nodes while a node does not know its peers: larger than any fleet, so that its
 # share of common budgets is small.
-MOST_NODES = 8_192
+MAX_NODES = 8_192
 
 
 class FleetState:
@@ -90,7 +90,7 @@
         store_era: Era of the store; a restore of the store begins a new one.
         highest_fence: Highest fencing token seen from any holder of the weights duty.
         rollout_deciders: Node that decides the rollout, by service.
-        unjudged_until: Time until which bounds are not enforced on a node that has just started: a
+        bounds_enforced_from: Time until which bounds are not enforced on a node that has just started: a
             weights version named before the start need not be in use before this time.
     """
 
@@ -134,10 +134,10 @@
         self.directory_known = False
         self.peers_known = False
         self.start_gate = StartGate()
-        self.unjudged_until = float("-inf")
+        self.bounds_enforced_from = float("-inf")
         self._outage_until = float("-inf")
         self._calls_failed_until = float("-inf")
-        self.budget.set_node_count(MOST_NODES)
+        self.budget.set_node_count(MAX_NODES)
         self._on_weights_named: Callable[[], None] = lambda: None
         self._on_restarted: Callable[[Runner], None] = lambda _: None
 
@@ -202,7 +202,7 @@
             source: Source of the information: ``store``, or the name of a peer.
             now: Time on the node's clock.
         """
-        started_at = self.unjudged_until - self.versions.grace
+        started_at = self.bounds_enforced_from - self.versions.grace
         counts_from = max(started_at, self._outage_until)
         cause = BoundCause.OUTAGE if counts_from > started_at else BoundCause.START
         announcement = Announcement(
@@ -216,7 +216,7 @@
         logger.info("weights named", extra=fields)
         return True
 
-    def narrow_weights_named(self, named: NamedVersion, source: str, now: float) -> None:
+    def narrow_weights_bound(self, named: NamedVersion, source: str, now: float) -> None:
         """Narrow the interval in which a known version was named by what a peer has proved."""
         self._log_bound_moves(self.versions.narrow(named, source), now)
 
@@ -246,7 +246,7 @@
             if order.service in listed.ordered or order.service in self._missing_orders:
                 continue
             if order.revision.era < revision.era:
-                self._missing_orders[order.service] = now + WRITTEN_AGAIN_SECONDS
+                self._missing_orders[order.service] = now + REWRITE_WAIT_SECONDS
             else:
                 self.rollouts.withdraw(order.service, revision)
         self.rollouts.retain_records(listed.recorded, revision)
@@ -267,7 +267,7 @@
         """
         self.note_calls_failed(now)
 
-    def store_regained(self, lost_until: float, now: float | None = None) -> None:
+    def note_store_recovered(self, lost_until: float, now: float | None = None) -> None:
         """Record the end of a store outage.
 
         The directory may drop runners that are alive, because their entries expire during an
@@ -380,12 +380,12 @@
         self._holders = holders
         return holders
 
-    def note_cache_heard(self, holder_id: str) -> None:
+    def note_cache_known(self, holder_id: str) -> None:
         """Record that the cached parts of a holder are known, from a listing or from a peer."""
         gate = self.start_gate
         if gate.caches_known:
             return
-        gate.cache_heard(holder_id)
+        gate.mark_cache_known(holder_id)
         # Nodes of another region follow the caches there and report them to each other.
         near = (h for h in self.cache_holders() if self.topology.is_own_region(h.zone))
         gate.expect_caches([holder.holder_id for holder in near])
@@ -452,7 +452,7 @@
 
     def _update_budget_shares(self, now: float) -> None:
         count = self.nodes.sharing_count(now)
-        self.budget.set_node_count(count if self.peers_known else MOST_NODES)
+        self.budget.set_node_count(count if self.peers_known else MAX_NODES)
         self.exposure.set_node_count(count)
 
     def _add_runner(self, entry: RunnerEntry, now: float) -> None:
--- a/src/hillstack/serving/peers.py
+++ b/src/hillstack/serving/peers.py
@@ -16,7 +16,7 @@
         """Report a request that was sent to a runner."""
         ...
 
-    def prompt_read(self, number: int) -> None:
+    def prompt_prefilled(self, number: int) -> None:
         """Report that the prompt of the placement with this number is prefilled."""
         ...
 
--- a/src/hillstack/serving/pipeline.py
+++ b/src/hillstack/serving/pipeline.py
@@ -194,7 +194,7 @@
                 if not self._state.start_gate.caches_known:
                     # Peers report runner crashes to a node that has just started before they report
                     # cached parts, so requests known to be fatal are known by then.
-                    await self._state.start_gate.passed_by_prompt()
+                    await self._state.start_gate.wait_for_caches()
                     await self.runner_ends.check(job)
                 await self._attempt_until_done(job, sink)
         except TimeoutError:
--- a/src/hillstack/serving/placement.py
+++ b/src/hillstack/serving/placement.py
@@ -266,7 +266,7 @@
         """Return the seconds for which an idle runner prefills a prompt or works on a call."""
         shape = job.request.shape
         if shape is None or self._state.engine_of(job.service) is None:
-            return self.usual_seconds(job.service) or USUAL_ANSWER_SECONDS
+            return self.median_answer_seconds(job.service) or USUAL_ANSWER_SECONDS
         return shape.prompt_tokens / self.prefill_rate(job.service)
 
     def _runners_available_later(self, job: Job, now: float) -> Iterator[Runner]:
@@ -342,7 +342,7 @@
         self._cache_estimates.prefilled(placed, shape, now)
         number = self._announced.pop(attempt_id, None)
         if number is not None:
-            self._peers.prompt_read(number)
+            self._peers.prompt_prefilled(number)
 
     def finished(self, placed: PlacedAttempt, attempt_id: str) -> None:
         """Record the end of an attempt."""
@@ -366,13 +366,13 @@
         self._state.pool.add_prefill(runner, notice.prefill_tokens, rate, now)
         self._cache_estimates.peer_sent(notice, now)
 
-    def observe_read(self, peer: str, number: int, now: float) -> None:
+    def observe_prefilled(self, peer: str, number: int, now: float) -> None:
         """Record that the prompt of a peer's placement is prefilled; ignore unknown placements."""
         notice = self._peer_placements.pop((peer, number), None)
         if notice is not None:
             self._cache_estimates.peer_prefilled(notice, now)
 
-    def usual_seconds(self, service: str) -> float | None:
+    def median_answer_seconds(self, service: str) -> float | None:
         """Return the median time to an answer of an application; None if unknown."""
         durations = self._durations.get(service)
         return durations.median_seconds() if durations is not None else None
--- a/src/hillstack/serving/rollout_observer.py
+++ b/src/hillstack/serving/rollout_observer.py
@@ -81,7 +81,7 @@
 class RolloutReporter(Protocol):
     """Sends rollout reports to the peers."""
 
-    def tell_rollouts(self, reports: list[RolloutReport], *, urgent: bool = False) -> None:
+    def send_rollout_reports(self, reports: list[RolloutReport], *, urgent: bool = False) -> None:
         """Report this node's outcomes in current rollouts, immediately if urgent."""
         ...
 
@@ -114,7 +114,7 @@
         state: State of the node.
         peers: Sends reports to the peers.
         make_judge: Creates the judge for an order and the time at which it was given.
-        usual_seconds: Returns the median time to an answer of a service's application, if known.
+        median_answer_seconds: Returns the median time to an answer of a service's application, if known.
         metrics: Counts outcomes.
         clock: Monotonic seconds.
         rng: Source of randomness.
@@ -125,7 +125,7 @@
         state: FleetState,
         peers: RolloutReporter,
         make_judge: Callable[[RolloutOrder, float], RolloutJudge],
-        usual_seconds: Callable[[str], float | None],
+        median_answer_seconds: Callable[[str], float | None],
         metrics: FleetMetrics,
         clock: Callable[[], float],
         rng: Random,
@@ -133,7 +133,7 @@
         self._state = state
         self._peers = peers
         self._make_judge = make_judge
-        self._usual_seconds = usual_seconds
+        self._usual_seconds = median_answer_seconds
         self._metrics = metrics
         self._clock = clock
         self._rng = rng
@@ -188,7 +188,7 @@
         return self._state.rollouts.stage(order.service) is RolloutStage.SHIFTING
 
     def _send_reports_now(self) -> None:
-        self._peers.tell_rollouts(self._make_reports(self._clock()), urgent=True)
+        self._peers.send_rollout_reports(self._make_reports(self._clock()), urgent=True)
 
     def ended(self, job: Job, now: float) -> None:
         """Record that the attempt of a request has ended and no longer loads its runner."""
@@ -241,7 +241,7 @@
             self._update_metrics(order, now)
         reports = self._make_reports(now)
         if reports:
-            self._peers.tell_rollouts(reports)
+            self._peers.send_rollout_reports(reports)
 
     def _expected(self, observed: _ObservedRollout, job: Job, placed: PlacedAttempt) -> float:
         if placed.salt is not None:
--- a/src/hillstack/serving/runner_ends.py
+++ b/src/hillstack/serving/runner_ends.py
@@ -138,7 +138,7 @@
         self._report_handle: asyncio.Handle | None = None
         self._enforce_handle: asyncio.TimerHandle | None = None
 
-    def handle_lag(self, on_time_since: Callable[[], float]) -> None:
+    def set_lag_source(self, on_time_since: Callable[[], float]) -> None:
         """Set the function that returns since when the event loop has read bytes without delay.
 
         Bytes that were read late don't prove that a runner is alive.
--- a/src/hillstack/serving/runner_limits.py
+++ b/src/hillstack/serving/runner_limits.py
@@ -26,7 +26,7 @@
 SILENT_SECONDS = 0.1
 # A runner whose limit had no room is tried again after this time at the latest: other nodes may not
 # have used their shares.
-LONGEST_PAUSE_SECONDS = 1.0
+MAX_PAUSE_SECONDS = 1.0
 # Orders and reports take precedence over requests, and urgent requests over others: a lower rank
 # goes first. Orders to load weights have a time bound, and no other node may give them.
 CALL_RANK = 0
@@ -73,7 +73,7 @@
         if wait <= 0:
             self._log_result(job, runner, rate, "admitted")
             return True
-        limit.exhausted_until = self._clock() + min(wait, LONGEST_PAUSE_SECONDS)
+        limit.exhausted_until = self._clock() + min(wait, MAX_PAUSE_SECONDS)
         self._log_result(job, runner, rate, "no room")
         return False
 
@@ -91,7 +91,7 @@
             left = gives_up_at - self._clock()
             if left <= 0:
                 return False
-            await asyncio.sleep(min(wait, left, LONGEST_PAUSE_SECONDS))
+            await asyncio.sleep(min(wait, left, MAX_PAUSE_SECONDS))
         return True
 
     async def _reserve(self, runner_id: str, rate: float, rank: int) -> float:
--- a/src/hillstack/serving/signal_intake.py
+++ b/src/hillstack/serving/signal_intake.py
@@ -27,7 +27,7 @@
 MAX_VALUE_CHARACTERS = 64
 
 
-class SignalIntake:
+class SignalReceiver:
     """Updates the runner pool with the signals in runners' answers.
 
     Args:
--- a/src/hillstack/serving/start_gate.py
+++ b/src/hillstack/serving/start_gate.py
@@ -37,7 +37,7 @@
         """Whether prompts pass the gate."""
         return self._caches_known.is_set()
 
-    def cache_heard(self, holder_id: str) -> None:
+    def mark_cache_known(self, holder_id: str) -> None:
         """Record that the cached parts of a holder are known."""
         self._known_holders.add(holder_id)
 
@@ -54,7 +54,7 @@
         """Wait for the first read, for a bounded time and no longer than the caller waits."""
         await _bounded_wait(self._first_read_done, min(FIRST_READ_WAIT_SECONDS, patience_seconds))
 
-    async def passed_by_prompt(self) -> None:
+    async def wait_for_caches(self) -> None:
         """Wait for the first read, and then for a bounded time until cached parts are known."""
         await self.passed()
         if not self.caches_known:
--- a/tests/fleet/crash_traffic.py
+++ b/tests/fleet/crash_traffic.py
@@ -12,7 +12,7 @@
 # Time by which all nodes must know of a crash, and the sends that are allowed after it.
 CONTACT_SECONDS = 3.0
 CRASHES_BEFORE_LIMIT = 3
-SENDS_ALLOWED_LATER = 3
+MAX_LATE_SENDS = 3
 RESTART_SECONDS = 3.0
 DIRECTORY_SECONDS = 3.6
 STEP_SECONDS = 0.005
--- a/tests/fleet/fake_runners.py
+++ b/tests/fleet/fake_runners.py
@@ -143,7 +143,7 @@
     def placed(self, notice: PlacementNotice) -> None:
         self.placements.append(notice)
 
-    def prompt_read(self, number: int) -> None:
+    def prompt_prefilled(self, number: int) -> None:
         self.reads.append(number)
 
     def load_changed(self, runner: Runner) -> None:
--- a/tests/fleet/fatal_world.py
+++ b/tests/fleet/fatal_world.py
@@ -204,7 +204,7 @@
     def placed(self, notice: PlacementNotice) -> None:
         return
 
-    def prompt_read(self, number: int) -> None:
+    def prompt_prefilled(self, number: int) -> None:
         return
 
     def load_changed(self, runner: Runner) -> None:
--- a/tests/fleet/node_network.py
+++ b/tests/fleet/node_network.py
@@ -38,7 +38,7 @@
 from hillstack.platform.bodies import NodeBody
 from hillstack.platform.formats import listed_keys, to_event
 from hillstack.platform.store import Changes, Snapshot
-from hillstack.serving.fleet_state import MOST_NODES, FleetState
+from hillstack.serving.fleet_state import MAX_NODES, FleetState
 from hillstack.simulation.virtual_loop import Scheduler, VirtualLoop
 from tests.fleet.builders import (
     ENGINES,
@@ -314,7 +314,7 @@
         state.node_id = node_id
         # The node reads the list of nodes from the store.
         state.directory_known = state.peers_known = False
-        state.budget.set_node_count(MOST_NODES)
+        state.budget.set_node_count(MAX_NODES)
         link = PeerLink()
         transport: Any = _Transport(self, address)
         link.connection_made(transport)
--- a/tests/fleet/runner_limit_traffic.py
+++ b/tests/fleet/runner_limit_traffic.py
@@ -14,7 +14,7 @@
 from hillstack.serving.job import Job
 from hillstack.serving.metrics import FleetMetrics
 from hillstack.serving.runner_limits import RunnerLimits
-from hillstack.serving.signal_intake import SignalIntake
+from hillstack.serving.signal_intake import SignalReceiver
 from tests.fleet.builders import ENGINES, make_request, make_route
 from tests.fleet.node_network import NodeNetwork, SimulatedNode
 
@@ -41,7 +41,7 @@
 
     node: SimulatedNode
     limits: RunnerLimits
-    intake: SignalIntake
+    intake: SignalReceiver
     informed_at: float | None = None
 
 
@@ -114,7 +114,7 @@
             side = self._sides[id(node)] = _NodeSide(
                 node,
                 RunnerLimits(pool, node.runner_limits, metrics, clock),
-                SignalIntake(pool, metrics, clock, on_limit=node.exchange.limit_changed),
+                SignalReceiver(pool, metrics, clock, on_limit=node.exchange.limit_changed),
             )
         return side
 
--- a/tests/fleet/test_cache_follower.py
+++ b/tests/fleet/test_cache_follower.py
@@ -368,7 +368,7 @@
     follower = CacheFollower(state, feed, FakePeers(), scheduler.clock)
     loop = scheduler.new_loop()
     scheduler.spawn(loop, follower.run())
-    prompt = scheduler.spawn(loop, state.start_gate.passed_by_prompt())
+    prompt = scheduler.spawn(loop, state.start_gate.wait_for_caches())
     scheduler.run_until(0.1)
     assert not feed.holders and not prompt.done()
     state.start_gate.open()
--- a/tests/fleet/test_callers_leave.py
+++ b/tests/fleet/test_callers_leave.py
@@ -34,7 +34,7 @@
     EVENTS,
     RESET,
     Bench,
-    breaks_off_then,
+    first_then,
     make_bench,
     make_stream_bench,
     stream_request,
@@ -89,7 +89,7 @@
 
 
 def test_a_caller_that_leaves_during_a_second_attempt_cancels_it() -> None:
-    behave = breaks_off_then(refuses(RefusalCause.FULL), hangs())
+    behave = first_then(refuses(RefusalCause.FULL), hangs())
     bench = make_bench(i_1=behave, i_22=behave)
     serve_until_caller_leaves(bench, make_request())
     bench.scheduler.run_until(5.0)
@@ -102,7 +102,7 @@
 def test_a_caller_that_leaves_while_its_stream_is_resumed_cancels_the_attempt(
     then: Behaviour,
 ) -> None:
-    behave = breaks_off_then(answers(EVENTS[0], RESET), then)
+    behave = first_then(answers(EVENTS[0], RESET), then)
     bench = make_stream_bench(i_1=behave, i_22=behave)
     serve_until_caller_leaves(bench, stream_request())
     bench.scheduler.run_until(5.0)
--- a/tests/fleet/test_crash_bound.py
+++ b/tests/fleet/test_crash_bound.py
@@ -29,7 +29,7 @@
 from hillstack.serving.runner_ends import FATAL_REASON
 from tests.fleet.crash_traffic import (
     CONTACT_SECONDS,
-    SENDS_ALLOWED_LATER,
+    MAX_LATE_SENDS,
     STEP_SECONDS,
     CrashTraffic,
     Variation,
@@ -62,7 +62,7 @@
 ) -> None:
     traffic = CrashTraffic(World(runners, nodes), seed, fatal, vary)
     traffic.run(SECONDS)
-    assert traffic.max_late_sends() <= SENDS_ALLOWED_LATER
+    assert traffic.max_late_sends() <= MAX_LATE_SENDS
 
 
 @pytest.mark.parametrize("pause", [0.7, 4.0, 13.0])
@@ -79,7 +79,7 @@
         world.run(pause)
     known_at = world.runners.crashes_under(body)[2] + CONTACT_SECONDS
     later = [at for at, sent in world.runners.arrivals if sent == body and at > known_at]
-    assert len(later) <= SENDS_ALLOWED_LATER
+    assert len(later) <= MAX_LATE_SENDS
 
 
 def innocent_share(seed: int, word: bytes, *, one_body: bool) -> float:
@@ -142,7 +142,7 @@
     world.runners.continues_abandoned_runs = True
     traffic = CrashTraffic(world, seed, 2, leaves_after_seconds=0.1)
     traffic.run(SECONDS)
-    assert traffic.max_late_sends() <= SENDS_ALLOWED_LATER
+    assert traffic.max_late_sends() <= MAX_LATE_SENDS
 
 
 def test_an_unobserved_crash_is_found_by_the_next_refused_connection() -> None:
@@ -221,7 +221,7 @@
     world = World(1, 1)
     node = world.nodes["node-0"]
     on_time_since = [1_000.0]
-    node.pipeline.runner_ends.handle_lag(lambda: on_time_since[0])
+    node.pipeline.runner_ends.set_lag_source(lambda: on_time_since[0])
     world.send("node-0", b"long 1")
     world.run(1.0)
     _report_crash_from_peer(world, "i-0", 500)
--- a/tests/fleet/test_crash_counts.py
+++ b/tests/fleet/test_crash_counts.py
@@ -16,7 +16,7 @@
 )
 from hillstack.messages.runner_ends import RequestAtEnd, RunnerEndNotice
 from hillstack.serving.types import Verdict
-from tests.fleet.crash_traffic import CONTACT_SECONDS, SENDS_ALLOWED_LATER
+from tests.fleet.crash_traffic import CONTACT_SECONDS, MAX_LATE_SENDS
 from tests.fleet.fatal_world import World
 
 NAME = 7
@@ -88,7 +88,7 @@
         if counts.may_try(NAME, 0, float(second)):
             counts.record_trial(NAME, float(second))
             trials += 1
-    assert trials == len(TRIAL_PAUSES_SECONDS) == SENDS_ALLOWED_LATER
+    assert trials == len(TRIAL_PAUSES_SECONDS) == MAX_LATE_SENDS
 
 
 def test_a_crash_in_a_trial_is_not_counted_as_a_further_trial() -> None:
@@ -99,7 +99,7 @@
             counts.record_trial(NAME, float(second))
             trials += 1
             crash(counts, 10 + trials, second + 0.2)
-    assert trials == SENDS_ALLOWED_LATER
+    assert trials == MAX_LATE_SENDS
 
 
 def test_crashes_of_earlier_runs_use_up_no_trial() -> None:
@@ -155,7 +155,7 @@
     crashes = world.runners.crashes_under(FATAL)
     known_at = crashes[MAX_CRASHES - 1] + CONTACT_SECONDS
     later = [at for at, body in world.runners.arrivals if body == FATAL and at > known_at]
-    assert len(later) <= SENDS_ALLOWED_LATER
+    assert len(later) <= MAX_LATE_SENDS
 
 
 def test_an_answer_with_a_failure_clears_no_request() -> None:
--- a/tests/fleet/test_peer_exchange.py
+++ b/tests/fleet/test_peer_exchange.py
@@ -258,7 +258,7 @@
 
 def test_a_newly_started_node_may_use_older_weights_for_a_while() -> None:
     state, exchange, transport = make_node()
-    state.unjudged_until = 102.6
+    state.bounds_enforced_from = 102.6
     state.apply(WeightsNamed(MODEL, 2), float("-inf"))
     assert state.versions.deadline(MODEL, 1) == pytest.approx(102.6)
     # The allowance is for this node only: peers that were running must not adopt it.
@@ -273,7 +273,7 @@
 def test_an_outage_seen_by_one_node_does_not_move_the_bounds_of_others() -> None:
     state, exchange, transport = make_node()
     state.apply(WeightsNamed(MODEL, 2), 95.0)
-    state.store_regained(99.0)
+    state.note_store_recovered(99.0)
     assert state.versions.bound_start(MODEL, 1) == 99.0
     other_state, other, _ = make_node()
     other_state.apply(WeightsNamed(MODEL, 2), 95.0)
--- a/tests/fleet/test_pipeline.py
+++ b/tests/fleet/test_pipeline.py
@@ -378,7 +378,7 @@
     bench.scheduler.spawn(bench.scheduler.new_loop(), receive())
 
 
-def breaks_off_then(first: Behaviour, second: Behaviour) -> Behaviour:
+def first_then(first: Behaviour, second: Behaviour) -> Behaviour:
     """Return a behaviour that is ``first`` for the first request, and ``second`` for all others."""
     used: list[str] = []
 
@@ -391,7 +391,7 @@
 
 def test_a_stream_whose_own_connection_is_silent_goes_on_elsewhere() -> None:
     # The runner sends bytes over other connections, so the runner itself isn't silent.
-    behave = breaks_off_then(answers(EVENTS[0], 100.0), answers(*EVENTS[1:]))
+    behave = first_then(answers(EVENTS[0], 100.0), answers(*EVENTS[1:]))
     bench = make_stream_bench(i_1=behave, i_22=behave)
     keep_receiving(bench, 10.0)
     sink, error = bench.serve(stream_request(), within=4.0)
@@ -401,7 +401,7 @@
 
 
 def test_a_request_with_a_silent_connection_is_sent_to_another_runner() -> None:
-    behave = breaks_off_then(hangs(), answers(b"ok"))
+    behave = first_then(hangs(), answers(b"ok"))
     bench = make_bench(i_1=behave, i_22=behave)
     keep_receiving(bench, 10.0)
     sink, error = bench.serve(make_request(), within=4.0)
@@ -594,10 +594,10 @@
     # Without a report, the prompt counts as prefilled long after the expected time.
     assert [fetchable_tokens(bench, notice, at) for at in (10.5, 11.7, 12.0)] == [0, 0, 2_000]
     # Placement numbers are specific to their sender, and unknown numbers are ignored.
-    bench.placement.observe_read("node-3", 7, 10.6)
-    bench.placement.observe_read("node-2", 8, 10.6)
+    bench.placement.observe_prefilled("node-3", 7, 10.6)
+    bench.placement.observe_prefilled("node-2", 8, 10.6)
     assert fetchable_tokens(bench, notice, 10.6) == 0
-    bench.placement.observe_read("node-2", 7, 10.6)
+    bench.placement.observe_prefilled("node-2", 7, 10.6)
     assert fetchable_tokens(bench, notice, 10.6) == 2_000
 
 
@@ -631,7 +631,7 @@
     bench = make_store_bench()
     read = PlacementNotice("i-1", "salt", [("shared", 20_000)], 0, save_to=STORE.address)
     bench.placement.observe_placement("node-2", read, 10.0)
-    bench.placement.observe_read("node-2", read.number, 10.0)
+    bench.placement.observe_prefilled("node-2", read.number, 10.0)
     # 20,000 tokens of 160 kB at 10 Gbit/s take 2.56 s.
     assert stored_tokens(bench, read, 10.1, 12.4, 12.7) == [0, 0, 20_000]
 
@@ -640,7 +640,7 @@
     bench = make_store_bench()
     read = PlacementNotice("i-1", "salt", [("shared", 2_000)], 0)
     bench.placement.observe_placement("node-2", read, 10.0)
-    bench.placement.observe_read("node-2", read.number, 10.0)
+    bench.placement.observe_prefilled("node-2", read.number, 10.0)
     assert stored_tokens(bench, read, 100.0) == [0]
 
 
@@ -652,7 +652,7 @@
         )
         bench.placement.observe_placement("node-2", second, 10.0)
     # Each save occupies the link for 1.28 s.
-    bench.placement.observe_read("node-2", second.number, 10.1)
+    bench.placement.observe_prefilled("node-2", second.number, 10.1)
     assert stored_tokens(bench, second, 11.5, 12.5, 12.7) == [0, 0, 10_000]
 
 
@@ -933,7 +933,7 @@
 def test_an_attempt_at_a_restarted_runner_continues_at_another_one() -> None:
     # The connection stays silent, as if the machine had failed with the process. The runner
     # restarts under its name long before the silence would be noticed.
-    behave = breaks_off_then(answers(EVENTS[0], 100.0), answers(*EVENTS[1:]))
+    behave = first_then(answers(EVENTS[0], 100.0), answers(*EVENTS[1:]))
     bench = make_stream_bench(i_1=behave, i_22=behave)
     first: list[Runner] = []
 
--- a/tests/fleet/test_relays.py
+++ b/tests/fleet/test_relays.py
@@ -453,7 +453,7 @@
     network.store.down_for = set()
     network.run(3.0)
     # As if the relay's peers had been unreachable too: its own bounds count from the outage's end.
-    relay.state.store_regained(network.scheduler.now)
+    relay.state.note_store_recovered(network.scheduler.now)
     network.run(3.0)
     others = [node for node in network.nodes.values() if node is not relay]
     assert relay.state.outage_ended_at() > 0.0
--- a/tests/fleet/test_restored_beliefs.py
+++ b/tests/fleet/test_restored_beliefs.py
@@ -20,7 +20,7 @@
 from hillstack.core.store_proofs import StoreProofs
 from hillstack.core.store_revision import NO_REVISION, StoreRevision
 from hillstack.serving.fleet_state import (
-    WRITTEN_AGAIN_SECONDS,
+    REWRITE_WAIT_SECONDS,
     FleetState,
 )
 from hillstack.serving.store_events import (
@@ -201,9 +201,9 @@
     state.apply(RolloutOrdered(ORDER), 0.0)
     state.store_era.hear(4, "store")
     state.retain_rollouts(NOTHING_LISTED, 0.0, rev(70, era=4))
-    state.expire(WRITTEN_AGAIN_SECONDS - 0.1)
+    state.expire(REWRITE_WAIT_SECONDS - 0.1)
     assert state.rollouts.order(SERVICE) is not None
-    state.expire(WRITTEN_AGAIN_SECONDS)
+    state.expire(REWRITE_WAIT_SECONDS)
     assert state.rollouts.order(SERVICE) is None
 
 
--- a/tests/fleet/test_rollout_observer.py
+++ b/tests/fleet/test_rollout_observer.py
@@ -326,7 +326,7 @@
     def __init__(self) -> None:
         self.sent_reports: list[tuple[list[RolloutReport], bool]] = []
 
-    def tell_rollouts(self, reports: list[RolloutReport], *, urgent: bool = False) -> None:
+    def send_rollout_reports(self, reports: list[RolloutReport], *, urgent: bool = False) -> None:
         self.sent_reports.append((reports, urgent))
 
     def latest(self) -> RolloutReport:
@@ -346,7 +346,7 @@
             self.state,
             self.reporter,
             ThresholdJudge,
-            self.bench.placement.usual_seconds,
+            self.bench.placement.median_answer_seconds,
             self.metrics,
             self.bench.scheduler.clock,
             Random(1),
--- a/tests/fleet/test_runner_limits.py
+++ b/tests/fleet/test_runner_limits.py
@@ -41,7 +41,7 @@
 from hillstack.serving.runner_limits import (
     ANSWER_SECONDS,
     CALL_RANK,
-    LONGEST_PAUSE_SECONDS,
+    MAX_PAUSE_SECONDS,
     SILENT_SECONDS,
     RunnerLimits,
 )
@@ -349,7 +349,7 @@
         assert isinstance(error, RejectedError) and error.retry_after is not None
         waits.append(error.retry_after)
     assert limited.sent_to() == []
-    assert min(waits) >= 0.5 * LONGEST_PAUSE_SECONDS
+    assert min(waits) >= 0.5 * MAX_PAUSE_SECONDS
     assert max(waits) - min(waits) >= 0.1
     assert len(limited.limiter.taken) == 2
 
--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -43,7 +43,7 @@
 from hillstack.serving.fleet_state import UNLISTED_GRACE_SECONDS
 from hillstack.serving.metrics import FleetMetrics
 from hillstack.serving.placement import RETURN_SPREAD_SECONDS
-from hillstack.serving.signal_intake import SignalIntake
+from hillstack.serving.signal_intake import SignalReceiver
 from hillstack.serving.store_events import RunnerListed, RunnerUnlisted
 from hillstack.serving.types import (
     Dispatch,
@@ -143,7 +143,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     metrics = FleetMetrics()
-    intake = SignalIntake(RunnerPool(), metrics, lambda: NOW)
+    intake = SignalReceiver(RunnerPool(), metrics, lambda: NOW)
     reader = SignalReader(intake)
     headers = {"Content-Type": "text/plain", names.LEAVING: "1", "Server-News": "4" * 100}
     with caplog.at_level("INFO"):
@@ -156,7 +156,7 @@
 
 def test_the_number_of_counted_unknown_fields_is_bounded() -> None:
     metrics = FleetMetrics()
-    reader = SignalReader(SignalIntake(RunnerPool(), metrics, lambda: NOW))
+    reader = SignalReader(SignalReceiver(RunnerPool(), metrics, lambda: NOW))
     for number in range(100):
         reader.read("i-1", 200, {f"X-{number}": "1"}, Asked(AnswerKind.REQUEST))
     assert metrics.text().count(b"unknown_answer_fields_total{") == 32
@@ -344,7 +344,7 @@
         super().__post_init__()
         self.metrics = FleetMetrics()
         self.notified: list[str] = []
-        self.intake = SignalIntake(
+        self.intake = SignalReceiver(
             self.state.pool,
             self.metrics,
             self.scheduler.clock,
--- a/tests/fleet/test_store_sync.py
+++ b/tests/fleet/test_store_sync.py
@@ -308,7 +308,7 @@
     entry = make_entry("i-9", ENGINES, weights=1, revision=46)
     now = bench.scheduler.now
     bench.state.apply(RunnerListed(entry), now)
-    bench.state.store_regained(now)
+    bench.state.note_store_recovered(now)
     bench.state.apply(RunnerUnlisted("i-9", removal_revision), now)
     bench.state.apply(RunnerListed(entry), now)
     bench.state.expire(now + 10.0)
--- a/tests/fleet/test_weights_bound.py
+++ b/tests/fleet/test_weights_bound.py
@@ -39,7 +39,7 @@
     """Restart a node: it has no state, and is not subject to bounds for a while."""
     started = network.add(node.node_id, node.zone)
     started.state.freshness = Freshness(4.0)
-    started.state.unjudged_until = network.scheduler.now + UNJUDGED_SECONDS
+    started.state.bounds_enforced_from = network.scheduler.now + UNJUDGED_SECONDS
     return started
 
 
@@ -111,7 +111,7 @@
     network.run(2.0)
     order = next(iter(network.nodes.values())).state.nodes.relay_order(None)
     asked_node = network.nodes[order[0]]  # All other nodes send their questions to this node.
-    asked_node.state.store_regained(network.scheduler.now)
+    asked_node.state.note_store_recovered(network.scheduler.now)
     assert asked_node.state.versions.bound_start(MODEL, 1) == network.scheduler.now
     network.run(3.0)
     moved = [moment for moment in bound_starts(network) if moment > named_at]
--- a/tests/fleet/test_weights_sight.py
+++ b/tests/fleet/test_weights_sight.py
@@ -32,9 +32,9 @@
     caplog.set_level(logging.INFO)
     state = make_state(make_table(make_route()))
     state.note_weights_named(WeightsNamed(MODEL, 2), 10.0, "store", 10.5)
-    state.narrow_weights_named(NamedVersion(MODEL, 2, 10.75), "node-7", 11.0)
-    state.narrow_weights_named(NamedVersion(MODEL, 2, 10.25), "node-8", 11.0)
-    state.store_regained(13.0)
+    state.narrow_weights_bound(NamedVersion(MODEL, 2, 10.75), "node-7", 11.0)
+    state.narrow_weights_bound(NamedVersion(MODEL, 2, 10.25), "node-8", 11.0)
+    state.note_store_recovered(13.0)
     moved = records(caplog, "weights bound moved")
     logged = [(move["bound_by"], move["source"], move["later_seconds"]) for move in moved]
     # The first version was announced long ago; its bound restarts as well.
@@ -47,6 +47,6 @@
 ) -> None:
     caplog.set_level(logging.INFO)
     state = make_state(make_table(make_route()))
-    state.store_regained(13.0)
+    state.note_store_recovered(13.0)
     state.note_weights_named(WeightsNamed(MODEL, 2), 10.0, "store", 13.5)
     assert records(caplog, "weights named")[-1]["bound_by"] is BoundCause.OUTAGE
--- a/tests/stateful/test_crash_counts.py
+++ b/tests/stateful/test_crash_counts.py
@@ -20,7 +20,7 @@
 # Longer than the delay via relays, which is up to 30 ms above the direct delay between two nodes.
 MESSAGE_SECONDS = 0.05
 CONTACT_SECONDS = 3.0
-SENDS_ALLOWED_LATER = 3
+MAX_LATE_SENDS = 3
 
 
 @dataclass(frozen=True)
@@ -85,7 +85,7 @@
         ended = sorted(crash.ended_at for crash in self.crashes)
         known_at = ended[MAX_CRASHES - 1] + CONTACT_SECONDS
         sends = [*self.crashes, *(crash for _, crash in self.pending)]
-        assert sum(send.began_at > known_at for send in sends) <= SENDS_ALLOWED_LATER
+        assert sum(send.began_at > known_at for send in sends) <= MAX_LATE_SENDS
 
     def _due(self) -> list[float]:
         ends = [crash.ended_at for _, crash in self.pending]
--- a/tests/stateful/test_runner_signals.py
+++ b/tests/stateful/test_runner_signals.py
@@ -92,7 +92,7 @@
 
     @rule()
     def an_outage_ends(self) -> None:
-        self.state.store_regained(self.now)
+        self.state.note_store_recovered(self.now)
 
     @rule(name=NAMES, back=st.integers(0, 1))
     def answer_signals_that_it_leaves(self, name: str, back: int) -> None:
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -247,14 +247,14 @@
     Mutation(
         "prompts are placed before caches are known",
         "serving/pipeline.py",
-        "await self._state.start_gate.passed_by_prompt()",
+        "await self._state.start_gate.wait_for_caches()",
         "await self._state.start_gate.passed()",
     ),
     Mutation(
         "requests that will be refused wait for what is cached",
         "serving/pipeline.py",
         "await self._state.start_gate.passed(_useful_patience(request))",
-        "await self._state.start_gate.passed_by_prompt()",
+        "await self._state.start_gate.wait_for_caches()",
     ),
     Mutation(
         "a starting node holds a request until its caller has left",
@@ -766,7 +766,7 @@
     Mutation(
         "a runner without room is asked for again at once",
         "serving/runner_limits.py",
-        "limit.exhausted_until = self._clock() + min(wait, LONGEST_PAUSE_SECONDS)",
+        "limit.exhausted_until = self._clock() + min(wait, MAX_PAUSE_SECONDS)",
         "limit.exhausted_until = self._clock() + 0.0001",
     ),
     Mutation(
@@ -850,7 +850,7 @@
     Mutation(
         "a node that knows no others has the whole retry budget",
         "serving/fleet_state.py",
-        "        self.budget.set_node_count(MOST_NODES)\n",
+        "        self.budget.set_node_count(MAX_NODES)\n",
         "",
     ),
     Mutation(
@@ -1014,8 +1014,8 @@
     Mutation(
         "runners that the copy lacks are dropped at once",
         "serving/fleet_state.py",
-        "        self.note_calls_failed(now)\n\n    def store_regained",
-        "        del now\n\n    def store_regained",
+        "        self.note_calls_failed(now)\n\n    def note_store_recovered",
+        "        del now\n\n    def note_store_recovered",
     ),
     Mutation(
         "a lease outlives its era",
--- a/tools/notice_cost.py
+++ b/tools/notice_cost.py
@@ -66,7 +66,7 @@
     choice = RelayChoice(state.node_id, state.nodes)
     peers = PeerExchange(state, link, choice, ZONES[0], time.monotonic, rng)
     placement = RunnerPlacement(state, peers, ZONES[0], rng)
-    peers.handle_placements(placement.observe_placement, placement.observe_read)
+    peers.handle_placements(placement.observe_placement, placement.observe_prefilled)
     numbers = itertools.count(1)
     datagrams = itertools.cycle([_batch(rng, numbers) for _ in range(BATCHES)])
     batch = _fastest_round(lambda: link.datagram_received(next(datagrams), ("10.0.0.1", 1)))
