--- a/src/hillstack/cli/fleet.py
+++ b/src/hillstack/cli/fleet.py
@@ -13,7 +13,7 @@
 from hillstack.cli.output import Output, OutputOption, print_table
 from hillstack.config.fleet_settings import load_fleet_settings
 from hillstack.platform.connections import make_store_session
-from hillstack.platform.rollouts import RolloutLine
+from hillstack.platform.rollouts import RolloutSummary
 from hillstack.platform.store import MetadataStore
 
 app = typer.Typer(help="Run a fleet's node, and follow requests and rollouts.")
@@ -81,15 +81,15 @@
     print_table(ROLLOUT_FIELDS, [[row[name] for name in ROLLOUT_FIELDS] for row in rows])
 
 
-async def _read_rollouts(address: str) -> list[RolloutLine]:
+async def _read_rollouts(address: str) -> list[RolloutSummary]:
     session = make_store_session()
     try:
-        return await MetadataStore(address, session).rollout_lines()
+        return await MetadataStore(address, session).rollout_summaries()
     finally:
         await session.close()
 
 
-def rollout_row(line: RolloutLine) -> dict[str, object]:
+def rollout_row(line: RolloutSummary) -> dict[str, object]:
     """Return the table row of a rollout.
 
     A record that belongs to an earlier order is ignored, so that its stage is not shown for the
--- a/src/hillstack/core/store_era.py
+++ b/src/hillstack/core/store_era.py
@@ -54,21 +54,21 @@
             handler(source)
 
     def era_of_answer(
-        self, reported: int | None, era_at_request: int, *, may_be_old: bool
+        self, reported: int | None, era_at_request: int, *, allow_stale: bool
     ) -> int | None:
         """Return the era of an answer of the store; None if that era has ended.
 
         Args:
             reported: The era in the answer; None if the answer contains none.
             era_at_request: The era known to this node when the request was sent.
-            may_be_old: Whether the answer may show a state from before the request was sent.
+            allow_stale: Whether the answer may show a state from before the request was sent.
         """
         if reported is None:
             return self.current if era_at_request == self.current else None
         if reported >= self.current:
             self.hear(reported, STORE)
             return reported
-        if may_be_old or era_at_request < self.current:
+        if allow_stale or era_at_request < self.current:
             return None
         self._report_decreased(reported)
         return self.current
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -57,10 +57,10 @@
 from hillstack.logs import dropped_lines, error_fields
 from hillstack.platform.cache_feed import HttpCacheFeed
 from hillstack.platform.connections import (
+    idle_connections,
     make_runner_session,
     make_store_session,
-    note_silence,
-    resting_connections,
+    record_silent_address,
 )
 from hillstack.platform.ingress import Ingress, Readiness
 from hillstack.platform.names import DUTY_KEY
@@ -140,7 +140,7 @@
         self._metrics = FleetMetrics()
         self._state.store_era.handle_new(lambda _: self._metrics.store_restores.inc())
         self._state.handle_restarted(
-            lambda runner: note_silence(self._runner_session, runner.address)
+            lambda runner: record_silent_address(self._runner_session, runner.address)
         )
         store = MetadataStore(
             settings.store.address,
@@ -167,7 +167,7 @@
             self._peers,
             zone,
             rng,
-            resting_connections(self._runner_session),
+            idle_connections(self._runner_session),
             RegionChoice(self._state, settings.node.region_link_megabits),
         )
         self._peers.handle_placements(placement.observe_placement, placement.observe_prefilled)
--- a/src/hillstack/daemon/rollout_decider.py
+++ b/src/hillstack/daemon/rollout_decider.py
@@ -51,14 +51,14 @@
     """The store calls that a decision needs; each raises ``PlatformError`` if it fails."""
 
     async def write_rollout(
-        self, record: RolloutRecord, fence: StoreRevision, tell_operator: bool
+        self, record: RolloutRecord, fence: StoreRevision, update_operator_status: bool
     ) -> StoreRevision | None:
         """Replace a record if the order, the record and the duty have the given revisions.
 
         Args:
             record: The new record; its revision is that of the record to replace.
             fence: Expected revision of the duty's key.
-            tell_operator: Whether the operator's status is written in the same transaction.
+            update_operator_status: Whether the operator's status is written in the same transaction.
 
         Returns:
             The revision of the new record, or None if a condition failed.
--- a/src/hillstack/daemon/store_check.py
+++ b/src/hillstack/daemon/store_check.py
@@ -97,7 +97,7 @@
         self._round = (self._round + 1) % ROUNDS_PER_STORE_CHECK
         if self._round and await self._compare_with_peer():
             return
-        snapshot = await self._store.snapshot(may_be_old=True)
+        snapshot = await self._store.snapshot(allow_stale=True)
         if not await self._has_reached(snapshot.latest):
             return
         items = [change.item for change in snapshot.changes]
--- a/src/hillstack/daemon/store_sync.py
+++ b/src/hillstack/daemon/store_sync.py
@@ -98,7 +98,7 @@
 class Store(Protocol):
     """The calls that the sync needs, and the decoding of their results."""
 
-    async def snapshot(self, *, may_be_old: bool = False) -> SnapshotView:
+    async def snapshot(self, *, allow_stale: bool = False) -> SnapshotView:
         """Return the whole content; raises ``PlatformError``."""
         ...
 
--- a/src/hillstack/emulator/fleet_store.py
+++ b/src/hillstack/emulator/fleet_store.py
@@ -141,7 +141,7 @@
 
     def app(self) -> Starlette:
         """Return the HTTP application."""
-        keep_path = names.KEEP_PATH + "/{lease:int}"
+        keep_path = names.LEASE_RENEWAL_PATH + "/{lease:int}"
         end_path = names.LEASE_END_PATH + "/{lease:int}"
         return Starlette(
             routes=[
--- a/src/hillstack/platform/cache_feed.py
+++ b/src/hillstack/platform/cache_feed.py
@@ -15,7 +15,7 @@
 from hillstack.platform import names
 from hillstack.platform.bodies import CacheEventsBody, CacheListBody
 from hillstack.platform.connections import OutgoingCall, Reply, send_call
-from hillstack.platform.incarnations import check_process, instance_of
+from hillstack.platform.incarnations import check_runner_process, instance_of
 from hillstack.platform.runner_signals import Asked, SignalListener, SignalReader
 
 OK = 200
@@ -90,7 +90,7 @@
         except msgspec.MsgspecError as error:
             raise BackendError(str(error), step="decode cache feed", peer=call.address) from error
         if not holder.is_store:
-            check_process(holder.holder_id, body.born, "cache feed")
+            check_runner_process(holder.holder_id, body.born, "cache feed")
         self._read_signals(holder, reply, asked)
         return body
 
--- a/src/hillstack/platform/connections.py
+++ b/src/hillstack/platform/connections.py
@@ -35,19 +35,19 @@
 PROBE_COUNT = 2
 # Idle limit of a connection whose answers announce no keep-alive time. Runners close an idle
 # connection after some seconds, and a request that meets a closed connection has to be retried.
-DEFAULT_REST_SECONDS = 4.0
+DEFAULT_IDLE_SECONDS = 4.0
 # Fraction of a runner's announced keep-alive time during which its connection is reused. The time
 # starts when the runner sends the answer. A request that arrives while the runner closes the
 # connection may have run, and fails if it must not run twice.
-REST_SHARE = 0.75
+KEEP_ALIVE_SHARE = 0.75
 # Upper bound of the idle limit, whatever a runner announces. Connections that stay idle for longer
 # hold file descriptors without use.
-MOST_REST_SECONDS = 30.0
+MAX_IDLE_SECONDS = 30.0
 # Opening a connection takes some milliseconds; the system retransmits a lost SYN after a second.
 CONNECT_LIMIT_SECONDS = 0.5
 # A connection that is closed while an answer is due, and that delivered no bytes for this long,
 # counts as silent. The time equals TCP_USER_TIMEOUT. Calls with a shorter limit report their own
-# time-outs through ``note_silence``.
+# time-outs through ``record_silent_address``.
 OWED_SILENCE_SECONDS = UNACKNOWLEDGED_LIMIT_MS / 1000
 # Addresses whose last silence is recorded: several times the runners of the largest deployment.
 MAX_SILENT_ADDRESSES = 8_192
@@ -93,7 +93,7 @@
         self._read_started_at = 0.0
         self._received_at = 0.0
         self._awaiting_head = False
-        self._idle_limit_seconds = DEFAULT_REST_SECONDS
+        self._idle_limit_seconds = DEFAULT_IDLE_SECONDS
 
     def expect(self, request_id: str) -> None:
         """Discard answers to other requests than this one from now on."""
@@ -129,7 +129,7 @@
             if answered_id is None or self._expected_id is None or answered_id == self._expected_id:
                 self._awaiting_head = False
                 # Set before the body is read, since the connection becomes idle with its last byte.
-                self._idle_limit_seconds = rest_seconds(message.headers.get(names.KEEP_ALIVE))
+                self._idle_limit_seconds = idle_limit_seconds(message.headers.get(names.KEEP_ALIVE))
                 return message, payload
             self.force_close()
 
@@ -185,7 +185,7 @@
         return await super().start(connection)
 
 
-class WatchedConnector(aiohttp.TCPConnector):
+class SilenceAwareConnector(aiohttp.TCPConnector):
     """A connection pool that does not reuse idle connections to an address found silent.
 
     Attributes:
@@ -197,7 +197,7 @@
         super().__init__(
             limit=0,
             limit_per_host=0,
-            keepalive_timeout=MOST_REST_SECONDS,
+            keepalive_timeout=MAX_IDLE_SECONDS,
             use_dns_cache=False,
             socket_factory=make_socket,
         )
@@ -220,13 +220,13 @@
             self.resting[f"{key.host}:{key.port}"] = protocol.reusable_until
 
 
-def rest_seconds(announced: str | None) -> float:
+def idle_limit_seconds(announced: str | None) -> float:
     """Return how long a connection may stay idle, from the ``Keep-Alive`` field of an answer."""
     for parameter in (announced or "").split(","):
         name, _, value = parameter.partition("=")
         if name.strip().lower() == "timeout" and value.strip().isdecimal():
-            return min(MOST_REST_SECONDS, REST_SHARE * int(value))
-    return DEFAULT_REST_SECONDS
+            return min(MAX_IDLE_SECONDS, KEEP_ALIVE_SHARE * int(value))
+    return DEFAULT_IDLE_SECONDS
 
 
 def make_socket(address: Any) -> socket.socket:
@@ -246,7 +246,7 @@
 def make_runner_session() -> aiohttp.ClientSession:
     """Return a session for requests to runners; it never retries a request."""
     session = aiohttp.ClientSession(
-        connector=WatchedConnector(),
+        connector=SilenceAwareConnector(),
         response_class=StrictResponse,
         auto_decompress=False,
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_LIMIT_SECONDS),
@@ -257,25 +257,27 @@
     return session
 
 
-def resting_connections(session: aiohttp.ClientSession) -> Mapping[str, float]:
+def idle_connections(session: aiohttp.ClientSession) -> Mapping[str, float]:
     """Return until when an idle connection to each ``IP:PORT`` may be reused; updated live."""
-    assert isinstance(session.connector, WatchedConnector)
+    assert isinstance(session.connector, SilenceAwareConnector)
     return session.connector.resting
 
 
 def make_store_session() -> aiohttp.ClientSession:
     """Return a session for calls to the store."""
-    return aiohttp.ClientSession(connector=WatchedConnector(), cookie_jar=aiohttp.DummyCookieJar())
+    return aiohttp.ClientSession(
+        connector=SilenceAwareConnector(), cookie_jar=aiohttp.DummyCookieJar()
+    )
 
 
-def note_silence(session: aiohttp.ClientSession, address: str) -> None:
+def record_silent_address(session: aiohttp.ClientSession, address: str) -> None:
     """Record that a call to ``IP:PORT`` timed out, or that the process there has ended.
 
     aiohttp closes the connection of the call itself; idle connections to the same address are not
     reused after this. If a machine fails without closing its connections, nothing else shows that
     they are unusable before a request is sent, and a request that may run only once then fails.
     """
-    if isinstance(session.connector, WatchedConnector):
+    if isinstance(session.connector, SilenceAwareConnector):
         session.connector.silent.record(split_address(address))
 
 
@@ -319,7 +321,7 @@
             return Reply(await response.read(), response.status, response.headers)
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         if isinstance(error, TimeoutError):
-            note_silence(session, call.address)
+            record_silent_address(session, call.address)
         text = str(error) or type(error).__name__
         step = f"{call.method} {call.path.partition('?')[0]}"
         raise BackendError(text, step=step, peer=call.address) from error
--- a/src/hillstack/platform/incarnations.py
+++ b/src/hillstack/platform/incarnations.py
@@ -33,7 +33,7 @@
     return instance if separator else runner_id
 
 
-def check_process(runner_id: str, born: int, step: str) -> None:
+def check_runner_process(runner_id: str, born: int, step: str) -> None:
     """Check that the process that answered is the one that was addressed.
 
     The check passes if the start time of either process is unknown.
--- a/src/hillstack/platform/names.py
+++ b/src/hillstack/platform/names.py
@@ -52,7 +52,7 @@
 WATCH_PATH = "/kv-watch"
 TXN_PATH = "/kv-txn"
 LEASE_PATH = "/kv-lease"
-KEEP_PATH = "/kv-keep"
+LEASE_RENEWAL_PATH = "/kv-keep"
 LEASE_END_PATH = "/kv-lease-end"
 
 # Query parameters of calls to the metadata store.
--- a/src/hillstack/platform/rollouts.py
+++ b/src/hillstack/platform/rollouts.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutLine:
+class RolloutSummary:
     """The order, record and status that the store holds for one service's rollout.
 
     Attributes:
@@ -64,16 +64,16 @@
     return msgspec.json.encode(RolloutStatusBody(STATES[record.stage], record.target))
 
 
-def rollout_lines(
+def rollout_summaries(
     orders: Iterable[StoredItem], records: Iterable[StoredItem], statuses: Iterable[StoredItem]
-) -> list[RolloutLine]:
+) -> list[RolloutSummary]:
     """Return an entry for each service that has an order, a record or a status in the store."""
     orders_by_service = dict(_orders(orders))
     records_by_service = dict(_records(records))
     states_by_service = dict(_states(statuses))
     services = sorted({*orders_by_service, *records_by_service, *states_by_service})
     return [
-        RolloutLine(
+        RolloutSummary(
             service,
             orders_by_service.get(service),
             records_by_service.get(service),
--- a/src/hillstack/platform/runner_signals.py
+++ b/src/hillstack/platform/runner_signals.py
@@ -30,7 +30,7 @@
 MAX_BACKOFF_SECONDS = 600.0
 # Requests per second. More than all nodes send to all runners of the largest fleet, so a higher
 # limit has no effect.
-MAX_LIMIT = 1_000_000.0
+MAX_REQUESTS_PER_SECOND = 1_000_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
         """
         ...
 
-    def unknown_field(self, runner_id: str, name: str, value: str) -> None:
+    def handle_unknown_field(self, runner_id: str, name: str, value: str) -> None:
         """Handle a header field of an answer that hillstack does not know.
 
         Args:
@@ -102,21 +102,21 @@
         source = AnswerSource(
             asked.kind, status, clock.seconds() - asked.at, asked.request_id, is_complete
         )
-        self._listener.heard(runner_id, signals_of(status, headers), source)
+        self._listener.heard(runner_id, parse_signals(status, headers), source)
         for name in unknown_fields(headers):
-            self._listener.unknown_field(runner_id, name.lower(), headers[name])
+            self._listener.handle_unknown_field(runner_id, name.lower(), headers[name])
 
 
-def signals_of(status: int, headers: Mapping[str, str]) -> RunnerSignals:
+def parse_signals(status: int, headers: Mapping[str, str]) -> RunnerSignals:
     """Return the signals in the head of an answer."""
     leaving = headers.get(names.LEAVING, "").strip() == FLAG_SET
     backoff = 0.0
     if status == SERVICE_UNAVAILABLE:
-        backoff = backoff_of(headers.get(names.RETRY_AFTER, ""))
+        backoff = parse_backoff(headers.get(names.RETRY_AFTER, ""))
     return RunnerSignals(leaving, backoff, limit_of(headers.get(names.REQUEST_LIMIT, "")))
 
 
-def backoff_of(text: str) -> float:
+def parse_backoff(text: str) -> float:
     """Return the backoff in seconds that a text states; 0 if it can't be parsed."""
     text = text.strip()
     if not DECIMAL.fullmatch(text):
@@ -129,4 +129,4 @@
     text = text.strip()
     if not DECIMAL.fullmatch(text):
         return None
-    return min(MAX_LIMIT, float(text))
+    return min(MAX_REQUESTS_PER_SECOND, float(text))
--- a/src/hillstack/platform/runners.py
+++ b/src/hillstack/platform/runners.py
@@ -19,7 +19,7 @@
 from hillstack.platform import names
 from hillstack.platform.bodies import OrderBody, ReportBody
 from hillstack.platform.connections import OutgoingCall, send_call
-from hillstack.platform.incarnations import check_process, instance_of
+from hillstack.platform.incarnations import check_runner_process, instance_of
 from hillstack.platform.runner_signals import Asked, SignalListener, SignalReader
 from hillstack.serving.types import (
     Dispatch,
@@ -171,7 +171,7 @@
             body = msgspec.json.decode(reply.body, type=ReportBody)
         except msgspec.MsgspecError as error:
             raise BackendError(str(error), step="decode report", peer=runner_id) from error
-        check_process(runner_id, body.born, "report")
+        check_runner_process(runner_id, body.born, "report")
         self._signals.read(runner_id, reply.status, reply.headers, asked)
         weights = {model.name: model.version for model in body.models}
         return RunnerReport(weights, body.busy, body.seq)
--- a/src/hillstack/platform/store.py
+++ b/src/hillstack/platform/store.py
@@ -39,14 +39,14 @@
     TxnRequest,
     WatchBody,
 )
-from hillstack.platform.connections import note_silence
+from hillstack.platform.connections import record_silent_address
 from hillstack.platform.formats import listed_keys, to_event
 from hillstack.platform.rollouts import (
-    RolloutLine,
+    RolloutSummary,
     encode_rollout_record,
     encode_rollout_status,
     rollout_duty_key,
-    rollout_lines,
+    rollout_summaries,
 )
 from hillstack.platform.unreadable import UnreadableItems
 from hillstack.serving.store_events import RolloutRecorded, StoreEvent
@@ -132,28 +132,28 @@
         """The latest known era of the store."""
         return self._era.current
 
-    async def snapshot(self, *, may_be_old: bool = False) -> Snapshot:
+    async def snapshot(self, *, allow_stale: bool = False) -> Snapshot:
         """Return all items of the store.
 
         The pages are read at different revisions, so a watch has to start from the earliest one.
 
         Args:
-            may_be_old: Whether the answer may be some seconds old, at a tenth of the cost.
+            allow_stale: Whether the answer may be some seconds old, at a tenth of the cost.
 
         Raises:
             PlatformError: A call failed, or the store was restored between two pages.
         """
-        era, pages = await self._pages("", may_be_old)
+        era, pages = await self._pages("", allow_stale)
         revisions = [StoreRevision(era, page.at) for page in pages]
         items = [_to_stored_item(item, era) for page in pages for item in page.items]
         return Snapshot(self.read_items(items), min(revisions), max(revisions))
 
     async def _list(self, prefix: str) -> list[StoredItem]:
         """Return all items whose keys start with a prefix."""
-        era, pages = await self._pages(prefix, may_be_old=False)
+        era, pages = await self._pages(prefix, allow_stale=False)
         return [_to_stored_item(item, era) for page in pages for item in page.items]
 
-    async def _pages(self, prefix: str, may_be_old: bool) -> tuple[int, list[RangeBody]]:
+    async def _pages(self, prefix: str, allow_stale: bool) -> tuple[int, list[RangeBody]]:
         """Return all pages of items whose keys start with a prefix, and the era of the pages."""
         pages: list[RangeBody] = []
         eras: set[int] = set()
@@ -161,9 +161,9 @@
         while True:
             query = {names.PREFIX_PARAMETER: prefix}
             query |= {names.AFTER_PARAMETER: after} if after else {}
-            query |= {names.STALE_PARAMETER: "1"} if may_be_old else {}
+            query |= {names.STALE_PARAMETER: "1"} if allow_stale else {}
             answer = await self._call(
-                "GET", names.RANGE_PATH, "list", query=query, may_be_old=may_be_old
+                "GET", names.RANGE_PATH, "list", query=query, allow_stale=allow_stale
             )
             page = self._decode(answer, RangeBody)
             pages.append(page)
@@ -284,7 +284,7 @@
         return StoreRevision(answer.era, self._decode(answer, TxnBody).rev)
 
     async def write_rollout(
-        self, record: RolloutRecord, fence: StoreRevision, tell_operator: bool
+        self, record: RolloutRecord, fence: StoreRevision, update_operator_status: bool
     ) -> StoreRevision | None:
         """Replace a rollout's record, and optionally the status that the operator reads.
 
@@ -302,7 +302,7 @@
             RevisionIs(rollout_duty_key(service), fence),
         ]
         puts = [Put(record_key, encode_rollout_record(record))]
-        if tell_operator:
+        if update_operator_status:
             status = Put(names.ROLLOUT_STATUS_PREFIX + service, encode_rollout_status(record))
             # The record comes last, since a transaction returns the revision of its last write.
             puts.insert(0, status)
@@ -316,9 +316,9 @@
         event = to_event(StoredItem(entry.key, entry.mod_revision, entry.value))
         return event.record if isinstance(event, RolloutRecorded) else None
 
-    async def rollout_lines(self) -> list[RolloutLine]:
+    async def rollout_summaries(self) -> list[RolloutSummary]:
         """Return the order, record and status of each service's rollout."""
-        return rollout_lines(
+        return rollout_summaries(
             await self._list(names.ROLLOUTS_PREFIX),
             await self._list(names.ROLLOUT_RECORDS_PREFIX),
             await self._list(names.ROLLOUT_STATUS_PREFIX),
@@ -335,7 +335,7 @@
     async def keep_alive(self, lease_id: int) -> bool:
         """Renew a lease; return False if the lease has ended."""
         try:
-            path = f"{names.KEEP_PATH}/{lease_id}"
+            path = f"{names.LEASE_RENEWAL_PATH}/{lease_id}"
             await self._call("POST", path, "renew lease", limit=LEASE_CALL_LIMIT_SECONDS)
         except _StatusError as error:
             if error.status == NOT_FOUND:
@@ -371,7 +371,7 @@
         query: dict[str, str] | None = None,
         body: object = None,
         limit: float = CALL_LIMIT_SECONDS,
-        may_be_old: bool = False,
+        allow_stale: bool = False,
     ) -> _Answer:
         url = self._base_url + path
         if query:
@@ -391,10 +391,10 @@
             raise PlatformUnavailableError(str(error), step=step, peer=self._address) from error
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             if isinstance(error, TimeoutError):
-                note_silence(self._session, self._address)
+                record_silent_address(self._session, self._address)
             text = str(error) or type(error).__name__
             raise PlatformOutcomeUnknownError(text, step=step, peer=self._address) from error
-        era = self._era.era_of_answer(named_era, era_before_call, may_be_old=may_be_old)
+        era = self._era.era_of_answer(named_era, era_before_call, allow_stale=allow_stale)
         if era is None:
             raise OutdatedAnswerError(
                 "answer from an earlier store era", step=step, peer=self._address
--- a/src/hillstack/serving/signal_intake.py
+++ b/src/hillstack/serving/signal_intake.py
@@ -71,7 +71,7 @@
         if limit is not None:
             self._on_limit(runner_id, limit)
 
-    def unknown_field(self, runner_id: str, name: str, value: str) -> None:
+    def handle_unknown_field(self, runner_id: str, name: str, value: str) -> None:
         """Count a header field that is not known, and log the first one of each name."""
         if name not in self._unknown_fields:
             if len(self._unknown_fields) >= MAX_UNKNOWN_FIELDS:
--- a/tests/fleet/node_network.py
+++ b/tests/fleet/node_network.py
@@ -130,8 +130,8 @@
         self._node_id = node_id
         self._store_era = store_era
 
-    async def snapshot(self, *, may_be_old: bool = False) -> Snapshot:
-        if may_be_old:
+    async def snapshot(self, *, allow_stale: bool = False) -> Snapshot:
+        if allow_stale:
             self._store.stale_read_calls[self._node_id] += 1
         else:
             self._store.calls[self._node_id] += 1
--- a/tests/fleet/rollout_bench.py
+++ b/tests/fleet/rollout_bench.py
@@ -131,15 +131,15 @@
         self.expire()
 
     async def write_rollout(
-        self, record: RolloutRecord, fence: StoreRevision, tell_operator: bool
+        self, record: RolloutRecord, fence: StoreRevision, update_operator_status: bool
     ) -> StoreRevision | None:
         await self._call()
         if self.hold > 0:
             self.hold -= 1
-            self.held.append((record, fence, tell_operator))
+            self.held.append((record, fence, update_operator_status))
             await asyncio.sleep(ANSWER_TIMEOUT_SECONDS)
             raise PlatformOutcomeUnknownError("no answer", step="write", peer="store")
-        revision = self.take(record, fence, tell_operator)
+        revision = self.take(record, fence, update_operator_status)
         if self.lose > 0:
             self.lose -= 1
             await asyncio.sleep(ANSWER_TIMEOUT_SECONDS)
@@ -151,7 +151,7 @@
         return self.record
 
     def take(
-        self, record: RolloutRecord, fence: StoreRevision, tell_operator: bool
+        self, record: RolloutRecord, fence: StoreRevision, update_operator_status: bool
     ) -> StoreRevision | None:
         """Apply a write of a record if its order, its revision and its fence are current."""
         self.expire()
@@ -174,7 +174,7 @@
             record.elapsed_seconds,
         )
         self.records.append((self.scheduler.now, self.record))
-        if tell_operator:
+        if update_operator_status:
             self.told.append((self.scheduler.now, STATUS[record.stage], record.target))
             self.told_of.append(record.order_revision)
         return self.record.revision
--- a/tests/fleet/test_adapter_boundary.py
+++ b/tests/fleet/test_adapter_boundary.py
@@ -39,7 +39,7 @@
     names.WATCH_PATH,
     names.TXN_PATH,
     names.LEASE_PATH,
-    names.KEEP_PATH,
+    names.LEASE_RENEWAL_PATH,
     names.LEASE_END_PATH,
     names.CACHE_EVENTS_PATH,
     names.CACHE_LIST_PATH,
--- a/tests/fleet/test_resting_connections.py
+++ b/tests/fleet/test_resting_connections.py
@@ -20,12 +20,12 @@
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.runner_pool import Runner
 from hillstack.platform.connections import (
-    DEFAULT_REST_SECONDS,
-    MOST_REST_SECONDS,
-    REST_SHARE,
-    WatchedConnector,
+    DEFAULT_IDLE_SECONDS,
+    KEEP_ALIVE_SHARE,
+    MAX_IDLE_SECONDS,
+    SilenceAwareConnector,
+    idle_limit_seconds,
     make_runner_session,
-    rest_seconds,
 )
 from hillstack.platform.runners import HttpRunnerClient
 from hillstack.serving.types import Dispatch
@@ -43,18 +43,18 @@
 @pytest.mark.parametrize(
     ("announced", "expected"),
     [
-        ("timeout=10", 10 * REST_SHARE),
-        ("max=100, Timeout=8", 8 * REST_SHARE),
-        ("timeout=3600", MOST_REST_SECONDS),
-        ("timeout=soon", DEFAULT_REST_SECONDS),
-        ("", DEFAULT_REST_SECONDS),
-        (None, DEFAULT_REST_SECONDS),
+        ("timeout=10", 10 * KEEP_ALIVE_SHARE),
+        ("max=100, Timeout=8", 8 * KEEP_ALIVE_SHARE),
+        ("timeout=3600", MAX_IDLE_SECONDS),
+        ("timeout=soon", DEFAULT_IDLE_SECONDS),
+        ("", DEFAULT_IDLE_SECONDS),
+        (None, DEFAULT_IDLE_SECONDS),
     ],
 )
 def test_a_connection_stays_idle_for_a_share_of_the_announced_keep_alive_time(
     announced: str | None, expected: float
 ) -> None:
-    assert rest_seconds(announced) == expected
+    assert idle_limit_seconds(announced) == expected
 
 
 def connections_opened(announced: str) -> tuple[int, dict[str, float], str]:
@@ -86,7 +86,7 @@
             await answer.whole_body()
             answer.close()
         connector = session.connector
-        assert isinstance(connector, WatchedConnector)
+        assert isinstance(connector, SilenceAwareConnector)
         resting = dict(connector.resting)
         await session.close()
         server.close()
--- a/tests/fleet/test_runner_limits.py
+++ b/tests/fleet/test_runner_limits.py
@@ -36,7 +36,7 @@
 from hillstack.messages.datagrams import DatagramKind
 from hillstack.messages.peer_notices import NO_LIMIT, PROTOCOL_VERSION, LimitNotice, NodeNotice
 from hillstack.platform import names
-from hillstack.platform.runner_signals import MAX_LIMIT, limit_of, signals_of
+from hillstack.platform.runner_signals import MAX_REQUESTS_PER_SECOND, limit_of, parse_signals
 from hillstack.serving.metrics import FleetMetrics
 from hillstack.serving.runner_limits import (
     ANSWER_SECONDS,
@@ -95,7 +95,7 @@
         ("1e3", None),
         ("1,5", None),
         ("٣", None),
-        ("9" * 400, MAX_LIMIT),
+        ("9" * 400, MAX_REQUESTS_PER_SECOND),
     ],
 )
 def test_a_limit_is_a_decimal_number_and_any_other_text_is_no_limit(
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("status", [200, 421, 429, 500, 503, 504])
 def test_answers_of_any_status_name_a_limit(status: int) -> None:
-    assert signals_of(status, {names.REQUEST_LIMIT: "2"}).limit == 2.0
+    assert parse_signals(status, {names.REQUEST_LIMIT: "2"}).limit == 2.0
 
 
 def test_a_runner_with_limit_zero_is_probed_seldom() -> None:
--- a/tests/fleet/test_runner_restarts.py
+++ b/tests/fleet/test_runner_restarts.py
@@ -24,7 +24,7 @@
 )
 from hillstack.platform import names
 from hillstack.platform.formats import to_event
-from hillstack.platform.incarnations import check_process, instance_of, runner_id_of
+from hillstack.platform.incarnations import check_runner_process, instance_of, runner_id_of
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.store_events import RunnerUnlisted
 from tests.fleet.builders import ENGINES, MODEL, make_route, make_state, make_table, rev
@@ -191,13 +191,13 @@
 
 
 def test_only_an_answer_of_a_later_process_shows_that_a_process_has_ended() -> None:
-    check_process(FIRST, 1_000, "report")
-    check_process(FIRST, 0, "report")
-    check_process("i-1", 5_000, "report")
+    check_runner_process(FIRST, 1_000, "report")
+    check_runner_process(FIRST, 0, "report")
+    check_runner_process("i-1", 5_000, "report")
     with pytest.raises(RunnerRestartedError):
-        check_process(FIRST, 1_001, "report")
+        check_runner_process(FIRST, 1_001, "report")
     with pytest.raises(BackendError) as caught:
-        check_process(FIRST, 999, "report")
+        check_runner_process(FIRST, 999, "report")
     assert not isinstance(caught.value, RunnerRestartedError)
 
 
--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -36,8 +36,8 @@
     MAX_BACKOFF_SECONDS,
     Asked,
     SignalReader,
-    backoff_of,
-    signals_of,
+    parse_backoff,
+    parse_signals,
 )
 from hillstack.platform.runners import HttpRunnerClient
 from hillstack.serving.fleet_state import UNLISTED_GRACE_SECONDS
@@ -86,7 +86,7 @@
     def heard(self, runner_id: str, signals: RunnerSignals, source: AnswerSource) -> None:
         self.signals.append((runner_id, signals, str(source)))
 
-    def unknown_field(self, runner_id: str, name: str, value: str) -> None:
+    def handle_unknown_field(self, runner_id: str, name: str, value: str) -> None:
         self.unknown.append((runner_id, name, value))
 
 
@@ -118,15 +118,15 @@
 def test_a_backoff_is_read_in_seconds_and_bounded_and_any_other_text_is_no_backoff(
     text: str, seconds: float
 ) -> None:
-    assert backoff_of(text) == seconds
+    assert parse_backoff(text) == seconds
 
 
 def test_only_a_refusal_with_status_503_asks_for_a_backoff() -> None:
     headers = {names.RETRY_AFTER: "3", names.LEAVING: "1"}
-    assert signals_of(503, headers) == RunnerSignals(leaving=True, backoff_seconds=3.0)
+    assert parse_signals(503, headers) == RunnerSignals(leaving=True, backoff_seconds=3.0)
     for status in (200, 421, 429, 500, 504):
-        assert signals_of(status, headers) == LEAVING
-    assert not signals_of(503, {names.LEAVING: "0"})
+        assert parse_signals(status, headers) == LEAVING
+    assert not parse_signals(503, {names.LEAVING: "0"})
 
 
 def test_signals_of_another_runner_at_the_same_address_are_attributed_to_that_runner() -> None:
--- a/tests/fleet/test_silent_connections.py
+++ b/tests/fleet/test_silent_connections.py
@@ -18,11 +18,11 @@
 from hillstack.platform.connections import (
     PROBE_IDLE_SECONDS,
     UNACKNOWLEDGED_LIMIT_MS,
-    WatchedConnector,
+    SilenceAwareConnector,
     make_runner_session,
     make_socket,
     make_store_session,
-    note_silence,
+    record_silent_address,
 )
 from hillstack.platform.runners import HttpRunnerClient
 from hillstack.platform.store import MetadataStore
@@ -205,7 +205,7 @@
     make_session: Callable[[], aiohttp.ClientSession],
 ) -> None:
     async def use(server: SilencedServer, session: aiohttp.ClientSession) -> None:
-        assert isinstance(session.connector, WatchedConnector)
+        assert isinstance(session.connector, SilenceAwareConnector)
         assert session.connector._socket_factory is make_socket
 
     run(make_session, use)
@@ -223,7 +223,7 @@
         client = HttpRunnerClient(session)
         await run_concurrently(send(client, server.address, f"r-{number}") for number in range(3))
         server.silence_open_connections()
-        note_silence(session, server.address)
+        record_silent_address(session, server.address)
         assert await send(client, server.address, "r-4") == b"body"
         assert server.opened == 4
 
--- a/tests/fleet/test_store_era.py
+++ b/tests/fleet/test_store_era.py
@@ -67,9 +67,9 @@
 
 def test_the_first_era_received_is_not_reported_as_new() -> None:
     eras = NewEras()
-    assert eras.era.era_of_answer(7, 0, may_be_old=False) == 7
+    assert eras.era.era_of_answer(7, 0, allow_stale=False) == 7
     assert eras.told_by == []
-    assert eras.era.era_of_answer(9, 7, may_be_old=False) == 9
+    assert eras.era.era_of_answer(9, 7, allow_stale=False) == 9
     eras.era.hear(10, "node-2")
     assert eras.told_by == [STORE, "node-2"]
 
@@ -79,15 +79,15 @@
     eras = NewEras()
     eras.era.hear(3, STORE)
     eras.era.hear(4, "node-2")
-    assert eras.era.era_of_answer(3, 3, may_be_old=False) is None
-    assert eras.era.era_of_answer(None, 3, may_be_old=False) is None
+    assert eras.era.era_of_answer(3, 3, allow_stale=False) is None
+    assert eras.era.era_of_answer(None, 3, allow_stale=False) is None
     assert eras.fallen == 0
 
 
 def test_a_list_that_may_be_old_does_not_show_a_decreased_era() -> None:
     eras = NewEras()
     eras.era.hear(4, STORE)
-    assert eras.era.era_of_answer(3, 4, may_be_old=True) is None
+    assert eras.era.era_of_answer(3, 4, allow_stale=True) is None
     assert eras.fallen == 0
 
 
@@ -96,7 +96,7 @@
     eras = NewEras()
     eras.era.hear(4, STORE)
     for _ in range(3):
-        assert eras.era.era_of_answer(2, 4, may_be_old=False) == 4
+        assert eras.era.era_of_answer(2, 4, allow_stale=False) == 4
     assert eras.fallen == 1
 
 
--- a/tests/fleet/test_store_sync.py
+++ b/tests/fleet/test_store_sync.py
@@ -91,7 +91,7 @@
     # Whether polls return no changes although changes are made.
     hides_changes: bool = False
 
-    async def snapshot(self, *, may_be_old: bool = False) -> Snapshot:
+    async def snapshot(self, *, allow_stale: bool = False) -> Snapshot:
         self.calls += 1
         self.loads += 1
         if isinstance(self.failure, PlatformUnavailableError):
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -555,7 +555,7 @@
     Mutation(
         "a call of the store without an answer is forgotten",
         "platform/store.py",
-        "note_silence(self._session, self._address)",
+        "record_silent_address(self._session, self._address)",
         "pass",
     ),
     Mutation(
@@ -978,7 +978,7 @@
     Mutation(
         "answers of an earlier era count",
         "core/store_era.py",
-        "if may_be_old or era_at_request < self.current:",
+        "if allow_stale or era_at_request < self.current:",
         "if False:",
     ),
     Mutation(
