--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -239,7 +239,7 @@
             store,
             self._state,
             self._changes,
-            self._sync.read_anew,
+            self._sync.request_reload,
             self._clock,
             rng,
             store_relay,
--- a/src/hillstack/daemon/store_check.py
+++ b/src/hillstack/daemon/store_check.py
@@ -50,7 +50,7 @@
         store: The store.
         state: State of this node.
         log: The changes that this node has applied.
-        read_anew: Called when a difference is found, to reload the whole store.
+        request_reload: Called when a difference is found, to reload the whole store.
         clock: Monotonic clock in seconds.
         rng: Source of randomness.
         peers: Asks peers for their changes.
@@ -62,7 +62,7 @@
         store: Store,
         state: FleetState,
         log: ChangeLog,
-        read_anew: Callable[[], None],
+        request_reload: Callable[[], None],
         clock: Callable[[], float],
         rng: Random,
         peers: Peers | None = None,
@@ -71,7 +71,7 @@
         self._store = store
         self._state = state
         self._log = log
-        self._read_anew = read_anew
+        self._read_anew = request_reload
         self._clock = clock
         self._rng = rng
         self._peers = peers
--- a/src/hillstack/daemon/store_sync.py
+++ b/src/hillstack/daemon/store_sync.py
@@ -176,7 +176,7 @@
         self._history_lost = False
         self._restore_event = asyncio.Event()
         state.store_era.handle_new(self._on_new_era)
-        state.store_era.handle_decreased(self.read_anew)
+        state.store_era.handle_decreased(self.request_reload)
 
     async def run(self) -> None:
         """Poll and apply changes until cancelled."""
@@ -220,7 +220,7 @@
         """Poll soon, because the store was restored to an older state."""
         self._restore_event.set()
 
-    def read_anew(self) -> None:
+    def request_reload(self) -> None:
         """Reload the whole store at the next poll, because the local copy differs from it."""
         self._must_reload = True
 
--- a/tests/fleet/node_network.py
+++ b/tests/fleet/node_network.py
@@ -207,7 +207,7 @@
     buckets: TokenBuckets
     runner_limits: LimitClient
     log: ChangeLog
-    read_anew: Callable[[], None] = lambda: None
+    request_reload: Callable[[], None] = lambda: None
     placements: list[PlacementNotice] = field(default_factory=list)
     reads: list[tuple[str, int]] = field(default_factory=list)
     cut: bool = False
@@ -430,9 +430,9 @@
             clock,
             rng,
         )
-        node.read_anew = sync.read_anew
+        node.request_reload = sync.request_reload
         check = StoreCheck(
-            client, node.state, node.log, sync.read_anew, clock, rng, relay, sync.nearer_peers
+            client, node.state, node.log, sync.request_reload, clock, rng, relay, sync.nearer_peers
         )
         start_after = self._start_spread * rng.random()
 
--- a/tests/fleet/test_relays.py
+++ b/tests/fleet/test_relays.py
@@ -434,7 +434,7 @@
     network: NodeNetwork,
 ) -> None:
     node = other_than(network, *(relay_of(network, f"zone-{n}") for n in range(ZONES)))
-    node.read_anew()
+    node.request_reload()
     network.store.down_for = {node.node_id}
     network.run(20.0)
     assert node.state.freshness.is_fresh(network.scheduler.now)
