--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -38,7 +38,7 @@
 from hillstack.daemon.limit_client import LEASE_SECONDS, LimitClient
 from hillstack.daemon.limit_holder import LimitHolder
 from hillstack.daemon.limit_scopes import RUNNER_START_SHARE, RUNNER_TOLERANCE, runner_scope
-from hillstack.daemon.limited_calls import LimitedFeed, LimitedOrders
+from hillstack.daemon.limited_calls import RateLimitedCacheFeed, RateLimitedOrderSender
 from hillstack.daemon.loop_lag import LoopLag
 from hillstack.daemon.metrics_page import MetricsPage
 from hillstack.daemon.metrics_server import serve_metrics
@@ -175,7 +175,7 @@
         runner_limits = RunnerLimits(
             self._state.pool, self._shared_runner_limits, self._metrics, self._clock
         )
-        feed = LimitedFeed(
+        feed = RateLimitedCacheFeed(
             HttpCacheFeed(self._runner_session, signals),
             runner_limits,
             self._state.pool,
@@ -257,7 +257,7 @@
         self._duty = WeightsRolloutDuty(
             self._state,
             lease,
-            LimitedOrders(runners, runner_limits),
+            RateLimitedOrderSender(runners, runner_limits),
             self._peers,
             bounds.lease_ms / 1000,
             self._clock,
--- a/src/hillstack/daemon/limited_calls.py
+++ b/src/hillstack/daemon/limited_calls.py
@@ -26,7 +26,7 @@
 ORDER_PATIENCE_SECONDS = 0.5
 
 
-class LimitedFeed:
+class RateLimitedCacheFeed:
     """Reads the contents of cache holders, less often from runners with a limit.
 
     Args:
@@ -74,7 +74,7 @@
             continue
 
 
-class LimitedOrders:
+class RateLimitedOrderSender:
     """Sends weights orders and report calls, and waits for the runner's limit for a bounded time.
 
     Args:
--- a/src/hillstack/daemon/loop_lag.py
+++ b/src/hillstack/daemon/loop_lag.py
@@ -32,7 +32,7 @@
         # The startup delays all reads.
         self._behind_until = self._ticked_at + BEHIND_SECONDS
 
-    def ticked(self) -> None:
+    def note_tick(self) -> None:
         """Record a tick."""
         now = self._clock()
         if self._is_late(now):
--- a/src/hillstack/daemon/network_surroundings.py
+++ b/src/hillstack/daemon/network_surroundings.py
@@ -47,7 +47,7 @@
         return await self.client.call(address, message, timeout)
 
 
-class NetworkSurroundings:
+class NetworkEnvironment:
     """Sockets, clocks and randomness of a router process.
 
     Must be created inside a running event loop.
--- a/src/hillstack/daemon/runner_monitor.py
+++ b/src/hillstack/daemon/runner_monitor.py
@@ -48,7 +48,7 @@
         """Check at a regular interval until cancelled."""
         while True:
             await asyncio.sleep(CHECK_SECONDS)
-            self._lag.ticked()
+            self._lag.note_tick()
             suspended = self._suspensions.check()
             if suspended:
                 self._on_suspended(suspended)
--- a/src/hillstack/daemon/server.py
+++ b/src/hillstack/daemon/server.py
@@ -11,7 +11,7 @@
 from hillstack.config.settings import RouterSettings
 from hillstack.core.cache_index import CacheIndex
 from hillstack.core.fleet import Fleet
-from hillstack.daemon.network_surroundings import NetworkSurroundings
+from hillstack.daemon.network_surroundings import NetworkEnvironment
 from hillstack.daemon.node import Node
 from hillstack.daemon.suspensions import SuspendAwareEventLoop
 from hillstack.gateway.app import make_app
@@ -35,7 +35,7 @@
     def __init__(self, settings: RouterSettings) -> None:
         self._settings = settings
         index = CacheIndex()
-        self._node = Node(settings, NetworkSurroundings(settings, index), Fleet(), index)
+        self._node = Node(settings, NetworkEnvironment(settings, index), Fleet(), index)
         self._stop = asyncio.Event()
 
     async def run(self) -> None:
--- a/tests/fleet/test_callers_leave.py
+++ b/tests/fleet/test_callers_leave.py
@@ -185,17 +185,17 @@
     assert lag.is_behind()
     for _ in range(30):
         now += 0.1
-        lag.ticked()
+        lag.note_tick()
     assert not lag.is_behind()
     now += 0.6
     assert lag.is_behind()
-    lag.ticked()
+    lag.note_tick()
     now += 0.1
-    lag.ticked()
+    lag.note_tick()
     assert lag.is_behind()
     for _ in range(20):
         now += 0.1
-        lag.ticked()
+        lag.note_tick()
     assert not lag.is_behind()
 
 
--- a/tests/fleet/test_limit_network.py
+++ b/tests/fleet/test_limit_network.py
@@ -304,12 +304,12 @@
     end = network.scheduler.now + 20.0
     while network.scheduler.now < end:
         network.run(rng.uniform(0.5, 2.5))
-        strike(network, rng.choice(FAULTS), rng)
+        inject_fault(network, rng.choice(FAULTS), rng)
     assert_never_above(traffic)
     network.close()
 
 
-def strike(network: NodeNetwork, fault: str, rng: Random) -> None:
+def inject_fault(network: NodeNetwork, fault: str, rng: Random) -> None:
     """Inject a fault into some nodes."""
     names = sorted(network.nodes)
     nodes = network.nodes
--- a/tests/fleet/test_runner_limits.py
+++ b/tests/fleet/test_runner_limits.py
@@ -28,8 +28,8 @@
 from hillstack.daemon.limited_calls import (
     LONGEST_FEED_PAUSE_SECONDS,
     ORDER_PATIENCE_SECONDS,
-    LimitedFeed,
-    LimitedOrders,
+    RateLimitedCacheFeed,
+    RateLimitedOrderSender,
 )
 from hillstack.daemon.notice_reader import NoticeReader
 from hillstack.daemon.weights_orders import OrderOutcome, RunnerReport, WeightsOrder
@@ -58,7 +58,7 @@
 from tests.fleet.fake_runners import FakeLimiter, answers, breaks, refuses
 from tests.fleet.node_network import NodeNetwork, list_runners
 from tests.fleet.runner_limit_traffic import RunnerTraffic, constant
-from tests.fleet.test_limit_network import FAULTS, strike
+from tests.fleet.test_limit_network import FAULTS, inject_fault
 from tests.fleet.test_pipeline import EVENTS, PARTS, RESET, Bench, make_bench, make_stream_bench
 
 NOW = 100.0
@@ -420,7 +420,7 @@
     pool.update(make_entry("i-1", ENGINES))
     feed = FakeFeed(scheduler)
     limits = RunnerLimits(pool, FakeLimiter(), FleetMetrics(), scheduler.clock)
-    limited = LimitedFeed(feed, limits, pool, scheduler.clock)
+    limited = RateLimitedCacheFeed(feed, limits, pool, scheduler.clock)
 
     async def follow() -> None:
         while True:
@@ -452,7 +452,8 @@
     feed = FakeFeed(scheduler)
     limits = RunnerLimits(pool, limiter, FleetMetrics(), scheduler.clock)
     task = scheduler.spawn(
-        scheduler.new_loop(), LimitedFeed(feed, limits, pool, scheduler.clock).listing(HOLDER)
+        scheduler.new_loop(),
+        RateLimitedCacheFeed(feed, limits, pool, scheduler.clock).listing(HOLDER),
     )
     scheduler.run_until(60.0)
     assert feed.asked_at == []
@@ -485,7 +486,7 @@
     limiter.wait = 3.0
     sender = FakeOrders(scheduler)
     limits = RunnerLimits(pool, limiter, FleetMetrics(), scheduler.clock)
-    orders = LimitedOrders(sender, limits)
+    orders = RateLimitedOrderSender(sender, limits)
     order = WeightsOrder("i-1", "10.0.0.1:1", "model-a", 2, "node-1", 1, 0)
 
     async def work() -> None:
@@ -641,7 +642,7 @@
     end = network.scheduler.now + 25.0
     while network.scheduler.now < end:
         network.run(rng.uniform(0.5, 2.5))
-        strike(network, rng.choice(FAULTS), rng)
+        inject_fault(network, rng.choice(FAULTS), rng)
     network.close()
     assert traffic.worst_window() <= allowed(limit)
 
