--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -66,7 +66,7 @@
     return now >= self.suspect_until
 
 
-async def _believe_lost_answers(self: BundleStore, proposed: Any) -> None:
+async def _assume_lost_answers_succeeded(self: BundleStore, proposed: Any) -> None:
     return None
 
 
@@ -145,7 +145,7 @@
         "accepted_bundles_stand",
         BundleStore,
         "_resolve_outcome",
-        _believe_lost_answers,
+        _assume_lost_answers_succeeded,
     ),
     Mutation(
         "only the first bundle is taken",
