--- a/tests/fleet/builders.py
+++ b/tests/fleet/builders.py
@@ -31,7 +31,7 @@
 ENGINES = "engines"
 APPLICATION = "application"
 KEY = "key-1"
-VERSION_GRACE = 7.6
+VERSION_GRACE_SECONDS = 7.6
 
 ENGINE = EngineProfile(
     slots=32,
@@ -119,7 +119,7 @@
 def make_state(
     table: RoutingTable, *entries: RunnerEntry, weights: int = 1, freshness_bound: float = 4.0
 ) -> FleetState:
-    versions = WeightsVersions(VERSION_GRACE)
+    versions = WeightsVersions(VERSION_GRACE_SECONDS)
     state = FleetState("node-1", Freshness(freshness_bound), versions, make_budget())
     state.apply(ConfigurationChanged(table), 0.0)
     state.apply(WeightsNamed(MODEL, weights), -100.0)
--- a/tests/fleet/fake_runners.py
+++ b/tests/fleet/fake_runners.py
@@ -165,14 +165,14 @@
     def __init__(self) -> None:
         self.wait = 0.0
         self.taken: list[tuple[str, float, int]] = []
-        self.given_back: list[tuple[str, float]] = []
+        self.returned_tokens: list[tuple[str, float]] = []
 
     async def take(self, tenant: str, limit: TenantLimit, cost: float, rank: int) -> float:
         self.taken.append((tenant, cost, rank))
         return self.wait
 
     def give_back(self, tenant: str, cost: float) -> None:
-        self.given_back.append((tenant, cost))
+        self.returned_tokens.append((tenant, cost))
 
 
 @dataclass
--- a/tests/fleet/rollout_bench.py
+++ b/tests/fleet/rollout_bench.py
@@ -47,7 +47,7 @@
 CALL_SECONDS = 0.05
 ANSWER_TIMEOUT_SECONDS = 0.5
 REPORT_SECONDS = 0.5
-RUNNERS_EACH = 3
+RUNNERS_PER_VERSION = 3
 # Answers per second of the whole service; the target version gives a tenth of them.
 ANSWERS_PER_SECOND = 120.0
 STATUS = {
@@ -268,7 +268,7 @@
     incarnation: int = 1
     counted: dict[tuple[StoreRevision, str], list[float]] = field(default_factory=dict)
 
-    def talks(self) -> bool:
+    def is_reporting(self) -> bool:
         """Return whether the node serves requests and sends reports of their outcomes."""
         return self.alive and not self.loop.frozen
 
@@ -300,8 +300,8 @@
 
     def add_node(self, name: str) -> Node:
         """Start a node that knows all runners and nodes; it may hold the duty."""
-        entries = [entry(f"old-{n}", OLD) for n in range(RUNNERS_EACH)]
-        entries += [entry(f"new-{n}", NEW) for n in range(RUNNERS_EACH)]
+        entries = [entry(f"old-{n}", OLD) for n in range(RUNNERS_PER_VERSION)]
+        entries += [entry(f"new-{n}", NEW) for n in range(RUNNERS_PER_VERSION)]
         state = make_state(make_table(make_route()), *entries)
         state.node_id = name
         for other in self.names:
@@ -330,7 +330,7 @@
         self.store.order = order
         return order
 
-    def tell_order(self, order: RolloutOrder) -> None:
+    def announce_order(self, order: RolloutOrder) -> None:
         """Announce an order to all nodes, as a node that knows it does while the store is down."""
         self.tell(RolloutOrdered(order))
 
@@ -344,7 +344,7 @@
         self.tell(RunnerListed(entry(name, software, revision)))
 
     def unlist_runners(self, prefix: str) -> None:
-        for n in range(RUNNERS_EACH):
+        for n in range(RUNNERS_PER_VERSION):
             self.tell(RunnerUnlisted(f"{prefix}-{n}", None))
 
     def tell(self, event: StoreEvent) -> None:
@@ -389,7 +389,7 @@
         order = self.store.order
         if order is None or not self.asked:
             return
-        answering = [node for node in self.nodes if node.talks()]
+        answering = [node for node in self.nodes if node.is_reporting()]
         for node in answering:
             for version, share in ((OLD, 0.9), (order.target, 0.1)):
                 answered = share * ANSWERS_PER_SECOND * seconds / len(answering)
@@ -400,7 +400,7 @@
     def _send_reports(self) -> None:
         for sender in self.nodes:
             order = sender.state.rollouts.order(APPLICATION)
-            if not sender.talks() or order is None:
+            if not sender.is_reporting() or order is None:
                 continue
             report = self._report(sender, order)
             for receiver in self.nodes:
--- a/tests/fleet/test_pipeline.py
+++ b/tests/fleet/test_pipeline.py
@@ -36,7 +36,7 @@
     ENGINES,
     KEY,
     MODEL,
-    VERSION_GRACE,
+    VERSION_GRACE_SECONDS,
     make_entry,
     make_request,
     make_rng,
@@ -866,7 +866,7 @@
     rejected = assert_rejected(error, Verdict.OVER_LIMIT)
     assert rejected.retry_after == 1.25
     assert bench.client.dispatches == []
-    assert bench.limiter.given_back == []
+    assert bench.limiter.returned_tokens == []
 
 
 def test_a_request_is_charged_once_for_all_attempts() -> None:
@@ -875,7 +875,7 @@
     bench.serve(make_request())
     assert len(bench.client.dispatches) == 2
     assert bench.limiter.taken == [("tenant-1", 200.0, 1)]
-    assert bench.limiter.given_back == []
+    assert bench.limiter.returned_tokens == []
 
 
 def test_a_request_is_charged_the_tokens_that_it_declares() -> None:
@@ -892,7 +892,7 @@
     make_limited(bench)
     _, error = bench.serve(make_request())
     assert_rejected(error, Verdict.UNAVAILABLE)
-    assert bench.limiter.given_back == [("tenant-1", 200.0)]
+    assert bench.limiter.returned_tokens == [("tenant-1", 200.0)]
 
 
 def test_the_charge_is_kept_if_the_request_may_have_run() -> None:
@@ -902,7 +902,7 @@
     serving = bench.run(bench.pipeline.serve(make_request(), FakeSink()), 1.0)
     serving.cancel()
     bench.scheduler.run_until(2.0)
-    assert bench.limiter.given_back == []
+    assert bench.limiter.returned_tokens == []
 
 
 def test_tenants_without_a_limit_are_not_charged() -> None:
@@ -927,7 +927,7 @@
         assert (fields["source"], fields["bound_by"]) == ("node-7", "named")
         assert fields["named_seconds_ago"] >= 1.0
         total = fields["named_seconds_ago"] + fields["due_in_seconds"]
-        assert total == pytest.approx(VERSION_GRACE, abs=0.002)
+        assert total == pytest.approx(VERSION_GRACE_SECONDS, abs=0.002)
 
 
 def test_an_attempt_at_a_restarted_runner_continues_at_another_one() -> None:
--- a/tests/fleet/test_regions_placement.py
+++ b/tests/fleet/test_regions_placement.py
@@ -44,7 +44,7 @@
     ENGINES,
     KEY,
     MODEL,
-    VERSION_GRACE,
+    VERSION_GRACE_SECONDS,
     make_budget,
     make_entry,
     make_request,
@@ -88,7 +88,7 @@
             services.append(Service("kept", kept_cache=store))
         tenants = {KEY: TenantEntry("tenant-1")}
         table = RoutingTable.build(1, routes, services, tenants, RequestLimits())
-        versions = WeightsVersions(VERSION_GRACE)
+        versions = WeightsVersions(VERSION_GRACE_SECONDS)
         self.state = FleetState(
             "node-1", Freshness(4.0), versions, make_budget(), topology=topology
         )
--- a/tests/fleet/test_software_rollout_duty.py
+++ b/tests/fleet/test_software_rollout_duty.py
@@ -15,7 +15,7 @@
     NEWER,
     OLD,
     OVER_SECONDS,
-    RUNNERS_EACH,
+    RUNNERS_PER_VERSION,
     TTL,
     Node,
     RolloutBench,
@@ -120,7 +120,7 @@
 def test_an_undecided_target_is_rejected_by_the_next_order(bench: RolloutBench) -> None:
     bench.order()
     bench.run(4.0)
-    for n in range(RUNNERS_EACH):
+    for n in range(RUNNERS_PER_VERSION):
         bench.list_runner(f"newer-{n}", NEWER)
     bench.order(NEWER)
     bench.run(OVER_SECONDS)
@@ -137,9 +137,9 @@
     bench: RolloutBench,
 ) -> None:
     bench.store.down = True
-    bench.tell_order(bench.order())
+    bench.announce_order(bench.order())
     bench.run(2.0)
-    bench.tell_order(bench.order(NEWER))
+    bench.announce_order(bench.order(NEWER))
     bench.run(1.0)
     bench.store.down = False
     bench.run(4.0)
--- a/tests/fleet/test_store_sync.py
+++ b/tests/fleet/test_store_sync.py
@@ -38,7 +38,7 @@
     APPLICATION,
     ENGINES,
     MODEL,
-    VERSION_GRACE,
+    VERSION_GRACE_SECONDS,
     make_budget,
     make_entry,
     make_rng,
@@ -355,7 +355,7 @@
     bench.store.failure = None
     bench.run(1.0)
     after = bench.state.versions.deadline(MODEL, 1)
-    assert before < after <= down_until + VERSION_GRACE
+    assert before < after <= down_until + VERSION_GRACE_SECONDS
 
 
 @pytest.mark.parametrize("reason", ["throttled", "late itself", "late itself at last"])
--- a/tests/fleet/test_weights_bound.py
+++ b/tests/fleet/test_weights_bound.py
@@ -16,7 +16,7 @@
 import pytest
 
 from hillstack.core.freshness import Freshness
-from tests.fleet.builders import MODEL, VERSION_GRACE
+from tests.fleet.builders import MODEL, VERSION_GRACE_SECONDS
 from tests.fleet.node_network import INTERVAL_SECONDS, NodeNetwork, SimulatedNode, list_runners
 
 NODES = 69
@@ -62,7 +62,7 @@
     network.run(SETTLE_SECONDS)
     named_at = announce_weights(network, 2)
     network.run(2.0)
-    due_at = named_at + VERSION_GRACE
+    due_at = named_at + VERSION_GRACE_SECONDS
     while network.scheduler.now < due_at:
         assert max(bound_starts(network)) <= named_at
         network.run(0.5)
--- a/tests/fleet/test_weights_sight.py
+++ b/tests/fleet/test_weights_sight.py
@@ -8,7 +8,7 @@
 
 from hillstack.core.weights_versions import BoundCause, NamedVersion
 from hillstack.serving.store_events import WeightsNamed
-from tests.fleet.builders import MODEL, VERSION_GRACE, make_route, make_state, make_table
+from tests.fleet.builders import MODEL, VERSION_GRACE_SECONDS, make_route, make_state, make_table
 
 
 def records(caplog: pytest.LogCaptureFixture, message: str) -> list[dict[str, object]]:
@@ -24,7 +24,7 @@
     named = records(caplog, "weights named")[-1]
     assert named["source"] == "node-7"
     assert named["named_seconds_ago"] == 0.5
-    assert named["due_in_seconds"] == VERSION_GRACE - 0.5
+    assert named["due_in_seconds"] == VERSION_GRACE_SECONDS - 0.5
     assert named["bound_by"] is BoundCause.NAMED
 
 
--- a/tests/stateful/test_software_rollouts.py
+++ b/tests/stateful/test_software_rollouts.py
@@ -12,7 +12,14 @@
 from hillstack.core.software_rollouts import RolloutStage
 from hillstack.core.store_revision import StoreRevision
 from tests.fleet.builders import APPLICATION
-from tests.fleet.rollout_bench import NEW, NEWER, OVER_SECONDS, RUNNERS_EACH, TTL, RolloutBench
+from tests.fleet.rollout_bench import (
+    NEW,
+    NEWER,
+    OVER_SECONDS,
+    RUNNERS_PER_VERSION,
+    TTL,
+    RolloutBench,
+)
 
 NAMES = ("node-a", "node-b", "node-c")
 # After any faults, all messages are received and all records written within this time.
@@ -28,7 +35,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.bench = RolloutBench(*NAMES)
-        for n in range(RUNNERS_EACH):
+        for n in range(RUNNERS_PER_VERSION):
             self.bench.list_runner(f"newer-{n}", NEWER)
         self.always_bad: set[StoreRevision] = set()
         self.withdrawn: set[StoreRevision] = set()
@@ -153,7 +160,7 @@
                 continue
             for node in self.bench.nodes:
                 since = self.busy_since.get(node.name, at)
-                if node.talks() and node.hears_store and at - since >= PROPAGATION_SECONDS:
+                if node.is_reporting() and node.hears_store and at - since >= PROPAGATION_SECONDS:
                     assert not node.old_running
 
     @invariant()
