--- a/src/hillstack/emulator/fleet_runner.py
+++ b/src/hillstack/emulator/fleet_runner.py
@@ -67,7 +67,7 @@
         leaving: Report in all answers that the runner is leaving.
         limit: Limit in requests per second, over all nodes, that all answers report; None for no
             limit.
-        keep_weights: Refuse orders to load weights, as a runner does while it carries out another.
+        refuse_weights_orders: Refuse orders to load weights, as a runner does while it carries out another.
         software: Faults of the runner's software.
     """
 
@@ -78,7 +78,7 @@
     backoff_seconds: float = 0.0
     leaving: bool = False
     limit: float | None = None
-    keep_weights: bool = False
+    refuse_weights_orders: bool = False
     software: SoftwareFaults = SoftwareFaults()
 
 
@@ -99,7 +99,7 @@
         work_seconds: Time in seconds from the start of a request to its answer.
         running: Number of requests that are running.
         born: Start time of the process in Unix milliseconds; 0 if the runner does not report it.
-        called_at: Arrival time of each call, of requests and of others, on the monotonic clock.
+        call_times: Arrival time of each call, of requests and of others, on the monotonic clock.
         cache: Cache of prompt parts.
     """
 
@@ -113,14 +113,14 @@
     arrived: list[str] = field(default_factory=list)
     ran: list[str] = field(default_factory=list)
     left: list[str] = field(default_factory=list)
-    seen_headers: list[dict[str, str]] = field(default_factory=list)
+    run_headers: list[dict[str, str]] = field(default_factory=list)
     orders: list[OrderBody] = field(default_factory=list)
     fence: int = 0
     software: str = ""
     work_seconds: float = 0.0
     running: int = 0
     born: int = 0
-    called_at: list[float] = field(default_factory=list)
+    call_times: list[float] = field(default_factory=list)
     cache: FleetCache = field(init=False)
     _rng: Random = field(default_factory=lambda: Random(1))
 
@@ -155,16 +155,16 @@
             middleware=[Middleware(_SignalHeaders, runner=self)],
         )
 
-    def note_run(self, request_id: str, headers: dict[str, str]) -> None:
+    def record_run(self, request_id: str, headers: dict[str, str]) -> None:
         """Record a request that starts to run."""
         self.ran.append(request_id)
-        self.seen_headers.append(headers)
+        self.run_headers.append(headers)
 
-    def note_arrival(self, request_id: str) -> None:
+    def record_arrival(self, request_id: str) -> None:
         """Record a request that reached the runner, whether it runs or not."""
         self.arrived.append(request_id)
 
-    def note_signals(self, request_id: str, signals: RunnerSignals) -> None:
+    def record_signals(self, request_id: str, signals: RunnerSignals) -> None:
         """Do nothing; subclasses record the signals that an answer carries."""
         return
 
@@ -181,7 +181,7 @@
         order = msgspec.json.decode(await request.body(), type=OrderBody)
         if order.fence < self.fence:
             return Response(status_code=412)
-        if self.faults.keep_weights:
+        if self.faults.refuse_weights_orders:
             return Response(status_code=409)
         if order.expected_count is not None and order.expected_count != len(self.orders):
             return Response(status_code=409)
@@ -192,18 +192,18 @@
 
     async def _run(self, request: Request) -> Response:
         request_id = request.headers.get(names.REQUEST_ID, "")
-        self.note_arrival(request_id)
+        self.record_arrival(request_id)
         if self._is_misdirected(request):
             return self._misdirected()
         if self.faults.shed:
             headers = {names.NOT_EXECUTED: "1", names.REQUEST_ID: request_id}
             if self.faults.backoff_seconds:
                 headers[names.RETRY_AFTER] = f"{self.faults.backoff_seconds:g}"
-                self.note_signals(
+                self.record_signals(
                     request_id, RunnerSignals(backoff_seconds=self.faults.backoff_seconds)
                 )
             return Response(status_code=503, headers=headers)
-        self.note_run(request_id, dict(request.headers))
+        self.record_run(request_id, dict(request.headers))
         body = await request.body()
         if self.faults.hang:
             await self._hang(request, request_id)
@@ -280,7 +280,7 @@
             await send(message)
 
         if scope["type"] == "http":
-            self._runner.called_at.append(time.monotonic())
+            self._runner.call_times.append(time.monotonic())
         await self._app(scope, receive, send_with_headers)
 
     def _add_signals(self, headers: MutableHeaders) -> None:
@@ -292,4 +292,4 @@
             headers[names.LEAVING] = "1"
         if faults.limit is not None:
             headers[names.REQUEST_LIMIT] = f"{faults.limit:g}"
-        self._runner.note_signals(headers.get(names.REQUEST_ID, ""), signals)
+        self._runner.record_signals(headers.get(names.REQUEST_ID, ""), signals)
--- a/src/hillstack/emulator/fleet_store.py
+++ b/src/hillstack/emulator/fleet_store.py
@@ -65,7 +65,7 @@
         lose_answers: Whether the store executes calls without answering them.
         calls: Number of calls, including refused ones.
         era: Number of restores from a copy; None if answers carry no era.
-        wrong_era: Value that answers carry instead of the era; None to send the era.
+        era_override: Value that answers carry instead of the era; None to send the era.
         page_items: Maximum number of items in a page of a list; None for no limit.
         on_page: Called after each page except the last.
     """
@@ -81,7 +81,7 @@
         self.lose_answers = False
         self.calls = 0
         self.era: int | None = 0
-        self.wrong_era: str | None = None
+        self.era_override: str | None = None
         self.page_items: int | None = None
         self.on_page: Callable[[], None] = lambda: None
 
@@ -134,7 +134,7 @@
         self._expire()
         return sorted(key for key in self._items if key.startswith(prefix))
 
-    def forget_history(self) -> None:
+    def clear_history(self) -> None:
         """Clear the history, so that watches from an earlier revision get 410."""
         self._forgotten = self.revision
         self._history.clear()
@@ -173,7 +173,7 @@
 
     def _with_era(self, response: Response) -> Response:
         if self.era is not None and names.ERA_HEADER not in response.headers:
-            response.headers[names.ERA_HEADER] = self.wrong_era or str(self.era)
+            response.headers[names.ERA_HEADER] = self.era_override or str(self.era)
         return response
 
     def _expire(self) -> None:
--- a/tests/fleet/test_node_process.py
+++ b/tests/fleet/test_node_process.py
@@ -33,7 +33,7 @@
         answer = await running.call(node, "/safe/x?a=%20b")
         assert (answer.status, answer.body) == (200, b"i-1:body")
         assert answer.headers[names.SIGNATURE] == "i-1.r-1"
-        headers = runner.seen_headers[0]
+        headers = runner.run_headers[0]
         assert names.API_KEY.lower() not in headers
         assert headers[names.TENANT.lower()] == "tenant-1"
         assert headers[names.EXPECT_INSTANCE.lower()] == "i-1"
--- a/tests/fleet/test_runner_limits_process.py
+++ b/tests/fleet/test_runner_limits_process.py
@@ -70,9 +70,9 @@
     for runner, limit in zip(limited, limits, strict=True):
         runner.faults.limit = limit
     await asyncio.sleep(FREE_SECONDS)
-    before = [len(runner.called_at) for runner in limited]
+    before = [len(runner.call_times) for runner in limited]
     await asyncio.sleep(MEASURED_SECONDS)
-    return [len(runner.called_at) - seen for runner, seen in zip(limited, before, strict=True)]
+    return [len(runner.call_times) - seen for runner, seen in zip(limited, before, strict=True)]
 
 
 @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
         nodes = [await running.add_node(f"node-{n}") for n in range(NODES)]
         callers = Callers(running, nodes, path)
         callers.start(2 * NODES, pause_seconds=0.1)
-        await until(lambda: all(len(r.called_at) > 10 for r in runners), "all runners are used")
+        await until(lambda: all(len(r.call_times) > 10 for r in runners), "all runners are used")
         began_at = time.monotonic()
         by_use = sorted(runners, key=lambda runner: len(runner.arrived), reverse=True)
         called = await count_calls_under_limits(by_use[: len(limits)], limits)
--- a/tests/fleet/test_store_era.py
+++ b/tests/fleet/test_store_era.py
@@ -169,7 +169,7 @@
     text: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scenario(stand_in: FleetStore, store: MetadataStore) -> None:
-        stand_in.wrong_era = text
+        stand_in.era_override = text
         number = stand_in.put("key", b"1")
         for _ in range(3):
             assert (await store.snapshot()).revision == rev(number)
--- a/tests/soak/fault_series.py
+++ b/tests/soak/fault_series.py
@@ -77,7 +77,7 @@
         for runner_id in first:
             system.rewrite_entry(runner_id)
         if rng.random() < 0.2:
-            store.forget_history()
+            store.clear_history()
         store.down = False
         for runner_id in later:
             await asyncio.sleep(rng.uniform(0.0, 2.0 / len(expiring)))
@@ -92,7 +92,7 @@
             store.down = True
             await asyncio.sleep(rng.uniform(0.05, 1.5))
             if rng.random() < 0.3:
-                store.forget_history()
+                store.clear_history()
             store.down = False
             await asyncio.sleep(rng.uniform(0.0, 0.8))
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -78,7 +78,7 @@
     fault = rng.choice(("down", "lose_answers", "forget"))
     with system.disturbance(STORE):
         if fault == "forget":
-            store.forget_history()
+            store.clear_history()
             return
         setattr(store, fault, True)
         await asyncio.sleep(rng.uniform(0.5, 5.0))
--- a/tests/soak/restore_faults.py
+++ b/tests/soak/restore_faults.py
@@ -47,7 +47,7 @@
         await asyncio.sleep(rng.uniform(*OUTAGE_SECONDS))
         store.restore(copy)
         if rng.random() < 0.2:
-            store.forget_history()
+            store.clear_history()
         store.down = False
     await asyncio.gather(
         _rewrite_operator_items(system, rng),
--- a/tests/soak/system.py
+++ b/tests/soak/system.py
@@ -88,9 +88,9 @@
         observations.orders[runner_id] = self.orders
         observations.software[runner_id] = software
 
-    def note_run(self, request_id: str, headers: dict[str, str]) -> None:
+    def record_run(self, request_id: str, headers: dict[str, str]) -> None:
         """Record a request that starts to run; crash if the request is fatal."""
-        super().note_run(request_id, headers)
+        super().record_run(request_id, headers)
         now = time.monotonic()
         weights = self.weights if self.model else 0
         self._observations.runs.append(Run(request_id, self.runner_id, now, weights))
@@ -100,13 +100,13 @@
             self._observations.runner_ends.append(RunnerCrash(fatal, self.runner_id, now))
             self._end(self.runner_id)
 
-    def note_arrival(self, request_id: str) -> None:
+    def record_arrival(self, request_id: str) -> None:
         """Record a request that has reached the runner, and when."""
-        super().note_arrival(request_id)
+        super().record_arrival(request_id)
         arrival = Arrival(request_id, self.runner_id, self.born, time.monotonic())
         self._observations.arrivals.append(arrival)
 
-    def note_signals(self, request_id: str, signals: RunnerSignals) -> None:
+    def record_signals(self, request_id: str, signals: RunnerSignals) -> None:
         """Record the signals that the runner gives in its answer to a request, and when."""
         sent = SignalSent(request_id, self.runner_id, self.born, time.monotonic(), signals)
         self._observations.signals.append(sent)
--- a/tests/soak/weights_faults.py
+++ b/tests/soak/weights_faults.py
@@ -29,12 +29,12 @@
     if system.regions is not None:
         delays = system.regions.delayed_datagrams(rng, *DATAGRAM_DELAY_SECONDS)
     for engine in engines:
-        engine.faults = replace(engine.faults, keep_weights=True)
+        engine.faults = replace(engine.faults, refuse_weights_orders=True)
     with delays:
         system.next_weights()
         await asyncio.sleep(MAX_OLD_WEIGHTS_SECONDS + EXTRA_SECONDS)
     for engine in engines:
-        engine.faults = replace(engine.faults, keep_weights=False)
+        engine.faults = replace(engine.faults, refuse_weights_orders=False)
 
 
 WEIGHTS_FAULTS: tuple[Fault, ...] = (keep_older_weights,)
