--- a/src/hillstack/config/fleet_settings.py
+++ b/src/hillstack/config/fleet_settings.py
@@ -162,7 +162,7 @@
             return math.inf
         return self.bounds.revoke_ms / 1000 * FRESHNESS_FRACTION
 
-    def watch_interval(self) -> float:
+    def store_poll_interval(self) -> float:
         """Return the seconds between two polls for changes: a quarter of the shorter bound."""
         return POLL_FRACTION * min(self.bounds.config_apply_ms, self.bounds.drain_ms) / 1000
 
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -230,7 +230,7 @@
             store_relay,
             choice,
             own,
-            settings.watch_interval(),
+            settings.store_poll_interval(),
             self._clock,
             rng,
             self._lag.is_behind,
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -46,7 +46,7 @@
 
 def test_changes_are_polled_four_times_within_the_shorter_bound(tmp_path: Path) -> None:
     path = write(tmp_path, GOOD + "\n[bounds]\nconfig_apply_ms = 3000\ndrain_ms = 4000\n")
-    assert load_fleet_settings(path).watch_interval() == 0.75
+    assert load_fleet_settings(path).store_poll_interval() == 0.75
 
 
 @pytest.mark.parametrize(
