--- a/src/hillstack/core/crash_counts.py
+++ b/src/hillstack/core/crash_counts.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from hillstack.core.runner_ends import ORDER_SLACK_SECONDS
+from hillstack.core.runner_crashes import ORDER_SLACK_SECONDS
 
 # Crashes under one content name from which a request with that name is a suspect, even if no crash
 # is recorded for its fingerprint. With 1, all requests with the same short body would become
--- a/src/hillstack/core/placement/expected_delay.py
+++ b/src/hillstack/core/placement/expected_delay.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from hillstack.core.part_index import PartIndex, PromptPart
-from hillstack.core.placement.kept_parts import (
+from hillstack.core.placement.cached_parts import (
     REPEATED_PREFILL_SECONDS_PER_TOKEN,
     CachedParts,
     Move,
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -27,12 +27,12 @@
 from hillstack.core.version_exposure import VersionExposure
 from hillstack.core.weights_versions import WeightsVersions
 from hillstack.daemon.cache_follower import CacheFollower
-from hillstack.daemon.caller_room import (
+from hillstack.daemon.change_log import ChangeLog
+from hillstack.daemon.connection_limiter import (
     ConnectionLimiter,
     close_idle_connections,
     max_caller_connections,
 )
-from hillstack.daemon.change_log import ChangeLog
 from hillstack.daemon.duty_lease import DutyLease
 from hillstack.daemon.early_listeners import EarlyListeners
 from hillstack.daemon.limit_client import LEASE_SECONDS, LimitClient
@@ -74,7 +74,7 @@
 from hillstack.serving.region_choice import RegionChoice
 from hillstack.serving.rollout_observer import RolloutObserver
 from hillstack.serving.runner_limits import RunnerLimits
-from hillstack.serving.signal_intake import SignalReceiver
+from hillstack.serving.signal_receiver import SignalReceiver
 
 logger = logging.getLogger(__name__)
 
--- a/src/hillstack/daemon/server.py
+++ b/src/hillstack/daemon/server.py
@@ -11,7 +11,7 @@
 from hillstack.config.settings import RouterSettings
 from hillstack.core.cache_index import CacheIndex
 from hillstack.core.fleet import Fleet
-from hillstack.daemon.network_surroundings import NetworkEnvironment
+from hillstack.daemon.network_environment import NetworkEnvironment
 from hillstack.daemon.node import Node
 from hillstack.daemon.suspensions import SuspendAwareEventLoop
 from hillstack.gateway.app import make_app
--- a/src/hillstack/daemon/software_rollout_duty.py
+++ b/src/hillstack/daemon/software_rollout_duty.py
@@ -8,9 +8,9 @@
 from random import Random
 from typing import Protocol
 
-from hillstack.daemon.duty_keeper import AcquireSlot, LeaseRenewer
 from hillstack.daemon.duty_lease import DutyLease
 from hillstack.daemon.key_value import LeaseStore
+from hillstack.daemon.lease_renewer import AcquireSlot, LeaseRenewer
 from hillstack.daemon.rollout_decider import Observations, RolloutDecider, RolloutStore
 from hillstack.errors import PlatformError
 from hillstack.logs import error_fields
--- a/src/hillstack/daemon/store_sync.py
+++ b/src/hillstack/daemon/store_sync.py
@@ -14,8 +14,8 @@
 from typing import Protocol
 
 from hillstack.core.node_directory import NodeEntry, NodeGroup
-from hillstack.core.outage import OutageEvidence
 from hillstack.core.relay_choice import RelayChoice
+from hillstack.core.store_outage import OutageEvidence
 from hillstack.core.store_revision import NO_REVISION, StoreRevision
 from hillstack.daemon.change_log import ChangeLog, ListedKeys, StoreChange, StoredItem
 from hillstack.daemon.store_relay import RelayedChanges
--- a/src/hillstack/daemon/weights_rollout_duty.py
+++ b/src/hillstack/daemon/weights_rollout_duty.py
@@ -9,8 +9,8 @@
 
 from hillstack.core.runner_pool import Runner
 from hillstack.core.weights_rollout import RolloutPlan, RolloutView
-from hillstack.daemon.duty_keeper import AcquireSlot, LeaseRenewer
 from hillstack.daemon.duty_lease import DutyLease
+from hillstack.daemon.lease_renewer import AcquireSlot, LeaseRenewer
 from hillstack.daemon.peer_exchange import PeerExchange
 from hillstack.daemon.weights_orders import OrderOutcome, OrderSender, WeightsOrder
 from hillstack.errors import BackendError, RunnerRestartedError
--- a/src/hillstack/platform/cache_feed.py
+++ b/src/hillstack/platform/cache_feed.py
@@ -15,7 +15,7 @@
 from hillstack.platform import names
 from hillstack.platform.bodies import CacheEventsBody, CacheListBody
 from hillstack.platform.connections import OutgoingCall, Reply, send_call
-from hillstack.platform.incarnations import check_runner_process, instance_of
+from hillstack.platform.runner_identifiers import check_runner_process, instance_of
 from hillstack.platform.runner_signals import Asked, SignalListener, SignalReader
 
 OK = 200
--- a/src/hillstack/platform/formats.py
+++ b/src/hillstack/platform/formats.py
@@ -40,7 +40,7 @@
     TenantBody,
     WeightsBody,
 )
-from hillstack.platform.incarnations import runner_id_of
+from hillstack.platform.runner_identifiers import runner_id_of
 from hillstack.serving.store_events import (
     ConfigurationChanged,
     DutyHeld,
--- a/src/hillstack/platform/runner_signals.py
+++ b/src/hillstack/platform/runner_signals.py
@@ -15,8 +15,8 @@
 from hillstack.core.runner_limit import AnswerKind, AnswerSource
 from hillstack.core.runner_signals import RunnerSignals
 from hillstack.platform import names
-from hillstack.platform.incarnations import instance_of
-from hillstack.platform.known_fields import unknown_fields
+from hillstack.platform.expected_headers import unknown_fields
+from hillstack.platform.runner_identifiers import instance_of
 
 SERVICE_UNAVAILABLE = 503
 OK = 200
--- a/src/hillstack/platform/runners.py
+++ b/src/hillstack/platform/runners.py
@@ -19,7 +19,7 @@
 from hillstack.platform import names
 from hillstack.platform.bodies import OrderBody, ReportBody
 from hillstack.platform.connections import OutgoingCall, send_call
-from hillstack.platform.incarnations import check_runner_process, instance_of
+from hillstack.platform.runner_identifiers import check_runner_process, instance_of
 from hillstack.platform.runner_signals import Asked, SignalListener, SignalReader
 from hillstack.serving.types import (
     Dispatch,
--- a/src/hillstack/platform/store.py
+++ b/src/hillstack/platform/store.py
@@ -48,7 +48,7 @@
     rollout_duty_key,
     rollout_summaries,
 )
-from hillstack.platform.unreadable import UnreadableItems
+from hillstack.platform.unreadable_items import UnreadableItems
 from hillstack.serving.store_events import RolloutRecorded, StoreEvent
 
 logger = logging.getLogger(__name__)
--- a/src/hillstack/serving/attempt_watch.py
+++ b/src/hillstack/serving/attempt_monitor.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from hillstack.core.own_outcomes import AttemptOutcome
+from hillstack.core.local_outcomes import AttemptOutcome
 from hillstack.core.rollout_evidence import OutcomeKey
 from hillstack.errors import BackendBrokenError
 from hillstack.serving.types import (
--- a/src/hillstack/serving/fleet_state.py
+++ b/src/hillstack/serving/fleet_state.py
@@ -7,13 +7,12 @@
 
 from hillstack.core.cache_watch import CacheHolder
 from hillstack.core.crash_counts import CrashCounts
-from hillstack.core.doubtful_entries import UnconfirmedEntries
 from hillstack.core.freshness import Freshness
 from hillstack.core.node_directory import NodeDirectory, NodeEntry
 from hillstack.core.part_index import PartIndex
 from hillstack.core.probations import Probations
 from hillstack.core.routing_table import EngineProfile, KvCacheStore, RoutingTable
-from hillstack.core.runner_ends import RunnerCrashRecord
+from hillstack.core.runner_crashes import RunnerCrashRecord
 from hillstack.core.runner_pool import Runner, RunnerEntry, RunnerPool
 from hillstack.core.shared_retry_budget import SharedRetryBudget
 from hillstack.core.software_rollouts import RolloutOrder, RolloutRecord, SoftwareRollouts
@@ -22,6 +21,7 @@
 from hillstack.core.store_revision import StoreRevision
 from hillstack.core.topology import ONE_REGION, Distance, Topology
 from hillstack.core.traffic_split import TrafficSplit
+from hillstack.core.unconfirmed_entries import UnconfirmedEntries
 from hillstack.core.version_arrivals import VersionArrivals
 from hillstack.core.version_exposure import VersionExposure
 from hillstack.core.weights_versions import (
--- a/src/hillstack/serving/job.py
+++ b/src/hillstack/serving/job.py
@@ -10,7 +10,7 @@
 from hillstack.core.runner_pool import Runner
 from hillstack.core.store_revision import StoreRevision
 from hillstack.core.weights_versions import WeightsVersions
-from hillstack.serving.attempt_watch import UNMONITORED, AttemptMonitor
+from hillstack.serving.attempt_monitor import UNMONITORED, AttemptMonitor
 from hillstack.serving.event_framing import EventFraming
 from hillstack.serving.types import (
     Dispatch,
--- a/src/hillstack/serving/pipeline.py
+++ b/src/hillstack/serving/pipeline.py
@@ -38,9 +38,9 @@
     RunnerClient,
     TenantLimiter,
 )
-from hillstack.serving.runner_ends import RunnerCrashMonitor
+from hillstack.serving.runner_crashes import RunnerCrashMonitor
 from hillstack.serving.runner_limits import RunnerLimits
-from hillstack.serving.signal_intake import log_held_back
+from hillstack.serving.signal_receiver import log_held_back
 from hillstack.serving.types import (
     SERVER_ERROR,
     SUCCESS,
--- a/src/hillstack/serving/placement.py
+++ b/src/hillstack/serving/placement.py
@@ -11,18 +11,18 @@
 
 from hillstack.core.answer_durations import AnswerDurations
 from hillstack.core.overload import MAX_RETRY_SECONDS, MIN_RETRY_SECONDS
+from hillstack.core.placement.cached_parts import Surroundings
 from hillstack.core.placement.expected_delay import (
     Candidate,
     Choice,
     ExpectedDelayPlacement,
 )
-from hillstack.core.placement.kept_parts import Surroundings
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.routing_table import EngineProfile
 from hillstack.core.runner_load import OwnAttempt
 from hillstack.core.runner_pool import DEFAULT_PREFILL_RATE, Runner
 from hillstack.messages.peer_notices import PlacementNotice
-from hillstack.serving.cache_beliefs import CacheEstimates
+from hillstack.serving.cache_estimates import CacheEstimates
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.job import Job, PlacedAttempt
 from hillstack.serving.peers import PeerNotifier
--- a/src/hillstack/serving/ports.py
+++ b/src/hillstack/serving/ports.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from hillstack.core.tenant_limits import TenantLimit
-from hillstack.serving.attempt_watch import UNMONITORED, AttemptMonitor
+from hillstack.serving.attempt_monitor import UNMONITORED, AttemptMonitor
 from hillstack.serving.job import Job, PlacedAttempt
 from hillstack.serving.types import Dispatch, HeaderList, ServingRequest
 
--- a/src/hillstack/serving/rollout_observer.py
+++ b/src/hillstack/serving/rollout_observer.py
@@ -15,8 +15,8 @@
 from random import Random
 from typing import Protocol
 
+from hillstack.core.local_outcomes import AttemptOutcome, LocalOutcomes
 from hillstack.core.order_age import OrderAge
-from hillstack.core.own_outcomes import AttemptOutcome, LocalOutcomes
 from hillstack.core.rollout_evidence import OutcomeKey, OutcomeTotals, RolloutEvidence
 from hillstack.core.rollout_judge import NO_OPINION, RolloutOpinion, Verdict, opinion_of
 from hillstack.core.rollout_plan import is_decided
@@ -25,7 +25,7 @@
 from hillstack.core.software_rollouts import RolloutOrder, RolloutStage, is_of_order
 from hillstack.core.store_revision import StoreRevision
 from hillstack.messages.rollout_reports import OutcomeCounts, RolloutReport
-from hillstack.serving.attempt_watch import UNMONITORED, AttemptMonitor
+from hillstack.serving.attempt_monitor import UNMONITORED, AttemptMonitor
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.job import Job, PlacedAttempt
 from hillstack.serving.metrics import FleetMetrics
--- a/src/hillstack/serving/runner_ends.py
+++ b/src/hillstack/serving/runner_crashes.py
@@ -19,7 +19,7 @@
 from hillstack.core.crash_counts import CrashedRun
 from hillstack.core.rendezvous import owner, ranked
 from hillstack.core.request_fingerprint import content_name, request_fingerprint
-from hillstack.core.runner_ends import (
+from hillstack.core.runner_crashes import (
     END_SECONDS,
     FATAL_REFUSAL_SECONDS,
     FatalRequest,
--- a/tests/fleet/runner_limit_traffic.py
+++ b/tests/fleet/runner_limit_traffic.py
@@ -14,7 +14,7 @@
 from hillstack.serving.job import Job
 from hillstack.serving.metrics import FleetMetrics
 from hillstack.serving.runner_limits import RunnerLimits
-from hillstack.serving.signal_intake import SignalReceiver
+from hillstack.serving.signal_receiver import SignalReceiver
 from tests.fleet.builders import ENGINES, make_request, make_route
 from tests.fleet.node_network import NodeNetwork, SimulatedNode
 
--- a/tests/fleet/test_caller_room.py
+++ b/tests/fleet/test_connection_limiter.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from hillstack.daemon.caller_room import (
+from hillstack.daemon.connection_limiter import (
     EXHAUSTED_SECONDS,
     LOW_WATER_SHARE,
     RESERVED_DESCRIPTORS,
--- a/tests/fleet/test_fatal_requests.py
+++ b/tests/fleet/test_fatal_requests.py
@@ -14,14 +14,14 @@
 from hillstack.core.part_index import PromptPart
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.request_fingerprint import request_fingerprint
-from hillstack.core.runner_ends import (
+from hillstack.core.runner_crashes import (
     END_SECONDS,
     FATAL_CRASH_RETENTION_SECONDS,
     FATAL_REFUSAL_SECONDS,
     MAX_ENDS,
 )
 from hillstack.messages.runner_ends import RequestAtEnd, RunnerEndNotice
-from hillstack.serving.runner_ends import NOTICE_INTERVAL_SECONDS
+from hillstack.serving.runner_crashes import NOTICE_INTERVAL_SECONDS
 from hillstack.serving.types import Verdict
 from tests.fleet.builders import HOST, MODEL
 from tests.fleet.fatal_world import PARTS, World
@@ -499,7 +499,7 @@
     def fail(*_: object) -> int:
         raise AssertionError
 
-    monkeypatch.setattr("hillstack.serving.runner_ends.request_fingerprint", fail)
+    monkeypatch.setattr("hillstack.serving.runner_crashes.request_fingerprint", fail)
     world = World(4, 1)
     assert all(world.try_until_done("node-0", b"short %d" % n).is_served for n in range(5))
 
--- a/tests/fleet/test_resting_connections.py
+++ b/tests/fleet/test_idle_connections.py
@@ -15,8 +15,8 @@
 import pytest
 
 from hillstack.core.part_index import PartIndex, PromptPart
+from hillstack.core.placement.cached_parts import Surroundings
 from hillstack.core.placement.expected_delay import Candidate, ExpectedDelayPlacement
-from hillstack.core.placement.kept_parts import Surroundings
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.runner_pool import Runner
 from hillstack.platform.connections import (
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -13,7 +13,8 @@
 from hypothesis import strategies as st
 
 from hillstack.core.part_index import PartIndex, PromptPart
-from hillstack.core.placement import kept_parts
+from hillstack.core.placement import cached_parts
+from hillstack.core.placement.cached_parts import Surroundings, find_cached_parts, move_seconds
 from hillstack.core.placement.expected_delay import (
     Candidate,
     Choice,
@@ -22,7 +23,6 @@
     lateness,
     shared_order,
 )
-from hillstack.core.placement.kept_parts import Surroundings, find_cached_parts, move_seconds
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.routing_table import KvCacheStore
 from hillstack.core.runner_load import OwnAttempt, RunnerLoad
@@ -297,7 +297,7 @@
         computed.append(tokens)
         return move_seconds(tokens, *arguments)
 
-    monkeypatch.setattr(kept_parts, "move_seconds", counted)
+    monkeypatch.setattr(cached_parts, "move_seconds", counted)
     runners = [make_runner(f"i-{number}") for number in range(60)]
     index = make_index(*(runner.runner_id for runner in runners))
     parts = (PromptPart("common", 1_000), PromptPart("subject", 2_000), PromptPart("own", 500))
--- a/tests/fleet/test_restored_beliefs.py
+++ b/tests/fleet/test_restored_beliefs.py
@@ -9,7 +9,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hillstack.core.doubtful_entries import LAPSE_SECONDS
 from hillstack.core.software_rollouts import (
     RolloutOrder,
     RolloutRecord,
@@ -19,6 +18,7 @@
 )
 from hillstack.core.store_proofs import StoreProofs
 from hillstack.core.store_revision import NO_REVISION, StoreRevision
+from hillstack.core.unconfirmed_entries import LAPSE_SECONDS
 from hillstack.serving.fleet_state import (
     REWRITE_WAIT_SECONDS,
     FleetState,
--- a/tests/fleet/test_rollout_judge.py
+++ b/tests/fleet/test_rollout_judge.py
@@ -13,7 +13,7 @@
     RolloutJudge,
     Verdict,
 )
-from tests.fleet.fixed_look_judge import FixedLookJudge
+from tests.fleet.fixed_interval_judge import FixedLookJudge
 from tests.fleet.rollout_draws import (
     NEW,
     OLD,
--- a/tests/fleet/test_rollout_observer.py
+++ b/tests/fleet/test_rollout_observer.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from hillstack.core.order_age import FIRST_SEEN_AGE_SECONDS
-from hillstack.core.own_outcomes import (
+from hillstack.core.local_outcomes import (
     DISCONNECT_WINDOW_SECONDS,
     AttemptOutcome,
     LocalOutcomes,
     delay_bucket,
 )
+from hillstack.core.order_age import FIRST_SEEN_AGE_SECONDS
 from hillstack.core.rollout_evidence import (
     DELAY_BUCKETS,
     MAX_OUTCOME_KEYS,
@@ -26,11 +26,11 @@
     RolloutEvidence,
 )
 from hillstack.core.rollout_judge import NO_OPINION, RolloutOpinion, Verdict
-from hillstack.core.runner_ends import RunAtCrash
+from hillstack.core.runner_crashes import RunAtCrash
 from hillstack.core.software_rollouts import RolloutOrder, RolloutRecord, RolloutStage
 from hillstack.errors import BackendBrokenError
 from hillstack.messages.rollout_reports import OutcomeCounts, RolloutReport
-from hillstack.serving.attempt_watch import AttemptMonitor
+from hillstack.serving.attempt_monitor import AttemptMonitor
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.metrics import FleetMetrics
 from hillstack.serving.rollout_observer import MAX_REPORT_ROWS, MAX_ROLLOUTS, RolloutObserver
--- a/tests/fleet/test_runner_ends.py
+++ b/tests/fleet/test_runner_crashes.py
@@ -24,7 +24,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillstack.core.runner_ends import (
+from hillstack.core.runner_crashes import (
     END_SECONDS,
     FATAL_CRASH_RETENTION_SECONDS,
     FATAL_REFUSAL_SECONDS,
--- a/tests/fleet/test_runner_restarts.py
+++ b/tests/fleet/test_runner_restarts.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from hillstack.core.part_index import PromptPart
-from hillstack.core.runner_ends import RunAtCrash, RunnerCrashRecord, Suspicion
+from hillstack.core.runner_crashes import RunAtCrash, RunnerCrashRecord, Suspicion
 from hillstack.core.runner_load import OwnAttempt, RunnerLoad
 from hillstack.core.runner_pool import Runner
 from hillstack.daemon.change_log import StoredItem
@@ -24,7 +24,7 @@
 )
 from hillstack.platform import names
 from hillstack.platform.formats import to_event
-from hillstack.platform.incarnations import check_runner_process, instance_of, runner_id_of
+from hillstack.platform.runner_identifiers import check_runner_process, instance_of, runner_id_of
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.store_events import RunnerUnlisted
 from tests.fleet.builders import ENGINES, MODEL, make_route, make_state, make_table, rev
--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -43,7 +43,7 @@
 from hillstack.serving.fleet_state import UNLISTED_GRACE_SECONDS
 from hillstack.serving.metrics import FleetMetrics
 from hillstack.serving.placement import RETURN_SPREAD_SECONDS
-from hillstack.serving.signal_intake import SignalReceiver
+from hillstack.serving.signal_receiver import SignalReceiver
 from hillstack.serving.store_events import RunnerListed, RunnerUnlisted
 from hillstack.serving.types import (
     Dispatch,
--- a/tests/fleet/test_weights_rollout_duty.py
+++ b/tests/fleet/test_weights_rollout_duty.py
@@ -14,13 +14,13 @@
 from hillstack.core.relay_choice import RelayChoice
 from hillstack.core.store_revision import StoreRevision
 from hillstack.core.weights_rollout import START_DELAY_SECONDS
-from hillstack.daemon.duty_keeper import (
+from hillstack.daemon.duty_lease import DutyLease
+from hillstack.daemon.key_value import Condition, Entry, Put
+from hillstack.daemon.lease_renewer import (
     RENEW_REFUSED_SECONDS,
     RENEW_RETRY_SECONDS,
     renewal_pause,
 )
-from hillstack.daemon.duty_lease import DutyLease
-from hillstack.daemon.key_value import Condition, Entry, Put
 from hillstack.daemon.peer_exchange import PeerExchange
 from hillstack.daemon.peer_link import PeerLink
 from hillstack.daemon.weights_orders import OrderOutcome, RunnerReport, WeightsOrder
--- a/tests/stateful/test_runner_restarts.py
+++ b/tests/stateful/test_runner_restarts.py
@@ -16,7 +16,7 @@
     WeightsNotice,
     WeightsPhase,
 )
-from hillstack.platform.incarnations import runner_id_of
+from hillstack.platform.runner_identifiers import runner_id_of
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.store_events import RunnerListed, RunnerUnlisted, StoreEvent
 from tests.fleet.builders import ENGINES, MODEL, make_route, make_state, make_table, rev
--- a/tests/stateful/test_runner_signals.py
+++ b/tests/stateful/test_runner_signals.py
@@ -9,7 +9,7 @@
 from hillstack.core.runner_signals import RunnerSignals
 from hillstack.daemon.notice_reader import NoticeReader
 from hillstack.messages.peer_notices import PROTOCOL_VERSION, NodeNotice
-from hillstack.platform.incarnations import runner_id_of
+from hillstack.platform.runner_identifiers import runner_id_of
 from hillstack.serving.fleet_state import FleetState
 from hillstack.serving.store_events import RunnerListed, RunnerUnlisted, StoreEvent
 from tests.fleet.builders import ENGINES, make_route, make_state, make_table, rev
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -25,11 +25,11 @@
 
 from hillstack.core.cache_watch import CacheHolder, WatchAssignment
 from hillstack.core.part_index import PartIndex, PromptPart
+from hillstack.core.placement.cached_parts import Surroundings
 from hillstack.core.placement.expected_delay import (
     Candidate,
     ExpectedDelayPlacement,
 )
-from hillstack.core.placement.kept_parts import Surroundings
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.relay_choice import DIRECT_NODES
 from hillstack.core.routing_table import EngineProfile, KvCacheStore
