--- a/src/hillstack/backends/http_client.py
+++ b/src/hillstack/backends/http_client.py
@@ -114,7 +114,7 @@
         """
         return await fetch_load(self._pooled, address, POLL_TIMEOUT_SECONDS)
 
-    async def order_load(self, address: str, fence: int, weights_version: int) -> bool:
+    async def order_weights_load(self, address: str, fence: int, weights_version: int) -> bool:
         """Order an engine to load weights and wait until they are loaded.
 
         Returns:
--- a/src/hillstack/daemon/ports.py
+++ b/src/hillstack/daemon/ports.py
@@ -87,7 +87,7 @@
         """Return an engine's load."""
         ...
 
-    async def order_load(self, address: str, fence: int, weights_version: int) -> bool:
+    async def order_weights_load(self, address: str, fence: int, weights_version: int) -> bool:
         """Order an engine to load weights; return False if it refused the fence."""
         ...
 
--- a/src/hillstack/daemon/weights_duty.py
+++ b/src/hillstack/daemon/weights_duty.py
@@ -72,7 +72,7 @@
 
     async def _give(self, order: LoadOrder, fence: int) -> None:
         try:
-            taken = await self._surroundings.backends.order_load(
+            taken = await self._surroundings.backends.order_weights_load(
                 order.address, fence, order.weights_version
             )
             fields = {"peer": order.engine_id, "fence": fence, "version": order.weights_version}
--- a/src/hillstack/messages/rollout_reports.py
+++ b/src/hillstack/messages/rollout_reports.py
@@ -53,7 +53,7 @@
     order_age_ms: int = 0
     store_era: int | None = None
 
-    def order(self, known: StoreRevision | None) -> StoreRevision:
+    def current_order(self, known: StoreRevision | None) -> StoreRevision:
         """Return the revision of the rollout order, including the store's era.
 
         Args:
--- a/src/hillstack/platform/cache_feed.py
+++ b/src/hillstack/platform/cache_feed.py
@@ -16,7 +16,7 @@
 from hillstack.platform.bodies import CacheEventsBody, CacheListBody
 from hillstack.platform.connections import OutgoingCall, Reply, send_call
 from hillstack.platform.runner_identifiers import check_runner_process, instance_of
-from hillstack.platform.runner_signals import Asked, SignalListener, SignalReader
+from hillstack.platform.runner_signals import SentCall, SignalListener, SignalReader
 
 OK = 200
 # Allows for a list of thousands of parts, from a runner under load.
@@ -79,10 +79,10 @@
         The answer of a runner must come from the process that was addressed. A KV cache store has
         no process identifier to check.
         """
-        asked = Asked(AnswerKind.CACHE)
+        sent = SentCall(AnswerKind.CACHE)
         reply = await send_call(self._session, call)
         if reply.status != OK:
-            self._read_signals(holder, reply, asked)
+            self._read_signals(holder, reply, sent)
             text = f"status {reply.status}"
             raise BackendRefusedError(text, step="cache feed", peer=call.address)
         try:
@@ -91,12 +91,12 @@
             raise BackendError(str(error), step="decode cache feed", peer=call.address) from error
         if not holder.is_store:
             check_runner_process(holder.holder_id, body.born, "cache feed")
-        self._read_signals(holder, reply, asked)
+        self._read_signals(holder, reply, sent)
         return body
 
-    def _read_signals(self, holder: CacheHolder, reply: Reply, asked: Asked) -> None:
+    def _read_signals(self, holder: CacheHolder, reply: Reply, sent: SentCall) -> None:
         if not holder.is_store:
-            self._signals.read(holder.holder_id, reply.status, reply.headers, asked)
+            self._signals.read(holder.holder_id, reply.status, reply.headers, sent)
 
 
 def _headers(holder: CacheHolder) -> dict[str, str]:
--- a/src/hillstack/platform/connections.py
+++ b/src/hillstack/platform/connections.py
@@ -48,7 +48,7 @@
 # A connection that is closed while an answer is due, and that delivered no bytes for this long,
 # counts as silent. The time equals TCP_USER_TIMEOUT. Calls with a shorter limit report their own
 # time-outs through ``record_silent_address``.
-OWED_SILENCE_SECONDS = UNACKNOWLEDGED_LIMIT_MS / 1000
+UNANSWERED_LIMIT_SECONDS = UNACKNOWLEDGED_LIMIT_MS / 1000
 # Addresses whose last silence is recorded: several times the runners of the largest deployment.
 MAX_SILENT_ADDRESSES = 8_192
 
@@ -168,7 +168,7 @@
         payload = self._payload
         answer_due = self._awaiting_head or (payload is not None and not payload.is_eof())
         silent_since = max(self._read_started_at, self._received_at)
-        timed_out = answer_due and clock.seconds() - silent_since >= OWED_SILENCE_SECONDS
+        timed_out = answer_due and clock.seconds() - silent_since >= UNANSWERED_LIMIT_SECONDS
         if timed_out or (isinstance(exc, OSError) and exc.errno == errno.ETIMEDOUT):
             self._silent.record(self._endpoint)
 
@@ -189,7 +189,7 @@
     """A connection pool that does not reuse idle connections to an address found silent.
 
     Attributes:
-        resting: Per ``IP:PORT`` with an idle connection, the monotonic time until which the
+        idle_until: Per ``IP:PORT`` with an idle connection, the monotonic time until which the
             connection that was released last may be reused.
     """
 
@@ -202,22 +202,22 @@
             socket_factory=make_socket,
         )
         self.silent = SilentAddresses()
-        self.resting: dict[str, float] = {}
+        self.idle_until: dict[str, float] = {}
         factory: Any = functools.partial(StrictResponseHandler, loop=self._loop, silent=self.silent)
         self._factory = factory
 
     async def _get(self, key: Any, traces: Any) -> Any:
-        """Take an idle connection; drop the address from ``resting`` if no other one is left."""
+        """Take an idle connection; drop the address from ``idle_until`` if no other one is left."""
         connection = await super()._get(key, traces)
         if key not in self._conns:
-            self.resting.pop(f"{key.host}:{key.port}", None)
+            self.idle_until.pop(f"{key.host}:{key.port}", None)
         return connection
 
     def _release(self, key: Any, protocol: Any, *, should_close: bool = False) -> None:
         """Return a connection to the pool, and store until when it may be reused."""
         super()._release(key, protocol, should_close=should_close)
         if key in self._conns and isinstance(protocol, StrictResponseHandler):
-            self.resting[f"{key.host}:{key.port}"] = protocol.reusable_until
+            self.idle_until[f"{key.host}:{key.port}"] = protocol.reusable_until
 
 
 def idle_limit_seconds(announced: str | None) -> float:
@@ -260,7 +260,7 @@
 def idle_connections(session: aiohttp.ClientSession) -> Mapping[str, float]:
     """Return until when an idle connection to each ``IP:PORT`` may be reused; updated live."""
     assert isinstance(session.connector, SilenceAwareConnector)
-    return session.connector.resting
+    return session.connector.idle_until
 
 
 def make_store_session() -> aiohttp.ClientSession:
--- a/src/hillstack/platform/runner_signals.py
+++ b/src/hillstack/platform/runner_signals.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class SentCall:
     """A call to a runner whose answer is read for signals.
 
     Attributes:
@@ -82,14 +82,14 @@
     def __init__(self, listener: SignalListener | None = None) -> None:
         self._listener = listener
 
-    def read(self, runner_id: str, status: int, headers: Mapping[str, str], asked: Asked) -> None:
+    def read(self, runner_id: str, status: int, headers: Mapping[str, str], call: SentCall) -> None:
         """Read the head of an answer, unless it names another runner as its sender.
 
         Args:
             runner_id: The runner process that the call was sent to.
             status: Status of the answer.
             headers: Headers of the answer.
-            asked: The call.
+            call: The call that was answered.
         """
         answered_by = headers.get(names.INSTANCE)
         if answered_by is not None and answered_by != instance_of(runner_id):
@@ -97,10 +97,10 @@
         if self._listener is None:
             return
         is_complete = OK <= status < REDIRECTS
-        if asked.kind is AnswerKind.REQUEST:
+        if call.kind is AnswerKind.REQUEST:
             is_complete = is_complete and names.SIGNATURE in headers
         source = AnswerSource(
-            asked.kind, status, clock.seconds() - asked.at, asked.request_id, is_complete
+            call.kind, status, clock.seconds() - call.at, call.request_id, is_complete
         )
         self._listener.heard(runner_id, parse_signals(status, headers), source)
         for name in unknown_fields(headers):
@@ -113,7 +113,7 @@
     backoff = 0.0
     if status == SERVICE_UNAVAILABLE:
         backoff = parse_backoff(headers.get(names.RETRY_AFTER, ""))
-    return RunnerSignals(leaving, backoff, limit_of(headers.get(names.REQUEST_LIMIT, "")))
+    return RunnerSignals(leaving, backoff, parse_limit(headers.get(names.REQUEST_LIMIT, "")))
 
 
 def parse_backoff(text: str) -> float:
@@ -124,7 +124,7 @@
     return min(MAX_BACKOFF_SECONDS, float(text))
 
 
-def limit_of(text: str) -> float | None:
+def parse_limit(text: str) -> float | None:
     """Return the limit in requests per second that a text states; None if it can't be parsed."""
     text = text.strip()
     if not DECIMAL.fullmatch(text):
--- a/src/hillstack/platform/runners.py
+++ b/src/hillstack/platform/runners.py
@@ -20,7 +20,7 @@
 from hillstack.platform.bodies import OrderBody, ReportBody
 from hillstack.platform.connections import OutgoingCall, send_call
 from hillstack.platform.runner_identifiers import check_runner_process, instance_of
-from hillstack.platform.runner_signals import Asked, SignalListener, SignalReader
+from hillstack.platform.runner_signals import SentCall, SignalListener, SignalReader
 from hillstack.serving.types import (
     Dispatch,
     HeaderList,
@@ -135,7 +135,7 @@
         """
         url = URL(f"http://{dispatch.address}{request.target}", encoded=True)
         peer = dispatch.runner_id
-        asked = Asked(AnswerKind.REQUEST, request.request_id)
+        sent = SentCall(AnswerKind.REQUEST, request.request_id)
         try:
             response = await self._session.request(
                 request.method,
@@ -150,7 +150,7 @@
             ) from error
         except (aiohttp.ClientError, OSError) as error:
             raise _broken_error(error, "await answer", peer) from error
-        self._signals.read(peer, response.status, response.headers, asked)
+        self._signals.read(peer, response.status, response.headers, sent)
         self._check_executed(response, dispatch)
         return HttpRunnerAnswer(response, peer)
 
@@ -162,17 +162,17 @@
         """
         headers = {names.EXPECT_INSTANCE: instance_of(runner_id)}
         call = OutgoingCall("GET", address, names.REPORT_PATH, REPORT_LIMIT_SECONDS, headers)
-        asked = Asked(AnswerKind.REPORT)
+        sent = SentCall(AnswerKind.REPORT)
         reply = await send_call(self._session, call)
         if reply.status != OK:
-            self._signals.read(runner_id, reply.status, reply.headers, asked)
+            self._signals.read(runner_id, reply.status, reply.headers, sent)
             raise BackendError(f"status {reply.status}", step="report", peer=runner_id)
         try:
             body = msgspec.json.decode(reply.body, type=ReportBody)
         except msgspec.MsgspecError as error:
             raise BackendError(str(error), step="decode report", peer=runner_id) from error
         check_runner_process(runner_id, body.born, "report")
-        self._signals.read(runner_id, reply.status, reply.headers, asked)
+        self._signals.read(runner_id, reply.status, reply.headers, sent)
         weights = {model.name: model.version for model in body.models}
         return RunnerReport(weights, body.busy, body.seq)
 
@@ -199,9 +199,9 @@
         call = OutgoingCall(
             "POST", order.address, names.ORDER_PATH, ORDER_LIMIT_SECONDS, headers, data
         )
-        asked = Asked(AnswerKind.ORDER)
+        sent = SentCall(AnswerKind.ORDER)
         reply = await send_call(self._session, call)
-        self._signals.read(order.runner_id, reply.status, reply.headers, asked)
+        self._signals.read(order.runner_id, reply.status, reply.headers, sent)
         return ORDER_OUTCOMES.get(reply.status, OrderOutcome.REJECTED)
 
     def _check_executed(self, response: aiohttp.ClientResponse, dispatch: Dispatch) -> None:
--- a/src/hillstack/simulation/surroundings.py
+++ b/src/hillstack/simulation/environment.py
@@ -138,7 +138,7 @@
         assert isinstance(report, LoadReport)
         return report
 
-    async def order_load(self, address: str, fence: int, weights_version: int) -> bool:
+    async def order_weights_load(self, address: str, fence: int, weights_version: int) -> bool:
         """Order an engine to load weights; return whether it accepted the order.
 
         Raises:
@@ -381,7 +381,7 @@
         self._index.removed(engine_id, incarnation, removed)
 
 
-class SimSurroundings:
+class SimEnvironment:
     """The environment of one simulated node.
 
     Args:
--- a/src/hillstack/simulation/experiment.py
+++ b/src/hillstack/simulation/experiment.py
@@ -8,7 +8,7 @@
 
 from hillstack.config.bundle import Routing
 from hillstack.simulation.experiment_config import ExperimentConfig
-from hillstack.simulation.fleet_parts import RequestRecord
+from hillstack.simulation.fleet_entities import RequestRecord
 from hillstack.simulation.fleet_simulation import FleetSimulation
 from hillstack.simulation.statistics import percentile
 
--- a/src/hillstack/simulation/fleet_simulation.py
+++ b/src/hillstack/simulation/fleet_simulation.py
@@ -28,7 +28,7 @@
     StepResult,
 )
 from hillstack.simulation.experiment_config import ExperimentConfig
-from hillstack.simulation.fleet_parts import (
+from hillstack.simulation.fleet_entities import (
     AttemptInFlight,
     OracleRouter,
     RequestRecord,
--- a/tests/fleet/fatal_world.py
+++ b/tests/fleet/fatal_world.py
@@ -190,7 +190,7 @@
         ended = [runner for runner in self.ended() if body in runner.bodies_at_crash]
         return sorted(runner.crashed_at for runner in ended if runner.crashed_at is not None)
 
-    def bodies_at_crash(self, body: bytes) -> int:
+    def crash_count(self, body: bytes) -> int:
         return sum(body in runner.bodies_at_crash for runner in self.by_id.values())
 
 
--- a/tests/fleet/test_fatal_requests.py
+++ b/tests/fleet/test_fatal_requests.py
@@ -138,8 +138,8 @@
     outcomes += [world.send("node-1", b"fatal 1"), world.send("node-0", b"fatal 2")]
     world.run(2.0)
     assert not any(outcome.is_served for outcome in outcomes)
-    assert world.runners.bodies_at_crash(b"fatal 1") <= 2
-    assert world.runners.bodies_at_crash(b"fatal 2") <= 2
+    assert world.runners.crash_count(b"fatal 1") <= 2
+    assert world.runners.crash_count(b"fatal 2") <= 2
 
 
 def test_concurrent_tries_of_one_fatal_request_crash_two_runners() -> None:
--- a/tests/fleet/test_idle_connections.py
+++ b/tests/fleet/test_idle_connections.py
@@ -87,13 +87,13 @@
             answer.close()
         connector = session.connector
         assert isinstance(connector, SilenceAwareConnector)
-        resting = dict(connector.resting)
+        idle_until = dict(connector.idle_until)
         await session.close()
         server.close()
-        return resting, address
+        return idle_until, address
 
-    resting, address = asyncio.run(main())
-    return opened, resting, address
+    idle_until, address = asyncio.run(main())
+    return opened, idle_until, address
 
 
 def test_an_idle_connection_is_reused_and_listed_with_its_expiry() -> None:
--- a/tests/fleet/test_runner_limits.py
+++ b/tests/fleet/test_runner_limits.py
@@ -36,7 +36,7 @@
 from hillstack.messages.datagrams import DatagramKind
 from hillstack.messages.peer_notices import NO_LIMIT, PROTOCOL_VERSION, LimitNotice, NodeNotice
 from hillstack.platform import names
-from hillstack.platform.runner_signals import MAX_REQUESTS_PER_SECOND, limit_of, parse_signals
+from hillstack.platform.runner_signals import MAX_REQUESTS_PER_SECOND, parse_limit, parse_signals
 from hillstack.serving.metrics import FleetMetrics
 from hillstack.serving.runner_limits import (
     ANSWER_SECONDS,
@@ -101,7 +101,7 @@
 def test_a_limit_is_a_decimal_number_and_any_other_text_is_no_limit(
     text: str, limit: float | None
 ) -> None:
-    assert limit_of(text) == limit
+    assert parse_limit(text) == limit
 
 
 @pytest.mark.parametrize("status", [200, 421, 429, 500, 503, 504])
--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -34,7 +34,7 @@
 from hillstack.platform.connections import make_runner_session
 from hillstack.platform.runner_signals import (
     MAX_BACKOFF_SECONDS,
-    Asked,
+    SentCall,
     SignalReader,
     parse_backoff,
     parse_signals,
@@ -133,9 +133,9 @@
     recorder = SignalRecorder()
     reader = SignalReader(recorder)
     headers = {names.LEAVING: "1", names.INSTANCE: "i-2"}
-    reader.read("i-1#1000", 421, headers, Asked(AnswerKind.REQUEST, "r-1"))
+    reader.read("i-1#1000", 421, headers, SentCall(AnswerKind.REQUEST, "r-1"))
     assert recorder.signals == []
-    reader.read("i-2#1000", 421, headers, Asked(AnswerKind.REQUEST, "r-2"))
+    reader.read("i-2#1000", 421, headers, SentCall(AnswerKind.REQUEST, "r-2"))
     assert recorder.signals == [("i-2#1000", LEAVING, "request r-2: status 421")]
 
 
@@ -148,7 +148,7 @@
     headers = {"Content-Type": "text/plain", names.LEAVING: "1", "Server-News": "4" * 100}
     with caplog.at_level("INFO"):
         for number in range(3):
-            reader.read("i-1", 200, headers, Asked(AnswerKind.REQUEST, f"r-{number}"))
+            reader.read("i-1", 200, headers, SentCall(AnswerKind.REQUEST, f"r-{number}"))
     lines = [r for r in caplog.records if r.message == "unknown field in an answer"]
     assert [(line.field, line.value) for line in lines] == [("server-news", "4" * 64)]  # type: ignore[attr-defined]
     assert b'unknown_answer_fields_total{field="server-news"} 3.0' in metrics.text()
@@ -158,7 +158,7 @@
     metrics = FleetMetrics()
     reader = SignalReader(SignalReceiver(RunnerPool(), metrics, lambda: NOW))
     for number in range(100):
-        reader.read("i-1", 200, {f"X-{number}": "1"}, Asked(AnswerKind.REQUEST))
+        reader.read("i-1", 200, {f"X-{number}": "1"}, SentCall(AnswerKind.REQUEST))
     assert metrics.text().count(b"unknown_answer_fields_total{") == 32
 
 
--- a/tests/fleet/test_silent_connections.py
+++ b/tests/fleet/test_silent_connections.py
@@ -154,7 +154,7 @@
 def test_request_cancelled_after_silence_ends_reuse_of_idle_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connections, "OWED_SILENCE_SECONDS", SHORT_WAIT_SECONDS / 2)
+    monkeypatch.setattr(connections, "UNANSWERED_LIMIT_SECONDS", SHORT_WAIT_SECONDS / 2)
 
     async def use(server: SilencedServer, session: aiohttp.ClientSession) -> None:
         client = HttpRunnerClient(session)
