--- a/src/hillstack/emulator/fleet_cache.py
+++ b/src/hillstack/emulator/fleet_cache.py
@@ -27,7 +27,7 @@
         epoch: Incarnation number of the cache, which rises with each restart.
         held: Length in tokens of each cached part, by salt and part.
         events: Changes since the last restart: number, sign, salt, part, tokens, model.
-        lists: How often the complete list was requested.
+        list_requests: How often the complete list was requested.
         born: Start time of the runner's process in Unix milliseconds; 0 if the runner does not
             report it.
     """
@@ -36,7 +36,7 @@
     epoch: int = 1
     held: dict[tuple[str, str], int] = field(default_factory=dict)
     events: list[tuple[int, str, str, str, int, str]] = field(default_factory=list)
-    lists: int = 0
+    list_requests: int = 0
     born: int = 0
 
     def read(self, salt: str, prompt_parts: str, usage: str) -> None:
@@ -70,7 +70,7 @@
         self.events.append((len(self.events) + 1, sign, salt, part_id, tokens, self.model))
 
     async def _list(self, request: Request) -> Response:
-        self.lists += 1
+        self.list_requests += 1
         held = [(salt, part, tokens, self.model) for (salt, part), tokens in self.held.items()]
         return _json(CacheListBody(self.epoch, len(self.events), held, self.born))
 
--- a/src/hillstack/emulator/fleet_runner.py
+++ b/src/hillstack/emulator/fleet_runner.py
@@ -37,20 +37,20 @@
     """Faults of a version of a runner's software.
 
     The faults affect a request only if all three conditions hold: ``unaffected_runs``,
-    ``busy_from`` and ``path_prefix``.
+    ``min_running`` and ``path_prefix``.
 
     Attributes:
         fail_share: Share of the affected requests that fail.
         slow_seconds: Extra seconds until the answer to an affected request.
         unaffected_runs: Number of requests that the runner runs without faults first.
-        busy_from: Least number of requests running at the same time, including this one.
+        min_running: Least number of requests running at the same time, including this one.
         path_prefix: Prefix of the request's path.
     """
 
     fail_share: float = 0.0
     slow_seconds: float = 0.0
     unaffected_runs: int = 0
-    busy_from: int = 0
+    min_running: int = 0
     path_prefix: str = "/"
 
 
@@ -62,7 +62,7 @@
         hang: Run requests and never answer.
         status: HTTP status of the answers.
         break_after: Break each stream after this number of events; None for never.
-        shed: Refuse requests and mark them as not run.
+        refuse_requests: Refuse requests and mark them as not run.
         backoff_seconds: Backoff that a refusal asks for; 0 for none.
         leaving: Report in all answers that the runner is leaving.
         limit: Limit in requests per second, over all nodes, that all answers report; None for no
@@ -75,7 +75,7 @@
     hang: bool = False
     status: int = 200
     break_after: int | None = None
-    shed: bool = False
+    refuse_requests: bool = False
     backoff_seconds: float = 0.0
     leaving: bool = False
     limit: float | None = None
@@ -196,7 +196,7 @@
         self.record_arrival(request_id)
         if self._is_misdirected(request):
             return self._misdirected()
-        if self.faults.shed:
+        if self.faults.refuse_requests:
             headers = {names.NOT_EXECUTED: "1", names.REQUEST_ID: request_id}
             if self.faults.backoff_seconds:
                 headers[names.RETRY_AFTER] = f"{self.faults.backoff_seconds:g}"
@@ -232,7 +232,7 @@
     async def _work(self, path: str) -> bool:
         """Wait as long as a request takes; return whether a software fault makes it fail."""
         faults = self.faults.software
-        is_affected = len(self.ran) > faults.unaffected_runs and self.running >= faults.busy_from
+        is_affected = len(self.ran) > faults.unaffected_runs and self.running >= faults.min_running
         is_affected = is_affected and path.startswith(faults.path_prefix)
         await asyncio.sleep(self.work_seconds + (faults.slow_seconds if is_affected else 0.0))
         return is_affected and self._rng.random() < faults.fail_share
--- a/src/hillstack/simulation/environment.py
+++ b/src/hillstack/simulation/environment.py
@@ -146,9 +146,9 @@
         """
 
         async def order(engine: SimEngine) -> bool:
-            taken = engine.take_order(fence, weights_version)
+            accepted = engine.accept_order(fence, weights_version)
             await asyncio.sleep(LOAD_SECONDS)
-            return taken
+            return accepted
 
         try:
             async with asyncio.timeout(PAGE_TIMEOUT_SECONDS + LOAD_SECONDS):
--- a/src/hillstack/simulation/services.py
+++ b/src/hillstack/simulation/services.py
@@ -216,17 +216,17 @@
         self._running = 0
         process.on_call = self._on_call
 
-    def take_order(self, fence: int, weights_version: int) -> bool:
+    def accept_order(self, fence: int, weights_version: int) -> bool:
         """Accept an order to load weights, unless an order with a higher fence came before it."""
-        taken = fence >= self._fence
+        accepted = fence >= self._fence
         now = self.process.loop.time()
-        self._history.add(Order(now, self.process.name, fence, taken))
-        if taken:
+        self._history.add(Order(now, self.process.name, fence, accepted))
+        if accepted:
             self._fence = fence
             if weights_version != self.weights_version:
                 self.weights_version = weights_version
                 self._cache.clear()
-        return taken
+        return accepted
 
     async def _on_call(self, call: Any, address: str) -> Any:
         if call == "status":
--- a/tests/fleet/deployment.py
+++ b/tests/fleet/deployment.py
@@ -180,15 +180,15 @@
         return runner
 
     async def start_runner(
-        self, runner: FleetRunner, front: Callable[[str], str] = lambda address: address
+        self, runner: FleetRunner, listed_address: Callable[[str], str] = lambda address: address
     ) -> None:
         """Start a runner and list it in the store.
 
-        The listed address is what ``front`` returns for the address on which the runner listens,
+        The store lists what ``listed_address`` returns for the address on which the runner listens,
         such as the address of a proxy.
         """
         self.runners[runner.runner_id] = runner
-        self.addresses[runner.runner_id] = front(await self.serve(runner.app()))
+        self.addresses[runner.runner_id] = listed_address(await self.serve(runner.app()))
         self.list_runner(runner.runner_id)
 
     def list_runner(self, runner_id: str, state: str = "ready") -> None:
@@ -322,11 +322,13 @@
             await asyncio.sleep(POLL_SECONDS)
         return answer
 
-    def stop_node(self, node: NodeProcess, signal_number: signal.Signals = signal.SIGTERM) -> None:
+    def send_signal(
+        self, node: NodeProcess, signal_number: signal.Signals = signal.SIGTERM
+    ) -> None:
         """Send a signal to a node, by default the one that asks for a planned stop."""
         node.process.send_signal(signal_number)
 
-    async def ended(self, node: NodeProcess) -> int:
+    async def wait_for_exit(self, node: NodeProcess) -> int:
         """Wait until the process of a node has ended; return its exit code."""
         await until(lambda: node.process.poll() is not None, f"{node.name} ends")
         return int(node.process.returncode)
--- a/tests/fleet/fake_runners.py
+++ b/tests/fleet/fake_runners.py
@@ -104,7 +104,7 @@
     return behave
 
 
-def breaks(after: float = 0.0) -> Behaviour:
+def breaks_off(after: float = 0.0) -> Behaviour:
     async def behave(request: ServingRequest, dispatch: Dispatch) -> FakeAnswer:
         await asyncio.sleep(after)
         raise BackendBrokenError("broken", step="test", peer=dispatch.runner_id)
@@ -112,7 +112,7 @@
     return behave
 
 
-def begins(after: float, *pieces: bytes | float | Exception) -> Behaviour:
+def answers_after(after: float, *pieces: bytes | float | Exception) -> Behaviour:
     """Return a behaviour that answers with the given pieces after ``after`` seconds."""
 
     async def behave(request: ServingRequest, dispatch: Dispatch) -> FakeAnswer:
--- a/tests/fleet/rollout_bench.py
+++ b/tests/fleet/rollout_bench.py
@@ -42,7 +42,7 @@
 OVER_SECONDS = 12.0
 APPLY_SECONDS = 2.0
 # Lease time that a renewal grants.
-TTL = 2.0
+LEASE_TTL_SECONDS = 2.0
 # Duration of a call to the store, and further wait for an answer that is lost.
 CALL_SECONDS = 0.05
 ANSWER_TIMEOUT_SECONDS = 0.5
@@ -69,13 +69,13 @@
 
     Attributes:
         ends: When each lease ends, by its identifier.
-        down: Whether all calls fail.
-        lose: Number of next writes that take effect and whose answers are lost.
-        hold: Number of next writes that are kept in ``held`` and take effect only when a test
-            passes them to ``take``.
+        is_down: Whether all calls fail.
+        answers_to_lose: Number of next writes that take effect and whose answers are lost.
+        writes_to_delay: Number of next writes that are kept in ``delayed_writes`` and take effect
+            only when a test passes them to ``apply_write``.
         refused: Number of writes whose conditions did not hold.
-        told: All statuses written for the operator: time, state and target.
-        told_of: Revision of the order to which each status in ``told`` belongs.
+        statuses: All statuses written for the operator: time, state and target.
+        status_order_revisions: Revision of the order of each status in ``statuses``.
         records: All records that were written, with their times.
     """
 
@@ -85,14 +85,14 @@
     ends: dict[int, float] = field(default_factory=dict)
     order: RolloutOrder | None = None
     record: RolloutRecord | None = None
-    down: bool = False
-    lose: int = 0
-    hold: int = 0
+    is_down: bool = False
+    answers_to_lose: int = 0
+    writes_to_delay: int = 0
     era: int = 0
-    held: list[tuple[RolloutRecord, StoreRevision, bool]] = field(default_factory=list)
+    delayed_writes: list[tuple[RolloutRecord, StoreRevision, bool]] = field(default_factory=list)
     refused: int = 0
-    told: list[tuple[float, str, str]] = field(default_factory=list)
-    told_of: list[StoreRevision] = field(default_factory=list)
+    statuses: list[tuple[float, str, str]] = field(default_factory=list)
+    status_order_revisions: list[StoreRevision] = field(default_factory=list)
     records: list[tuple[float, RolloutRecord]] = field(default_factory=list)
 
     async def get(self, key: str) -> Entry | None:
@@ -122,7 +122,7 @@
     async def keep_alive(self, lease_id: int) -> bool:
         await self._call()
         if lease_id in self.ends:
-            self.ends[lease_id] = self.scheduler.now + TTL
+            self.ends[lease_id] = self.scheduler.now + LEASE_TTL_SECONDS
         return lease_id in self.ends
 
     async def revoke_lease(self, lease_id: int) -> None:
@@ -134,14 +134,14 @@
         self, record: RolloutRecord, fence: StoreRevision, update_operator_status: bool
     ) -> StoreRevision | None:
         await self._call()
-        if self.hold > 0:
-            self.hold -= 1
-            self.held.append((record, fence, update_operator_status))
+        if self.writes_to_delay > 0:
+            self.writes_to_delay -= 1
+            self.delayed_writes.append((record, fence, update_operator_status))
             await asyncio.sleep(ANSWER_TIMEOUT_SECONDS)
             raise PlatformOutcomeUnknownError("no answer", step="write", peer="store")
-        revision = self.take(record, fence, update_operator_status)
-        if self.lose > 0:
-            self.lose -= 1
+        revision = self.apply_write(record, fence, update_operator_status)
+        if self.answers_to_lose > 0:
+            self.answers_to_lose -= 1
             await asyncio.sleep(ANSWER_TIMEOUT_SECONDS)
             raise PlatformOutcomeUnknownError("no answer", step="write", peer="store")
         return revision
@@ -150,7 +150,7 @@
         await self._call()
         return self.record
 
-    def take(
+    def apply_write(
         self, record: RolloutRecord, fence: StoreRevision, update_operator_status: bool
     ) -> StoreRevision | None:
         """Apply a write of a record if its order, its revision and its fence are current."""
@@ -175,8 +175,8 @@
         )
         self.records.append((self.scheduler.now, self.record))
         if update_operator_status:
-            self.told.append((self.scheduler.now, STATUS[record.stage], record.target))
-            self.told_of.append(record.order_revision)
+            self.statuses.append((self.scheduler.now, STATUS[record.stage], record.target))
+            self.status_order_revisions.append(record.order_revision)
         return self.record.revision
 
     def expire(self) -> None:
@@ -193,7 +193,7 @@
 
     async def _call(self) -> None:
         await asyncio.sleep(CALL_SECONDS)
-        if self.down:
+        if self.is_down:
             raise PlatformUnavailableError("down", step="call", peer="store")
         self.expire()
 
@@ -248,10 +248,10 @@
     """One node that may hold the duty.
 
     Attributes:
-        hears_store: Whether the node receives the changes of the store.
+        receives_store_events: Whether the node receives the changes of the store.
         receives_reports: Whether the node receives the reports of its peers.
         old_running: Requests that the node reports as running on runners of other versions.
-        says_bad: Whether the node reports that it judges the target version as bad.
+        reports_bad: Whether the node reports that it judges the target version as bad.
         counted: Answers and failures by revision of the order and by version.
     """
 
@@ -260,11 +260,11 @@
     duty: SoftwareRolloutDuty
     observed: NodeObservations
     loop: Any
-    hears_store: bool = True
+    receives_store_events: bool = True
     receives_reports: bool = True
     alive: bool = True
     old_running: int = 0
-    says_bad: bool = False
+    reports_bad: bool = False
     incarnation: int = 1
     counted: dict[tuple[StoreRevision, str], list[float]] = field(default_factory=dict)
 
@@ -285,14 +285,14 @@
 
     Attributes:
         failing: Share of the target version's answers that are failures.
-        asked: Whether the service gets requests.
+        has_requests: Whether the service gets requests.
     """
 
     def __init__(self, *names: str) -> None:
         self.scheduler = Scheduler()
         self.store = FakeStore(self.scheduler)
         self.failing = 0.0
-        self.asked = True
+        self.has_requests = True
         self.nodes: list[Node] = []
         self.names = names or ("node-a", "node-b")
         for name in self.names:
@@ -332,25 +332,25 @@
 
     def announce_order(self, order: RolloutOrder) -> None:
         """Announce an order to all nodes, as a node that knows it does while the store is down."""
-        self.tell(RolloutOrdered(order))
+        self.apply_to_nodes(RolloutOrdered(order))
 
     def withdraw(self) -> None:
         """Delete the order from the store and announce that to all nodes."""
         self.store.revision += 1
         self.store.order = None
-        self.tell(RolloutWithdrawn(APPLICATION, rev(self.store.revision)))
+        self.apply_to_nodes(RolloutWithdrawn(APPLICATION, rev(self.store.revision)))
 
     def list_runner(self, name: str, software: str, revision: int = 1) -> None:
-        self.tell(RunnerListed(entry(name, software, revision)))
+        self.apply_to_nodes(RunnerListed(entry(name, software, revision)))
 
     def unlist_runners(self, prefix: str) -> None:
         for n in range(RUNNERS_PER_VERSION):
-            self.tell(RunnerUnlisted(f"{prefix}-{n}", None))
+            self.apply_to_nodes(RunnerUnlisted(f"{prefix}-{n}", None))
 
-    def tell(self, event: StoreEvent) -> None:
+    def apply_to_nodes(self, event: StoreEvent) -> None:
         """Apply an event of the store at all nodes that follow the store."""
         for node in self.nodes:
-            if node.alive and node.hears_store:
+            if node.alive and node.receives_store_events:
                 node.state.apply(event, self.scheduler.now)
 
     def kill(self, node: Node) -> None:
@@ -367,27 +367,27 @@
         while self.scheduler.now < end - 1e-9:
             self.scheduler.run_until(min(end, self.scheduler.now + REPORT_SECONDS))
             self._count_answers(REPORT_SECONDS)
-            if not self.store.down:
+            if not self.store.is_down:
                 self._deliver_store()
             self._send_reports()
 
     def states(self) -> list[str]:
         """Return the states of all statuses written for the operator, in order."""
-        return [state for _, state, _ in self.store.told]
+        return [state for _, state, _ in self.store.statuses]
 
     def stage(self) -> RolloutStage | None:
         return self.store.record.stage if self.store.record is not None else None
 
     def _deliver_store(self) -> None:
         if self.store.order is not None:
-            self.tell(RolloutOrdered(self.store.order))
+            self.apply_to_nodes(RolloutOrdered(self.store.order))
         if self.store.record is not None:
-            self.tell(RolloutRecorded(self.store.record))
-        self.tell(RolloutDutyHeld(APPLICATION, self.store.holder()))
+            self.apply_to_nodes(RolloutRecorded(self.store.record))
+        self.apply_to_nodes(RolloutDutyHeld(APPLICATION, self.store.holder()))
 
     def _count_answers(self, seconds: float) -> None:
         order = self.store.order
-        if order is None or not self.asked:
+        if order is None or not self.has_requests:
             return
         answering = [node for node in self.nodes if node.is_reporting()]
         for node in answering:
@@ -428,5 +428,5 @@
             stage.value,
             old_running,
             outcomes,
-            sender.says_bad,
+            sender.reports_bad,
         )
--- a/tests/fleet/rollout_traffic.py
+++ b/tests/fleet/rollout_traffic.py
@@ -128,8 +128,8 @@
 
     Attributes:
         behaviour: How the target version answers.
-        busy_from: Number of requests running at a runner from which on the target version follows
-            ``behaviour``; with fewer it behaves well.
+        min_running: Least number of requests running at a runner at which the target version
+            follows ``behaviour``; with fewer it behaves well.
         requests: Number of requests that arrived between the order and its deadline.
         sent: Requests that were sent to the target version.
         bad_at: When the target version gave failed or slow answers.
@@ -140,7 +140,7 @@
     behaviour: Behaviour = good
     old_runners: int = 4
     new_runners: int = 4
-    busy_from: int = 0
+    min_running: int = 0
     seed: int = 5
     ordered_at: float = float("inf")
     requests: int = 0
@@ -243,7 +243,7 @@
         self.sent.append(send)
         failed, slowness = self.behaviour(request.path, now - self.ordered_at)
         self.running[dispatch.runner_id] += 1
-        if self.running[dispatch.runner_id] < self.busy_from:
+        if self.running[dispatch.runner_id] < self.min_running:
             failed, slowness = good(request.path, now - self.ordered_at)
         try:
             await asyncio.sleep(WORK_SECONDS * slowness)
--- a/tests/fleet/test_callers_leave.py
+++ b/tests/fleet/test_callers_leave.py
@@ -219,9 +219,9 @@
             asyncio.create_task(running.call(node, "/stream/x", "r-2")),
         ]
         await until(lambda: (hung.ran, engine.ran) == (["r-1"], ["r-2"]), "both requests run")
-        running.stop_node(node, signal.SIGHUP)
+        running.send_signal(node, signal.SIGHUP)
         await until(lambda: "settings read again" in node.messages(), "reload")
-        running.stop_node(node, signal.SIGHUP)
+        running.send_signal(node, signal.SIGHUP)
         for call in calls:
             call.cancel()
         await until(
--- a/tests/fleet/test_node_process.py
+++ b/tests/fleet/test_node_process.py
@@ -67,8 +67,8 @@
         await running.call(first, "/stream/x")
         cache_holder = next(runner for runner in runners if runner.ran)
         other = next(runner for runner in runners if not runner.ran)
-        running.stop_node(first, signal.SIGKILL)
-        await running.ended(first)
+        running.send_signal(first, signal.SIGKILL)
+        await running.wait_for_exit(first)
         second = await running.add_node("node-1")
         await until(lambda: second.messages().count("cache listed") == 4, "caches are listed again")
         await running.call(second, "/stream/x", "r-2")
@@ -148,7 +148,7 @@
     async def scenario(running: Deployment) -> None:
         runner = await running.add_runner("i-1")
         node = await running.add_node("node-1")
-        runner.faults.shed = True
+        runner.faults.refuse_requests = True
         answer = await running.call(node, "/once/x")
         assert answer.status == 503 and float(answer.headers[names.RETRY_AFTER]) > 0
         assert runner.ran == []
@@ -202,13 +202,13 @@
         node = await running.add_node("node-1")
         call = asyncio.create_task(running.call(node, "/stream/x"))
         await until(lambda: runner.ran == ["r-1"], "the stream runs")
-        running.stop_node(node)
+        running.send_signal(node)
         await running.wait_ready(node, status=503)
         answer = await call
         assert answer.status == 200 and answer.body.count(b"id: ") == 30
         late = await running.call(node, "/stream/x", request_id="r-2")
         assert late.headers.get("Connection", "").lower() == "close"
-        assert await running.ended(node) == 0
+        assert await running.wait_for_exit(node) == 0
         assert running.store.value(names.DUTY_KEY) is None
         assert node.messages()[-1] == "stopped"
 
@@ -275,10 +275,10 @@
         path = tmp_path / "node-1.toml"
         good = path.read_text()
         path.write_text(good.replace("[node]", "[node"))
-        running.stop_node(node, signal.SIGHUP)
+        running.send_signal(node, signal.SIGHUP)
         await until(lambda: any(m.startswith("settings kept") for m in node.messages()), "refusal")
         path.write_text(good)
-        running.stop_node(node, signal.SIGHUP)
+        running.send_signal(node, signal.SIGHUP)
         await until(lambda: "settings read again" in node.messages(), "reload")
         assert (await running.call(node, "/safe/x")).status == 200
 
@@ -293,7 +293,7 @@
         await running.add_runner("i-1")
         node = running.launch("node-1")
         await until(node.listens, "the node listens")
-        running.stop_node(node, signal.SIGHUP)
+        running.send_signal(node, signal.SIGHUP)
         await until(
             lambda: node.process.poll() is not None or "settings read again" in node.messages(),
             "reload or end",
@@ -327,8 +327,8 @@
         url = f"http://127.0.0.1:{node.metrics_port}/metrics"
         async with running.session.get(url) as response:
             assert response.status == 200
-        running.stop_node(node)
-        assert await running.ended(node) == 0
+        running.send_signal(node)
+        assert await running.wait_for_exit(node) == 0
 
     play(tmp_path, scenario)
 
--- a/tests/fleet/test_pipeline.py
+++ b/tests/fleet/test_pipeline.py
@@ -51,8 +51,8 @@
     FakePeers,
     FakeSink,
     answers,
-    begins,
-    breaks,
+    answers_after,
+    breaks_off,
     hangs,
     refuses,
 )
@@ -200,7 +200,7 @@
 
 
 def test_an_unsafe_request_that_may_have_run_is_never_sent_again() -> None:
-    bench = make_bench(i_1=breaks(), i_22=breaks())
+    bench = make_bench(i_1=breaks_off(), i_22=breaks_off())
     make_unsafe(bench)
     _, error = bench.serve(make_request())
     assert_rejected(error, Verdict.FAILED)
@@ -208,7 +208,7 @@
 
 
 def test_a_safe_request_is_tried_on_another_runner_once() -> None:
-    bench = make_bench(i_1=breaks(), i_22=breaks(), i_333=breaks())
+    bench = make_bench(i_1=breaks_off(), i_22=breaks_off(), i_333=breaks_off())
     _, error = bench.serve(make_request())
     assert_rejected(error, Verdict.FAILED)
     used = [dispatch.runner_id for dispatch in bench.client.dispatches]
@@ -238,7 +238,7 @@
 
 
 def test_the_retry_budget_ends_further_attempts() -> None:
-    bench = make_bench(i_1=breaks(), i_22=breaks())
+    bench = make_bench(i_1=breaks_off(), i_22=breaks_off())
     bench.state.budget.set_node_count(1_000)
     _, error = bench.serve(make_request())
     assert_rejected(error, Verdict.FAILED)
@@ -256,7 +256,7 @@
 
 @pytest.mark.parametrize(
     "behaviour",
-    [begins(1.98, 0.1, b"done"), begins(2.03, b"done"), answers(2.1, b"done")],
+    [answers_after(1.98, 0.1, b"done"), answers_after(2.03, b"done"), answers(2.1, b"done")],
     ids=["body after the deadline", "head after the deadline", "long body"],
 )
 def test_an_answer_in_transit_at_the_deadline_is_delivered(behaviour: Behaviour) -> None:
@@ -269,7 +269,7 @@
 
 @pytest.mark.parametrize("reads", [0.3, 1.5])
 def test_a_ready_answer_is_delivered_to_a_caller_that_reads_past_its_deadline(reads: float) -> None:
-    bench = make_bench(i_1=begins(1.9, b"done"))
+    bench = make_bench(i_1=answers_after(1.9, b"done"))
     make_unsafe(bench)
     sink, error = bench.serve(make_request(patience=2.0), reading_seconds=reads)
     assert error is None
@@ -277,13 +277,15 @@
 
 
 def test_a_caller_that_does_not_read_its_answer_is_cut_in_bounded_time() -> None:
-    bench = make_bench(i_1=begins(1.9, b"done"))
+    bench = make_bench(i_1=answers_after(1.9, b"done"))
     make_unsafe(bench)
     _, error = bench.serve(make_request(patience=2.0), within=4.0, reading_seconds=60.0)
     assert isinstance(error, StreamCutError)
 
 
-@pytest.mark.parametrize("second", [refuses(RefusalCause.FULL), breaks(), breaks(0.3), hangs()])
+@pytest.mark.parametrize(
+    "second", [refuses(RefusalCause.FULL), breaks_off(), breaks_off(0.3), hangs()]
+)
 def test_a_runner_error_is_passed_on_if_no_other_runner_answers(second: Behaviour) -> None:
     # Tampere trouble-1 seed 1: the router replaced the 500 of an application server by its own 502.
     bench = make_bench(i_1=answers(b"error", status=500), i_22=second)
@@ -321,7 +323,7 @@
 
 
 def test_a_slow_runner_is_not_abandoned_if_no_other_runner_accepts() -> None:
-    bench = make_bench(i_1=begins(1.9, b"done"), i_22=answers(b"x"))
+    bench = make_bench(i_1=answers_after(1.9, b"done"), i_22=answers(b"x"))
     other = bench.state.pool.get("i-22")
     assert other is not None
     other.leaving = True
@@ -339,7 +341,9 @@
 @pytest.mark.parametrize("work_seconds", [0.45, 0.9])
 def test_ordinary_work_of_an_application_server_is_not_broken_off(work_seconds: float) -> None:
     # inc-8f26: attempts counted as overdue after 0.4 s, but ordinary work takes up to 0.45 s.
-    bench = make_bench(i_1=begins(work_seconds, b"a"), i_22=begins(work_seconds, b"b"))
+    bench = make_bench(
+        i_1=answers_after(work_seconds, b"a"), i_22=answers_after(work_seconds, b"b")
+    )
     for _ in range(ANSWERS_PER_UPDATE + 5):
         sink, error = bench.serve(make_request())
         assert error is None and sink.finished
@@ -348,7 +352,7 @@
 
 
 def test_a_silent_application_server_is_abandoned_soon_if_answers_are_fast() -> None:
-    bench = make_bench(i_1=begins(0.02, b"a"), i_22=begins(0.02, b"b"))
+    bench = make_bench(i_1=answers_after(0.02, b"a"), i_22=answers_after(0.02, b"b"))
     for _ in range(ANSWERS_PER_UPDATE):
         bench.serve(make_request())
     bench.client.behaviours["i-1"] = hangs()
@@ -870,7 +874,7 @@
 
 
 def test_a_request_is_charged_once_for_all_attempts() -> None:
-    bench = make_bench(i_1=breaks(), i_2=breaks())
+    bench = make_bench(i_1=breaks_off(), i_2=breaks_off())
     make_limited(bench)
     bench.serve(make_request())
     assert len(bench.client.dispatches) == 2
--- a/tests/fleet/test_regions_placement.py
+++ b/tests/fleet/test_regions_placement.py
@@ -51,7 +51,7 @@
     make_route,
     rev,
 )
-from tests.fleet.fake_runners import FakePeers, answers, begins, breaks, refuses
+from tests.fleet.fake_runners import FakePeers, answers, answers_after, breaks_off, refuses
 from tests.fleet.test_pipeline import EVENTS, Bench
 
 REGIONS = {"a-1": "a", "a-2": "a", "a-3": "a", "b-1": "b", "b-2": "b", "b-3": "b"}
@@ -441,7 +441,9 @@
     bench = Bench(region.state)
     for runner in region.state.pool.all():
         is_engine = runner.entry.service == ENGINES
-        bench.client.behaviours[runner.runner_id] = begins(0.1, *EVENTS) if is_engine else answers()
+        bench.client.behaviours[runner.runner_id] = (
+            answers_after(0.1, *EVENTS) if is_engine else answers()
+        )
     request = region.prompt().request if is_prompt else region.call().request
     monkeypatch.setattr(time, "time", refuse)
     _, error = bench.serve(request)
@@ -453,7 +455,7 @@
     region.state.start_gate.open()
     bench = Bench(region.state)
     for runner in region.state.pool.all():
-        bench.client.behaviours[runner.runner_id] = breaks()
+        bench.client.behaviours[runner.runner_id] = breaks_off()
     bench.serve(region.call().request)
     assert len(bench.client.dispatches) == 1
 
--- a/tests/fleet/test_rollout_decisions_process.py
+++ b/tests/fleet/test_rollout_decisions_process.py
@@ -68,7 +68,7 @@
         await until(lambda: status(running) == "running", "the rollout is reported as running")
         first = holder(running)
         assert first is not None
-        running.stop_node(first, signal.SIGKILL)
+        running.send_signal(first, signal.SIGKILL)
         await until(lambda: holder(running) not in (None, first), "the other holds the duty")
         await until(lambda: status(running) == "reverted", "the rollout is reverted")
 
@@ -84,8 +84,8 @@
         await until(lambda: status(running) == "running", "the rollout is reported as running")
         first = holder(running)
         assert first is not None
-        running.stop_node(first)
-        assert await running.ended(first) == 0
+        running.send_signal(first)
+        assert await running.wait_for_exit(first) == 0
         assert holder(running) is not first
         await until(lambda: status(running) == "reverted", "the rollout is reverted")
 
--- a/tests/fleet/test_rollout_observer.py
+++ b/tests/fleet/test_rollout_observer.py
@@ -45,7 +45,7 @@
     make_table,
     rev,
 )
-from tests.fleet.fake_runners import FakeSink, answers, begins, breaks, hangs, refuses
+from tests.fleet.fake_runners import FakeSink, answers, answers_after, breaks_off, hangs, refuses
 from tests.fleet.node_network import NodeNetwork
 from tests.fleet.rollout_traffic import (
     NEW,
@@ -431,8 +431,8 @@
         (answers(b"x"), (1, 0)),
         (answers(b"x", status=500), (1, 1)),
         (answers(b"x", signed=False), (1, 1)),
-        (breaks(), (1, 1)),
-        (begins(0.9, b"x"), (1, 0)),
+        (breaks_off(), (1, 1)),
+        (answers_after(0.9, b"x"), (1, 0)),
         (hangs(), (1, 0)),
         (refuses(RefusalCause.FULL), (0, 0)),
     ],
@@ -592,7 +592,7 @@
 
 def test_the_end_of_the_last_attempt_at_an_old_runner_is_reported_immediately() -> None:
     observed = Observed()
-    observed.bench.client.behaviours = {"o-0": begins(1.0, b"x")}
+    observed.bench.client.behaviours = {"o-0": answers_after(1.0, b"x")}
     scheduler = observed.bench.scheduler
     scheduler.at(0.3, lambda: observed.record(RolloutStage.SHIFTING))
     scheduler.at(0.4, lambda: observed.observer.tick(0.4))
@@ -611,7 +611,7 @@
     runner = observed.state.pool.get("n-0")
     assert runner is not None
     runner.suspected_until = 5.0
-    observed.bench.client.behaviours = {"o-0": begins(1.0, b"x")}
+    observed.bench.client.behaviours = {"o-0": answers_after(1.0, b"x")}
     observed.bench.run(observed.bench.pipeline.serve(make_request(), FakeSink()), 0.5)
     assert observed.reporter.latest().old_running == 1
     assert observed.reporter.sent_reports[-1][1]
@@ -744,7 +744,7 @@
     traffic = make_traffic(network)
     traffic.behaviour = failing
     # With 240 requests per second of 0.05 s each, 2.7 run at each of the four old runners.
-    traffic.busy_from = 3
+    traffic.min_running = 3
     traffic.order()
     traffic.play(12.0, rate=240.0)
     traffic.assert_bounded()
--- a/tests/fleet/test_rollout_placement.py
+++ b/tests/fleet/test_rollout_placement.py
@@ -40,7 +40,14 @@
     make_table,
     rev,
 )
-from tests.fleet.fake_runners import Behaviour, FakeAnswer, answers, begins, breaks, refuses
+from tests.fleet.fake_runners import (
+    Behaviour,
+    FakeAnswer,
+    answers,
+    answers_after,
+    breaks_off,
+    refuses,
+)
 from tests.fleet.test_pipeline import (
     EVENTS,
     Bench,
@@ -191,7 +198,7 @@
 
 def test_a_failed_canary_is_tried_again_at_a_trusted_runner() -> None:
     bench = make_bench()
-    behave(bench, breaks(), new=True)
+    behave(bench, breaks_off(), new=True)
     sends = serve(bench, 100)
     assert sends.total() == 100 + sends_to_new(sends)
     assert 0 < sends_to_new(sends) <= SHARE * 100
@@ -219,7 +226,7 @@
 def test_an_unsafe_canary_is_sent_once() -> None:
     bench = make_bench()
     make_unsafe(bench)
-    behave(bench, breaks(), new=True)
+    behave(bench, breaks_off(), new=True)
     failed = 0
     for _ in range(100):
         _, error = bench.serve(make_request(), 0.1)
@@ -292,8 +299,8 @@
 
 def test_slow_canaries_do_not_change_the_expected_prefill_rate() -> None:
     bench = make_bench(old=1, new=1, service=ENGINES)
-    behave(bench, begins(0.5, *EVENTS), new=True)
-    behave(bench, begins(0.02, *EVENTS), new=False)
+    behave(bench, answers_after(0.5, *EVENTS), new=True)
+    behave(bench, answers_after(0.02, *EVENTS), new=False)
     for _ in range(60):
         bench.serve(stream_request(parts=(("own", 3_000),)), 2.0)
     assert "n-0" in [dispatch.runner_id for dispatch in bench.client.dispatches]
--- a/tests/fleet/test_runner_limits.py
+++ b/tests/fleet/test_runner_limits.py
@@ -55,7 +55,7 @@
     make_state,
     make_table,
 )
-from tests.fleet.fake_runners import FakeLimiter, answers, breaks, refuses
+from tests.fleet.fake_runners import FakeLimiter, answers, breaks_off, refuses
 from tests.fleet.node_network import NodeNetwork, list_runners
 from tests.fleet.runner_limit_traffic import RunnerTraffic, constant
 from tests.fleet.test_limit_network import FAULTS, inject_fault
@@ -313,7 +313,7 @@
     """First attempts and retries after a refusal or a broken connection each reach a runner."""
     full = refuses(RefusalCause.FULL)
     limited = LimitedBench(
-        make_bench(i_1=full, i_2=breaks(), i_3=answers(b"c")), "i-1", "i-2", "i-3"
+        make_bench(i_1=full, i_2=breaks_off(), i_3=answers(b"c")), "i-1", "i-2", "i-3"
     )
     limited.bench.state.budget.on_request("application", 0.0)
     sink, _ = limited.bench.serve(make_request())
--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -201,7 +201,7 @@
     (await client.send(make_request(request_id="success"), dispatch)).close()
     runner.faults.status = 500
     (await client.send(make_request(request_id="failure"), dispatch)).close()
-    runner.faults.shed = True
+    runner.faults.refuse_requests = True
     with pytest.raises(RunnerRefusedError):
         await client.send(make_request(request_id="refused"), dispatch)
     with pytest.raises(RunnerRefusedError):
--- a/tests/fleet/test_runner_signals_process.py
+++ b/tests/fleet/test_runner_signals_process.py
@@ -97,7 +97,7 @@
         runners = [await running.add_runner(f"i-{number}", service) for number in range(3)]
         node = await running.add_node("node-1")
         refusing = await preferred(running, node, runners, path)
-        refusing.faults.shed = True
+        refusing.faults.refuse_requests = True
         refusing.faults.backoff_seconds = BACKOFF_SECONDS
         before = len(refusing.arrived)
         statuses = await send_calls(running, node, path)
--- a/tests/fleet/test_software_rollout_duty.py
+++ b/tests/fleet/test_software_rollout_duty.py
@@ -11,12 +11,12 @@
 from tests.fleet.builders import APPLICATION
 from tests.fleet.rollout_bench import (
     APPLY_SECONDS,
+    LEASE_TTL_SECONDS,
     NEW,
     NEWER,
     OLD,
     OVER_SECONDS,
     RUNNERS_PER_VERSION,
-    TTL,
     Node,
     RolloutBench,
 )
@@ -35,7 +35,7 @@
     made.scheduler.close()
 
 
-def held(bench: RolloutBench) -> Node:
+def duty_holder(bench: RolloutBench) -> Node:
     holder = bench.holder()
     assert holder is not None
     return holder
@@ -77,7 +77,7 @@
 def test_the_status_names_the_target(bench: RolloutBench) -> None:
     bench.order()
     bench.run(OVER_SECONDS)
-    assert {target for _, _, target in bench.store.told} == {NEW}
+    assert {target for _, _, target in bench.store.statuses} == {NEW}
 
 
 def test_only_the_holder_writes(bench: RolloutBench) -> None:
@@ -88,7 +88,7 @@
 
 def test_a_decided_rollout_needs_no_holder(bench: RolloutBench) -> None:
     bench.order()
-    bench.run(OVER_SECONDS + TTL)
+    bench.run(OVER_SECONDS + LEASE_TTL_SECONDS)
     assert bench.store.holder() is None
 
 
@@ -105,7 +105,7 @@
     bench.order(NEWER)
     bench.run(OVER_SECONDS)
     assert bench.states() == STATES_GOOD + STATES_BAD
-    assert bench.store.told[-1][2] == NEWER
+    assert bench.store.statuses[-1][2] == NEWER
 
 
 def test_the_same_target_ordered_again_is_complete_at_once(bench: RolloutBench) -> None:
@@ -126,7 +126,7 @@
     bench.run(OVER_SECONDS)
     assert bench.store.record is not None
     assert bench.store.record.rejected == (NEW,)
-    assert [(state, target) for _, state, target in bench.store.told] == [
+    assert [(state, target) for _, state, target in bench.store.statuses] == [
         ("running", NEW),
         ("running", NEWER),
         ("complete", NEWER),
@@ -136,12 +136,12 @@
 def test_an_undecided_target_without_a_record_is_rejected_by_the_next_order(
     bench: RolloutBench,
 ) -> None:
-    bench.store.down = True
+    bench.store.is_down = True
     bench.announce_order(bench.order())
     bench.run(2.0)
     bench.announce_order(bench.order(NEWER))
     bench.run(1.0)
-    bench.store.down = False
+    bench.store.is_down = False
     bench.run(4.0)
     assert bench.store.record is not None
     assert bench.store.record.rejected == (NEW,)
@@ -152,7 +152,7 @@
     bench.run(4.0)
     bench.order(OLD)
     bench.run(OVER_SECONDS)
-    assert bench.store.told[-1][1:] == ("complete", OLD)
+    assert bench.store.statuses[-1][1:] == ("complete", OLD)
     access = bench.nodes[0].state.rollouts.access
     assert access(APPLICATION, OLD) is VersionAccess.OPEN
     assert access(APPLICATION, NEW) is VersionAccess.CLOSED
@@ -176,7 +176,7 @@
     bench.order()
     run_until_stage(bench, RolloutStage.SHIFTING)
     for node in bench.nodes:
-        node.hears_store = False
+        node.receives_store_events = False
     bench.withdraw()
     bench.run(OVER_SECONDS)
     assert bench.states() == ["running"]
@@ -188,19 +188,19 @@
 ) -> None:
     bench.order()
     run_until_stage(bench, stage)
-    bench.kill(held(bench))
+    bench.kill(duty_holder(bench))
     bench.run(OVER_SECONDS)
     assert bench.states() == STATES_GOOD
-    assert bench.store.told[-1][0] <= 1.0 + OVER_SECONDS + MARGIN_SECONDS
+    assert bench.store.statuses[-1][0] <= 1.0 + OVER_SECONDS + MARGIN_SECONDS
 
 
 def test_a_paused_holder_that_resumes_changes_nothing(bench: RolloutBench) -> None:
     bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
-    paused = held(bench)
+    paused = duty_holder(bench)
     paused.loop.frozen = True
-    bench.run(TTL + 2.0)
-    assert held(bench) is not paused
+    bench.run(LEASE_TTL_SECONDS + 2.0)
+    assert duty_holder(bench) is not paused
     paused.loop.frozen = False
     bench.run(OVER_SECONDS)
     assert bench.states() == STATES_GOOD
@@ -209,11 +209,11 @@
 def test_a_holder_without_store_updates_cannot_write(bench: RolloutBench) -> None:
     bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
-    held(bench).hears_store = False
+    duty_holder(bench).receives_store_events = False
     bench.list_runner("newer-0", NEWER)
     bench.order(NEWER)
     bench.run(OVER_SECONDS)
-    assert ("complete", NEW) not in [told[1:] for told in bench.store.told]
+    assert ("complete", NEW) not in [status[1:] for status in bench.store.statuses]
 
 
 @pytest.mark.parametrize("write", range(4))
@@ -221,7 +221,7 @@
     bench.order()
     while len(bench.store.records) < write:
         bench.run(0.5)
-    bench.store.lose = 1
+    bench.store.answers_to_lose = 1
     bench.run(OVER_SECONDS)
     assert bench.states() == STATES_GOOD
 
@@ -229,23 +229,23 @@
 def test_a_late_write_of_an_old_holder_fails(bench: RolloutBench) -> None:
     bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
-    first = held(bench)
-    bench.store.hold = 1
-    while not bench.store.held:
+    first = duty_holder(bench)
+    bench.store.writes_to_delay = 1
+    while not bench.store.delayed_writes:
         bench.run(0.5)
     bench.kill(first)
     bench.run(OVER_SECONDS)
     assert bench.states() == STATES_GOOD
-    assert bench.store.take(*bench.store.held[0]) is None
+    assert bench.store.apply_write(*bench.store.delayed_writes[0]) is None
     assert bench.states() == STATES_GOOD
 
 
 def test_a_late_write_of_the_holder_itself_is_not_repeated(bench: RolloutBench) -> None:
     bench.order()
-    bench.store.hold = 1
-    while not bench.store.held:
+    bench.store.writes_to_delay = 1
+    while not bench.store.delayed_writes:
         bench.run(0.5)
-    bench.store.take(*bench.store.held[0])
+    bench.store.apply_write(*bench.store.delayed_writes[0])
     bench.run(OVER_SECONDS)
     assert bench.states() == STATES_GOOD
 
@@ -258,10 +258,10 @@
     bench.run(0.5)
     if stage is not None:
         run_until_stage(bench, stage)
-    bench.store.down = True
+    bench.store.is_down = True
     bench.run(2.0)
     assert bench.stage() is stage
-    bench.store.down = False
+    bench.store.is_down = False
     bench.run(OVER_SECONDS)
     assert bench.states() == STATES_GOOD
 
@@ -271,11 +271,11 @@
 ) -> None:
     bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
-    bench.store.down = True
+    bench.store.is_down = True
     bench.failing = 0.5
     bench.run(4.0)
     assert bench.states() == ["running"]
-    bench.store.down = False
+    bench.store.is_down = False
     bench.run(4.0)
     assert bench.states() == STATES_BAD
 
@@ -283,7 +283,7 @@
 def test_a_target_that_the_holder_condemned_is_reverted(bench: RolloutBench) -> None:
     order = bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
-    held(bench).state.rollouts.condemn(APPLICATION, order.revision)
+    duty_holder(bench).state.rollouts.condemn(APPLICATION, order.revision)
     bench.run(1.5)
     assert bench.states() == STATES_BAD
 
@@ -291,8 +291,8 @@
 def test_a_target_that_a_peer_reports_as_bad_is_reverted(bench: RolloutBench) -> None:
     bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
-    other = next(node for node in bench.nodes if node is not held(bench))
-    other.says_bad = True
+    other = next(node for node in bench.nodes if node is not duty_holder(bench))
+    other.reports_bad = True
     bench.run(2.0)
     assert bench.states() == STATES_BAD
 
@@ -353,11 +353,11 @@
     shifted_at = bench.scheduler.now
     bench.run(APPLY_SECONDS + 1.5)
     assert bench.states() == STATES_GOOD
-    assert bench.store.told[-1][0] >= shifted_at + APPLY_SECONDS - 0.5
+    assert bench.store.statuses[-1][0] >= shifted_at + APPLY_SECONDS - 0.5
 
 
 def test_a_target_without_requests_is_reverted(bench: RolloutBench) -> None:
-    bench.asked = False
+    bench.has_requests = False
     bench.order()
     bench.run(OVER_SECONDS + MARGIN_SECONDS)
     assert bench.states() == STATES_BAD
@@ -365,7 +365,7 @@
 
 
 def test_a_node_that_has_only_the_record_keeps_the_deadline(bench: RolloutBench) -> None:
-    bench.asked = False
+    bench.has_requests = False
     bench.order()
     ordered_at = bench.scheduler.now
     bench.run(7.0)
@@ -375,12 +375,12 @@
     bench.run(OVER_SECONDS)
     assert bench.states() == STATES_BAD
     # The age in the record was written up to 3 s before the holders were killed.
-    assert bench.store.told[-1][0] <= ordered_at + OVER_SECONDS + 3.0 + MARGIN_SECONDS
+    assert bench.store.statuses[-1][0] <= ordered_at + OVER_SECONDS + 3.0 + MARGIN_SECONDS
 
 
 def test_holders_that_are_replaced_again_and_again_keep_the_deadline(bench: RolloutBench) -> None:
     """A node that received the order keeps running, and only reports the age of the order."""
-    bench.asked = False
+    bench.has_requests = False
     order = bench.order()
     ordered_at = bench.scheduler.now
     bench.run(1.0)
@@ -392,26 +392,29 @@
         for _ in range(8):
             bench.run(0.58)
             age_ms = int((bench.scheduler.now - ordered_at) * 1000)
-            told = RolloutReport(
+            report = RolloutReport(
                 APPLICATION, order.revision.number, "canary", 0, order_age_ms=age_ms
             )
             for node in bench.nodes:
                 if node.alive:
-                    node.observed.of(order).take("witness", 1, told, bench.scheduler.now)
+                    node.observed.of(order).take("witness", 1, report, bench.scheduler.now)
     assert bench.states() == STATES_BAD
     # The next holder acquires the duty after the lease of the previous holder has expired.
-    assert bench.store.told[-1][0] <= ordered_at + OVER_SECONDS + 2 * TTL + MARGIN_SECONDS
+    assert (
+        bench.store.statuses[-1][0]
+        <= ordered_at + OVER_SECONDS + 2 * LEASE_TTL_SECONDS + MARGIN_SECONDS
+    )
 
 
 def test_a_stopping_holder_releases_the_duty_at_once(bench: RolloutBench) -> None:
     bench.order()
     run_until_stage(bench, RolloutStage.CANARY)
-    first = held(bench)
+    first = duty_holder(bench)
     bench.scheduler.spawn(first.loop, first.duty.release_on_stop())
     # The others learn that the duty is free, wait for their time slot and acquire it before the
     # lease would have expired.
-    bench.run(TTL)
-    assert held(bench) is not first
+    bench.run(LEASE_TTL_SECONDS)
+    assert duty_holder(bench) is not first
 
 
 def test_a_stopping_node_does_not_acquire_the_duty(bench: RolloutBench) -> None:
--- a/tests/processes/test_prove.py
+++ b/tests/processes/test_prove.py
@@ -31,7 +31,9 @@
 def fleet(proxy: FaultProxy) -> Iterator[LocalFleet]:
     # A short silence timeout, so that silent engines are detected within the test.
     overrides = {"backends.silence_timeout_seconds": "2"}
-    with LocalFleet("tampere", engines=3, front=proxy.front, overrides=overrides) as running:
+    with LocalFleet(
+        "tampere", engines=3, proxy_address=proxy.front, overrides=overrides
+    ) as running:
         yield running
 
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -104,7 +104,7 @@
         fault = rng.choice(
             (
                 RunnerFaults(status=500),
-                RunnerFaults(shed=True),
+                RunnerFaults(refuse_requests=True),
                 RunnerFaults(hang=True),
                 RunnerFaults(break_after=rng.randrange(1, 5)),
             )
--- a/tests/soak/signal_faults.py
+++ b/tests/soak/signal_faults.py
@@ -66,10 +66,10 @@
     with system.disturbance(*targets):
         for runner in chosen:
             seconds = round(rng.uniform(*BACKOFF_SECONDS), 2)
-            runner.faults = replace(runner.faults, shed=True, backoff_seconds=seconds)
+            runner.faults = replace(runner.faults, refuse_requests=True, backoff_seconds=seconds)
         await asyncio.sleep(rng.uniform(*SHED_SECONDS))
         for runner in chosen:
-            runner.faults = replace(runner.faults, shed=False, backoff_seconds=0.0)
+            runner.faults = replace(runner.faults, refuse_requests=False, backoff_seconds=0.0)
 
 
 async def name_limits(system: SystemUnderTest, rng: Random) -> None:
--- a/tests/stateful/test_software_rollouts.py
+++ b/tests/stateful/test_software_rollouts.py
@@ -13,17 +13,17 @@
 from hillstack.core.store_revision import StoreRevision
 from tests.fleet.builders import APPLICATION
 from tests.fleet.rollout_bench import (
+    LEASE_TTL_SECONDS,
     NEW,
     NEWER,
     OVER_SECONDS,
     RUNNERS_PER_VERSION,
-    TTL,
     RolloutBench,
 )
 
 NAMES = ("node-a", "node-b", "node-c")
 # After any faults, all messages are received and all records written within this time.
-SETTLE_SECONDS = OVER_SECONDS + 2 * TTL + 4.0
+SETTLE_SECONDS = OVER_SECONDS + 2 * LEASE_TTL_SECONDS + 4.0
 # Within this time a node's report has reached all others, and an earlier write has finished.
 PROPAGATION_SECONDS = 2.0
 MAX_NODES = 9
@@ -48,7 +48,7 @@
 
     @rule(seconds=st.sampled_from([0.5, 1.0, 2.0]))
     def pass_time(self, seconds: float) -> None:
-        before = len(self.bench.store.told)
+        before = len(self.bench.store.statuses)
         self.bench.run(seconds)
         self.check_old_runners(before)
 
@@ -85,10 +85,10 @@
         order = self.bench.store.order
         if order is not None:
             self.withdrawn.add(order.revision)
-            self.notified_when_withdrawn[order.revision] = self.told_of(order.revision)
+            self.notified_when_withdrawn[order.revision] = self.status_count(order.revision)
 
-    def told_of(self, revision: StoreRevision) -> int:
-        return self.bench.store.told_of.count(revision)
+    def status_count(self, revision: StoreRevision) -> int:
+        return self.bench.store.status_order_revisions.count(revision)
 
     @precondition(lambda self: len(self.bench.nodes) < MAX_NODES)
     @rule(which=st.integers(0, 2))
@@ -123,25 +123,25 @@
     @rule(which=st.integers(0, 2), hears=st.booleans())
     def cut_from_store(self, which: int, hears: bool) -> None:
         alive = [node for node in self.bench.nodes if node.alive]
-        alive[which % len(alive)].hears_store = hears
+        alive[which % len(alive)].receives_store_events = hears
 
     @rule(down=st.booleans())
     def set_store_down(self, down: bool) -> None:
-        self.bench.store.down = down
+        self.bench.store.is_down = down
 
     @rule(lose=st.integers(0, 2))
     def lose_answers(self, lose: int) -> None:
-        self.bench.store.lose = lose
+        self.bench.store.answers_to_lose = lose
 
     @rule()
     def hold_a_write(self) -> None:
-        self.bench.store.hold = 1
+        self.bench.store.writes_to_delay = 1
 
     @rule()
     def let_late_writes_go(self) -> None:
-        held, self.bench.store.held = self.bench.store.held, []
-        for write in held:
-            self.bench.store.take(*write)
+        delayed, self.bench.store.delayed_writes = self.bench.store.delayed_writes, []
+        for write in delayed:
+            self.bench.store.apply_write(*write)
 
     @rule(which=st.integers(0, 2), running=st.sampled_from([0, 2]))
     def use_old_runners(self, which: int, running: int) -> None:
@@ -155,20 +155,26 @@
 
     def check_old_runners(self, before: int) -> None:
         """Check that no connected node used old runners when a rollout was reported complete."""
-        for at, state, _ in self.bench.store.told[before:]:
+        for at, state, _ in self.bench.store.statuses[before:]:
             if state != "complete":
                 continue
             for node in self.bench.nodes:
                 since = self.busy_since.get(node.name, at)
-                if node.is_reporting() and node.hears_store and at - since >= PROPAGATION_SECONDS:
+                if (
+                    node.is_reporting()
+                    and node.receives_store_events
+                    and at - since >= PROPAGATION_SECONDS
+                ):
                     assert not node.old_running
 
     @invariant()
     def notifications_of_each_order_come_in_order(self) -> None:
-        for revision in set(self.bench.store.told_of):
+        for revision in set(self.bench.store.status_order_revisions):
             states = [
-                told[1]
-                for told, of in zip(self.bench.store.told, self.bench.store.told_of, strict=True)
+                status[1]
+                for status, of in zip(
+                    self.bench.store.statuses, self.bench.store.status_order_revisions, strict=True
+                )
                 if of == revision
             ]
             begun = [state for state in states if state == "running"]
@@ -177,13 +183,15 @@
 
     @invariant()
     def a_version_that_was_always_bad_is_never_complete(self) -> None:
-        for told, of in zip(self.bench.store.told, self.bench.store.told_of, strict=True):
-            assert not (of in self.always_bad and told[1] == "complete")
+        for status, of in zip(
+            self.bench.store.statuses, self.bench.store.status_order_revisions, strict=True
+        ):
+            assert not (of in self.always_bad and status[1] == "complete")
 
     @invariant()
     def no_notification_follows_the_end_of_an_order(self) -> None:
         for revision, count in self.notified_when_withdrawn.items():
-            assert self.told_of(revision) == count
+            assert self.status_count(revision) == count
 
     @invariant()
     def the_record_only_goes_forward(self) -> None:
@@ -197,9 +205,9 @@
 
     def teardown(self) -> None:
         store = self.bench.store
-        store.down, store.lose, store.hold = False, 0, 0
+        store.is_down, store.answers_to_lose, store.writes_to_delay = False, 0, 0
         for node in self.bench.nodes:
-            node.hears_store = True
+            node.receives_store_events = True
         self.wake_all()
         self.let_late_writes_go()
         # No more faults, but some requests still run at old runners.
@@ -211,7 +219,7 @@
         order = store.order
         if order is not None:
             assert is_decided(order, store.record)
-            assert self.told_of(order.revision) >= 2
+            assert self.status_count(order.revision) >= 2
         assert store.holder() is None
         for node in self.bench.nodes:
             if node.alive:
--- a/tools/local_fleet.py
+++ b/tools/local_fleet.py
@@ -99,15 +99,15 @@
         deployment: Folder below ``deploy/``.
         engines: Number of engines; None for the number in the deployment's plan.
         overrides: Settings that all routers get with ``--set``.
-        front: Returns the address that the machine list gives for a back end, from its name and its
-            real address. A test can return the address of a proxy.
+        proxy_address: Returns the address that the machine list gives for a back end, from its
+            name and its real address. A test can return the address of a proxy.
     """
 
     deployment: str
     engines: int | None = None
     event_loss: float = 0.0
     overrides: dict[str, str] = field(default_factory=dict)
-    front: Callable[[str, str], str] = field(default=lambda name, address: address)
+    proxy_address: Callable[[str, str], str] = field(default=lambda name, address: address)
     folder: Path = field(init=False)
     plan: dict[str, Any] = field(init=False)
     routers: list[RouterHandle] = field(default_factory=list, init=False)
@@ -251,7 +251,7 @@
             "kind": "engine",
             "pool": self.plan["engine_pool"],
             "zone": zone,
-            "address": self.front(name, http),
+            "address": self.proxy_address(name, http),
             "events_address": events,
             "replay_address": replay,
         }
@@ -265,7 +265,7 @@
             "kind": "application",
             "pool": self.plan["application_pool"],
             "zone": zone,
-            "address": self.front(name, address),
+            "address": self.proxy_address(name, address),
         }
 
     def _start_routers(self) -> None:
