--- a/src/hillstack/emulator/fleet_cache.py
+++ b/src/hillstack/emulator/fleet_cache.py
@@ -39,8 +39,8 @@
     list_requests: int = 0
     born: int = 0
 
-    def read(self, salt: str, prompt_parts: str, usage: str) -> None:
-        """Cache the parts of a prompt that the runner has read."""
+    def prefill(self, salt: str, prompt_parts: str, usage: str) -> None:
+        """Cache the parts of a prompt that the runner has prefilled."""
         shape = parse_shape(prompt_parts, usage)
         for part in shape.parts if shape is not None else ():
             self._change(STORED, salt, part.part_id, part.tokens)
--- a/src/hillstack/emulator/fleet_runner.py
+++ b/src/hillstack/emulator/fleet_runner.py
@@ -60,7 +60,7 @@
 
     Attributes:
         hang: Run requests and never answer.
-        status: HTTP status of the answers.
+        status: HTTP status of the answers to requests that ran.
         break_after: Break each stream after this number of events; None for never.
         refuse_requests: Refuse requests and mark them as not run.
         backoff_seconds: Backoff that a refusal asks for; 0 for none.
@@ -93,6 +93,7 @@
         events: Number of events in a complete stream.
         arrived: Identifiers of the requests that reached the runner, in order, run or not.
         ran: Identifiers of the requests that the runner ran, in order.
+        run_headers: Headers of the requests in ``ran``.
         left: Identifiers of the requests whose caller disconnected before the end.
         orders: Accepted orders to load weights.
         fence: Highest fencing token of an accepted order.
@@ -219,7 +220,7 @@
             content = self.runner_id.encode() + b":" + body
             return Response(content, status_code=status, headers=headers)
         headers[names.VERSIONS] = str(self.weights)
-        self.cache.read(
+        self.cache.prefill(
             request.headers.get(names.CACHE_SALT, ""),
             request.headers.get(names.PROMPT_PARTS, ""),
             request.headers.get(names.TOKEN_USAGE, ""),
--- a/src/hillstack/emulator/fleet_store.py
+++ b/src/hillstack/emulator/fleet_store.py
@@ -46,14 +46,14 @@
     """A copy of the store's content.
 
     Attributes:
-        forgotten: Revision up to which the history is lost.
+        compacted_revision: Revision up to which the history is lost.
         leases: Time to live of each lease in seconds.
     """
 
     revision: int
     items: dict[str, StoreItem]
     history: list[StoreItem]
-    forgotten: int
+    compacted_revision: int
     leases: dict[int, float]
 
 
@@ -74,7 +74,7 @@
         self._clock = clock
         self._items: dict[str, StoreItem] = {}
         self._history: list[StoreItem] = []
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._leases: dict[int, _Lease] = {}
         self.revision = 1
         self.down = False
@@ -89,7 +89,9 @@
         """Return a copy of the content, from which ``restore`` can restart the store."""
         leases = {lease_id: lease.ttl_seconds for lease_id, lease in self._leases.items()}
         history = list(self._history)
-        return StoreCopy(self.revision, dict(self._items), history, self._forgotten, leases)
+        return StoreCopy(
+            self.revision, dict(self._items), history, self._compacted_revision, leases
+        )
 
     def restore(self, copy: StoreCopy) -> None:
         """Restore an earlier copy.
@@ -100,7 +102,7 @@
         self.revision = copy.revision
         self._items = dict(copy.items)
         self._history = list(copy.history)
-        self._forgotten = copy.forgotten
+        self._compacted_revision = copy.compacted_revision
         now = self._clock()
         self._leases = {lease_id: _Lease(ttl, now + ttl) for lease_id, ttl in copy.leases.items()}
         if self.era is not None:
@@ -136,7 +138,7 @@
 
     def clear_history(self) -> None:
         """Clear the history, so that watches from an earlier revision get 410."""
-        self._forgotten = self.revision
+        self._compacted_revision = self.revision
         self._history.clear()
 
     def app(self) -> Starlette:
@@ -208,7 +210,7 @@
         while True:
             if self.down:
                 return Response(status_code=UNAVAILABLE)
-            if after < self._forgotten or after > self.revision:
+            if after < self._compacted_revision or after > self.revision:
                 return Response(status_code=410)
             self._expire()
             events = self._events(prefix, after)
--- a/src/hillstack/messages/packing.py
+++ b/src/hillstack/messages/packing.py
@@ -20,7 +20,7 @@
 
 
 class PackedMessage(msgspec.Struct, array_like=True, frozen=True):
-    """Base of messages between nodes; the first field is the protocol version of the sender."""
+    """Base of the messages that ``pack`` compresses; starts with the sender's protocol version."""
 
     protocol: int
 
--- a/src/hillstack/messages/rollout_reports.py
+++ b/src/hillstack/messages/rollout_reports.py
@@ -53,15 +53,15 @@
     order_age_ms: int = 0
     store_era: int | None = None
 
-    def current_order(self, known: StoreRevision | None) -> StoreRevision:
-        """Return the revision of the rollout order, including the store's era.
+    def reported_revision(self, current: StoreRevision | None) -> StoreRevision:
+        """Return the revision of the order that the report is about, including the store's era.
 
         Args:
-            known: Revision of the current order. Its era is used for a report without an era whose
-                revision number is the same.
+            current: Revision of the receiver's current order. Its era is used for a report without
+                an era whose revision number is the same; other reports without an era get era 0.
         """
         if self.store_era is not None:
             return StoreRevision(self.store_era, self.order_revision)
-        if known is not None and known.number == self.order_revision:
-            return known
+        if current is not None and current.number == self.order_revision:
+            return current
         return StoreRevision(0, self.order_revision)
--- a/src/hillstack/messages/runner_ends.py
+++ b/src/hillstack/messages/runner_ends.py
@@ -28,7 +28,7 @@
     """A crash of a runner, or an update about suspect requests or an earlier crash.
 
     Attributes:
-        runner_id: Incarnation of the runner.
+        runner_id: Identifier of the runner process.
         ended_ms_ago: Time from the crash to the sending of the notice; with ``taken_back``, the
             time since the runner's latest message.
         requests: Requests that were running at the crash, observed by the sender or reported to the
--- a/src/hillstack/platform/bodies.py
+++ b/src/hillstack/platform/bodies.py
@@ -177,6 +177,12 @@
 
     Each event is a tuple of number, sign, salt, part, tokens cached after the change, and model.
     The sign is ``+`` for a part that was cached and ``-`` for one that was dropped.
+
+    Attributes:
+        epoch: Changes when the holder restarts and loses its contents.
+        next_token: Number of the last event, from which the next call continues.
+        lost: Whether some events since the requested number are missing.
+        born: Start time of the runner's process, in Unix milliseconds; 0 if it is not stated.
     """
 
     epoch: int
@@ -187,7 +193,12 @@
 
 
 class CacheListBody(msgspec.Struct):
-    """All prompt parts that a cache holder has cached, each as salt, part, tokens and model."""
+    """All prompt parts that a cache holder has cached.
+
+    Attributes:
+        held: Each part as salt, part, tokens and model.
+        epoch: As in ``CacheEventsBody``, like ``next_token`` and ``born``.
+    """
 
     epoch: int
     next_token: int
@@ -196,7 +207,15 @@
 
 
 class StoreItem(msgspec.Struct):
-    """An item of the store, or the notice that a key was removed."""
+    """An item of the store, or the notice that a key was removed.
+
+    Attributes:
+        rev: Revision of the item's last change.
+        value: The value in base64.
+        gone: Whether the key was removed.
+        created: Revision at which the key was created.
+        lease: Lease that the key is attached to; 0 for none.
+    """
 
     key: str
     rev: int
@@ -207,7 +226,11 @@
 
 
 class RangeBody(msgspec.Struct):
-    """A page of items, and the store revision at which the page was read."""
+    """A page of items, and the store revision at which the page was read (``at``).
+
+    Attributes:
+        more: Whether further pages follow.
+    """
 
     items: list[StoreItem] = []
     more: bool = False
@@ -215,7 +238,7 @@
 
 
 class WatchBody(msgspec.Struct):
-    """Changes since a revision, and the revision up to which they are complete."""
+    """Changes since a revision, and the revision up to which they are complete (``at``)."""
 
     events: list[StoreItem] = []
     at: int = 0
@@ -242,7 +265,7 @@
 
 
 class PutBody(msgspec.Struct):
-    """A write within a transaction."""
+    """A write within a transaction: the value in base64, and the key's lease, 0 for none."""
 
     key: str
     value: str
@@ -258,7 +281,17 @@
 
 
 class OrderBody(msgspec.Struct, omit_defaults=True):
-    """An order to a runner to load weights."""
+    """An order to a runner to load weights.
+
+    Attributes:
+        op: Always ``names.WEIGHTS_OPERATION``.
+        mode: What the runner does with its running requests, such as ``names.FINISH_MODE``.
+        holder: Node that holds the weights duty.
+        fence: Fencing token of the holder; a runner refuses an order with a lower token than it has
+            seen.
+        expected_count: Number of orders that the runner has accepted before this one; otherwise it
+            refuses the order. None for no condition.
+    """
 
     op: str
     model: str
@@ -270,13 +303,19 @@
 
 
 class TxnBody(msgspec.Struct):
-    """The revision at which a transaction was applied."""
+    """The revision of a transaction's last write."""
 
     rev: int
 
 
 class ReportBody(msgspec.Struct):
-    """The state that a runner reports of itself."""
+    """The state that a runner reports of itself.
+
+    Attributes:
+        busy: Whether the runner is executing an order.
+        seq: Number of orders accepted since the start of the runner's process.
+        born: Start time of the process, in Unix milliseconds; 0 if it is not stated.
+    """
 
     models: list[ModelVersion] = []
     busy: bool = False
--- a/src/hillstack/platform/connections.py
+++ b/src/hillstack/platform/connections.py
@@ -2,7 +2,7 @@
 
 - An answer without a length that ends in a connection reset is an error, not a complete answer.
 - An answer that carries the identifier of another request is discarded.
-- A connection to a silent machine, which acknowledges and sends nothing, is closed, and idle
+- A connection to a silent machine, which neither acknowledges nor sends bytes, is closed, and idle
   connections to the same address are not reused. The cause (a lost firewall entry, a network cut)
   usually affects all open connections to the address, while new connections work.
 """
@@ -148,7 +148,7 @@
         payload.set_exception(error)
 
     def close(self) -> None:
-        """Close the connection, recording a silent peer before another request can reuse one."""
+        """Close the connection; a silent peer is recorded first, so that no idle one is reused."""
         self._record_if_silent(None)
         super().close()
 
--- a/src/hillstack/platform/formats.py
+++ b/src/hillstack/platform/formats.py
@@ -124,7 +124,7 @@
 
 
 def listed_keys(keys: Iterable[str]) -> ListedKeys:
-    """Sort a complete list of the store's keys into runners, nodes, duties and rollouts."""
+    """Classify a complete list of the store's keys by runners, nodes, duties and rollouts."""
     keys = set(keys)
     listed = ListedKeys(set(), set(), names.DUTY_KEY in keys)
     for key in keys:
--- a/src/hillstack/platform/runner_signals.py
+++ b/src/hillstack/platform/runner_signals.py
@@ -25,8 +25,8 @@
 # A decimal number with an optional fraction. A date, a sign or any other text is treated like a
 # missing field; the pause that follows every refusal applies anyway.
 DECIMAL = re.compile(r"[0-9]+(\.[0-9]*)?")
-# The longest lease of the platform. Usual backoffs are some seconds; a longer backoff than this is
-# treated as a mistake and cut to this limit.
+# As long as the longest lease of the platform. Usual backoffs are some seconds; a longer backoff
+# than this is treated as a mistake and cut to this limit.
 MAX_BACKOFF_SECONDS = 600.0
 # Requests per second. More than all nodes send to all runners of the largest fleet, so a higher
 # limit has no effect.
--- a/src/hillstack/platform/store.py
+++ b/src/hillstack/platform/store.py
@@ -205,7 +205,7 @@
         return [StoreChange(item, self._to_event(item)) for item in items]
 
     def listed(self, keys: Iterable[str]) -> ListedKeys:
-        """Sort a complete list of the store's keys into runners, nodes, duties and rollouts."""
+        """Classify a complete list of the store's keys by runners, nodes, duties and rollouts."""
         return listed_keys(keys)
 
     async def announce_node(self, node: NodeEntry) -> StoreRevision:
@@ -242,7 +242,11 @@
     async def transact(
         self, conditions: Sequence[Condition], puts: Sequence[Put]
     ) -> StoreRevision | None:
-        """Write if all conditions hold; return the revision, or None if one does not hold.
+        """Write if all conditions hold and the leases of the writes exist.
+
+        Returns:
+            The revision of the last write, or None if a condition does not hold or a lease has
+            ended.
 
         Raises:
             PlatformError: The call failed, or a condition requires a value: the store compares only
@@ -262,7 +266,7 @@
     async def _transact(
         self, conditions: Sequence[Condition], puts: Sequence[Put], removed: Sequence[str]
     ) -> StoreRevision | None:
-        """Return the revision of a transaction, or None if its conditions do not hold.
+        """Execute a transaction; the result is that of ``transact``.
 
         A condition on a revision of an earlier era counts as not met. It is not sent, since in the
         current era the number may belong to a different change.
--- a/tests/fleet/builders.py
+++ b/tests/fleet/builders.py
@@ -102,6 +102,7 @@
     return RunnerEntry(
         runner_id=runner_id,
         service=service,
+        # Runners whose names have different lengths get different addresses.
         address=f"10.0.0.1:{8000 + len(runner_id)}",
         zone=zone,
         slots=8,
--- a/tests/fleet/fake_runners.py
+++ b/tests/fleet/fake_runners.py
@@ -105,6 +105,8 @@
 
 
 def breaks_off(after: float = 0.0) -> Behaviour:
+    """Return a behaviour that breaks off after ``after`` seconds, before the head of an answer."""
+
     async def behave(request: ServingRequest, dispatch: Dispatch) -> FakeAnswer:
         await asyncio.sleep(after)
         raise BackendBrokenError("broken", step="test", peer=dispatch.runner_id)
@@ -123,6 +125,8 @@
 
 
 def hangs() -> Behaviour:
+    """Return a behaviour that does not answer before any time limit."""
+
     async def behave(request: ServingRequest, dispatch: Dispatch) -> FakeAnswer:
         await asyncio.sleep(1_000)
         raise AssertionError
@@ -160,7 +164,7 @@
 
 
 class FakeLimiter:
-    """Records who takes tokens, and returns ``wait`` as the seconds to wait; 0 grants them."""
+    """Records requests for tokens, and returns ``wait`` as the seconds to wait; 0 grants them."""
 
     def __init__(self) -> None:
         self.wait = 0.0
--- a/tests/fleet/node_network.py
+++ b/tests/fleet/node_network.py
@@ -49,11 +49,14 @@
     rev,
 )
 
+# One-way latencies within a region and between regions.
 DELAY_SECONDS = 0.0015
 REGION_DELAY_SECONDS = 0.012
-# IP and UDP.
+# Headers of IP and UDP.
 DATAGRAM_HEADER_BYTES = 28
+# Duration of a call to the store.
 STORE_SECONDS = 0.004
+# Interval at which a node polls the store.
 INTERVAL_SECONDS = 1.0
 # Machines start within this time of each other.
 START_SPREAD_SECONDS = 0.3
@@ -75,6 +78,11 @@
 
     Attributes:
         era: Rises with each restore from a copy.
+        down_for: Nodes whose calls fail; None for all nodes.
+        calls: Number of calls by node, without those in ``stale_read_calls``.
+        stale_read_calls: Number of calls for lists that may be old, by node; each counts as a tenth
+            of a call.
+        page_pause: Seconds between the two pages of a list; 0 if it is read in one page.
     """
 
     def __init__(self, scheduler: Scheduler) -> None:
@@ -86,9 +94,7 @@
         self.era = 0
         self.down_for: set[str] | None = set()
         self.calls: Counter[str] = Counter()
-        # Calls for lists that may be old; each counts as a tenth of a call.
         self.stale_read_calls: Counter[str] = Counter()
-        # Seconds between the two pages of a list; 0 if it is read in one page.
         self.page_pause = 0.0
 
     def put(self, key: str, value: bytes | None) -> int:
@@ -194,7 +200,14 @@
 
 @dataclass
 class SimulatedNode:
-    """One node."""
+    """One node.
+
+    Attributes:
+        placements: Placement notices received from peers.
+        reads: Peer and number of each placement whose prompt a peer reported as prefilled.
+        cut: Whether all datagrams to and from the node are lost.
+        work: The task that runs the node.
+    """
 
     state: FleetState
     exchange: PeerExchange
@@ -253,14 +266,14 @@
         own_loops: Whether each node has its own event loop, which can be paused; slower.
         table: Initial configuration of the nodes.
         seed: Seed for losses and latencies of datagrams.
-        ways: The least and the greatest one-way latency within a region, in seconds.
+        latencies: The least and the greatest one-way latency within a region, in seconds.
         regions: Region of each zone; one region by default.
         start_spread: The nodes start within this time of each other, in seconds.
 
     Attributes:
         cross_zone_bytes: Bytes of datagrams between zones.
         cross_region_bytes: Bytes of datagrams between regions, including 28 of headers for each.
-        crossed: Datagrams that were sent between regions.
+        cross_region_datagrams: Datagrams that were sent between regions.
         region_loss: Fraction of the datagrams between regions that are lost.
         cut_links: Pairs of regions; datagrams from the first to the second are lost.
     """
@@ -274,14 +287,14 @@
         own_loops: bool = False,
         table: RoutingTable | None = None,
         seed: int = 7,
-        ways: tuple[float, float] = (DELAY_SECONDS, DELAY_SECONDS),
+        latencies: tuple[float, float] = (DELAY_SECONDS, DELAY_SECONDS),
         regions: Mapping[str, str] | None = None,
         start_spread: float = START_SPREAD_SECONDS,
     ) -> None:
         self._start_spread = start_spread
         self.regions = dict(regions or {})
         self.cross_region_bytes = 0
-        self.crossed: list[bytes] = []
+        self.cross_region_datagrams: list[bytes] = []
         self.region_loss = 0.0
         self.cut_links: set[tuple[str, str]] = set()
         self._table = table or make_table(make_route())
@@ -294,7 +307,7 @@
         self.cross_zone_bytes = 0
         self.runner_ids = [f"i-{number}" for number in range(6)]
         self._loss = loss
-        self._latencies = ways
+        self._latencies = latencies
         self._rng = Random(seed)
         # A separate generator, so that latencies do not change which datagrams are lost.
         self._latency_rng = Random(f"ways/{seed}")
@@ -409,7 +422,7 @@
     ) -> bool:
         """Count a datagram between two regions; return whether it arrives."""
         self.cross_region_bytes += len(data) + DATAGRAM_HEADER_BYTES
-        self.crossed.append(data)
+        self.cross_region_datagrams.append(data)
         if (sender.region, receiver.region) in self.cut_links:
             return False
         return self._rng.random() >= self.region_loss
--- a/tests/fleet/test_region_relays.py
+++ b/tests/fleet/test_region_relays.py
@@ -76,7 +76,7 @@
 def crossed_notices(network: NodeNetwork) -> list[NodeNotice]:
     """Return all notices that were sent from one region to the other."""
     notices = []
-    for data in network.crossed:
+    for data in network.cross_region_datagrams:
         kind, payload = unwrap(data, "peer")
         assert kind in (DatagramKind.REGION_BATCH, DatagramKind.NOTICE), kind
         if kind is DatagramKind.REGION_BATCH:
@@ -101,7 +101,7 @@
 
 def report_weights(network: NodeNetwork, sender: SimulatedNode, runner_id: str) -> list[str]:
     """Make a node report weights; return the other nodes that don't know of it soon after."""
-    network.crossed.clear()
+    network.cross_region_datagrams.clear()
     network.at_node(sender, partial(load_weights, sender, runner_id))
     network.run(0.25)
     return [node_id for node_id in nodes_lacking(network, runner_id) if node_id != sender.node_id]
@@ -135,7 +135,7 @@
     notice = RunnerEndNotice("i-1", 0, [])
     runner = sender.state.pool.get("i-1")
     assert runner is not None
-    network.crossed.clear()
+    network.cross_region_datagrams.clear()
     network.at_node(sender, partial(sender.exchange.suspected, runner))
     network.at_node(sender, partial(sender.exchange.cache_lost, "i-3"))
     network.at_node(sender, partial(sender.exchange.runner_ended, notice))
@@ -150,7 +150,7 @@
     network: NodeNetwork,
 ) -> None:
     sender = ordinary_of(network, FAR)
-    network.crossed.clear()
+    network.cross_region_datagrams.clear()
     network.at_node(sender, partial(sender.sent, "i-1", "own"))
     network.run(1.0)
     assert not any(notice.placements for notice in crossed_notices(network))
@@ -168,7 +168,7 @@
 ) -> None:
     sender = ordinary_of(network, FAR)
     part = PromptPart("shared", 900)
-    network.crossed.clear()
+    network.cross_region_datagrams.clear()
     for _ in range(3):
         network.at_node(sender, partial(sender.sent, "i-1", part.part_id))
         network.run(0.3)
@@ -190,7 +190,7 @@
 ) -> None:
     sender = ordinary_of(network, FAR)
     part = PromptPart("part", 900)
-    network.crossed.clear()
+    network.cross_region_datagrams.clear()
     network.at_node(sender, partial(sender.exchange.cached, holder, CacheEntry("salt", part)))
     network.run(0.5)
     assert len([notice for notice in crossed_notices(network) if notice.cache]) == 1
@@ -208,7 +208,7 @@
     network.run(6.0)
     now = network.scheduler.now
     assert all(running(node, "i-1", now) == NODES // 2 for node in network.nodes.values())
-    for data in network.crossed:
+    for data in network.cross_region_datagrams:
         batch = unpack(unwrap(data, "peer")[1], RelayBatch, "peer")
         assert sum(bool(zone.loads) for zone in batch.loads) <= 1
 
@@ -260,7 +260,7 @@
 
 def test_a_version_announced_by_all_nodes_crosses_once_per_repetition(network: NodeNetwork) -> None:
     network.store.put(f"op/version/{MODEL}", b'{"model":"%s","version":2}' % MODEL.encode())
-    network.crossed.clear()
+    network.cross_region_datagrams.clear()
     network.run(4.0)
     newest = [node.state.versions.newest(MODEL) for node in network.nodes.values()]
     assert newest == [2] * NODES
--- a/tests/fleet/test_weights_bound.py
+++ b/tests/fleet/test_weights_bound.py
@@ -57,7 +57,7 @@
     ],
 )
 def test_delayed_messages_do_not_keep_older_weights_in_use(ways: tuple[float, float]) -> None:
-    network = NodeNetwork(NODES, ZONES, ways=ways)
+    network = NodeNetwork(NODES, ZONES, latencies=ways)
     list_runners(network)
     network.run(SETTLE_SECONDS)
     named_at = announce_weights(network, 2)
@@ -91,7 +91,7 @@
 
 
 def test_a_node_that_starts_while_messages_are_delayed_does_not_move_the_bound() -> None:
-    network = NodeNetwork(NODES, ZONES, ways=(0.05, 0.6))
+    network = NodeNetwork(NODES, ZONES, latencies=(0.05, 0.6))
     list_runners(network)
     network.run(SETTLE_SECONDS)
     named_at = announce_weights(network, 2)
@@ -120,7 +120,7 @@
 
 
 def test_a_time_learned_from_an_answer_is_no_later_than_that_of_the_answering_node() -> None:
-    network = NodeNetwork(7, 3, ways=(0.02, 0.06))
+    network = NodeNetwork(7, 3, latencies=(0.02, 0.06))
     list_runners(network)
     network.run(SETTLE_SECONDS)
     announce_weights(network, 2)
