--- a/src/hillstack/messages/rollout_reports.py
+++ b/src/hillstack/messages/rollout_reports.py
@@ -53,7 +53,7 @@
     order_age_ms: int = 0
     store_era: int | None = None
 
-    def reported_revision(self, current: StoreRevision | None) -> StoreRevision:
+    def order(self, current: StoreRevision | None) -> StoreRevision:
         """Return the revision of the order that the report is about, including the store's era.
 
         Args:
--- a/src/hillstack/platform/runners.py
+++ b/src/hillstack/platform/runners.py
@@ -215,7 +215,7 @@
         response.close()
         peer = dispatch.runner_id
         if not not_executed:
-            text = f"status {status} without {names.NOT_EXECUTED}"
+            text = f"status {status} without a promise"
             raise BackendBrokenError(text, step="await answer", peer=peer)
         cause = RefusalCause.FULL
         if status == MISDIRECTED:
--- a/src/hillstack/serving/rollout_observer.py
+++ b/src/hillstack/serving/rollout_observer.py
@@ -213,7 +213,7 @@
     ) -> None:
         """Add a report of a peer to the evidence; its order may not be known here yet."""
         order = self._state.rollouts.order(report.service)
-        reported_identity = report.reported_revision(order.revision if order is not None else None)
+        reported_identity = report.order(order.revision if order is not None else None)
         is_current = order is not None and reported_identity == order.revision
         identity = order.identity if order is not None and is_current else reported_identity
         observed = self._rollout_of_report((report.service, identity))
