--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -218,7 +218,7 @@
     assert ACCEPT_SECONDS + 0.05 + 0.3 < LATE_REQUEST_SECONDS
 
 
-def test_a_stop_ends_when_no_request_is_left_and_before_the_process_is_killed() -> None:
+def test_a_stop_ends_when_no_request_is_left_and_before_it_is_killed() -> None:
     stop = PlannedStop(8.0)
     assert not stop.is_over(1.0, active=0)
     assert stop.is_over(LATE_REQUEST_SECONDS, active=0)
