--- a/src/hillstack/serving/attempt_monitor.py
+++ b/src/hillstack/serving/attempt_monitor.py
@@ -22,8 +22,12 @@
 
     An answer counts as an outcome; a status of 500 or more, a success without a signature and an
     answer that breaks off count as failures. A refusal does not count, because the runner did not
-    run the request. If this node or the caller gave up, the time waited counts only if it exceeded
-    the expected time.
+    run the request.
+
+    An attempt that this node or the caller gave up counts as answered, not as failed. If the first
+    bytes had arrived, it counts with the time until then. Before the first bytes, it counts only if
+    the time waited exceeded the expected time, and then with the time waited; it does not count if
+    the node aborted the request as fatal.
 
     Args:
         key: Version, route and load under which the outcome is counted.
--- a/src/hillstack/serving/backoff_waits.py
+++ b/src/hillstack/serving/backoff_waits.py
@@ -4,9 +4,10 @@
 announced has no room.
 
 A request waits only if it can still be served in time afterwards: a wait that ends in a refusal
-costs the caller more than an immediate refusal. The requests waiting at all nodes together must
-not exceed the runner's slots, or the load that made the runner ask for a backoff would return as
-soon as the backoff ends.
+costs the caller more than an immediate refusal. The slots of a runner are divided among the nodes,
+and only as many requests wait at each node, but at least one. Otherwise the load that made the
+runner ask for a backoff would return as soon as the backoff ends. While the runner's rate limit has
+no room, one request waits at each node.
 """
 
 from __future__ import annotations
@@ -22,8 +23,10 @@
 # Round trip and event loop iterations, which the remaining time must cover in addition to the work
 # of the request itself.
 DELIVERY_MARGIN_SECONDS = 0.05
-# Longest pause in a stream that has begun: the shortest time that callers are known to wait for the
-# next event. Without the wait the stream would be cut.
+# Time after the latest event of a stream that has begun until which its first bytes from the next
+# attempt are expected to be useful. It is a lower bound on the time for which callers wait for the
+# next event, so it is below the 3.2 s after which callers were seen to abandon a stream
+# (``pipeline.CONNECTION_SILENCE_SECONDS``). Without the wait the stream would be cut.
 STREAM_PATIENCE_SECONDS = 2.0
 
 
@@ -50,7 +53,10 @@
         return runner
 
     def _waiting_capacity(self, runner: Runner, now: float) -> int:
-        """Return how many requests of this node may wait: one if a rate limit is exhausted."""
+        """Return how many requests of this node may wait for a runner.
+
+        This is the node's share of the slots, at least one; one while the rate limit has no room.
+        """
         if holds_back(runner.signals.limit, now):
             return 1
         return max(1, runner.entry.slots // max(1, self._state.nodes.sharing_count(now)))
--- a/src/hillstack/serving/cache_estimates.py
+++ b/src/hillstack/serving/cache_estimates.py
@@ -23,12 +23,13 @@
 from hillstack.serving.job import PlacedAttempt
 
 # Without a report, a prompt counts as prefilled after twice the expected time plus one second.
-# Fetches that came earlier missed (F17).
+# Fetches that came earlier found parts missing.
 UNCONFIRMED_PREFILL_FACTOR = 2.0
 UNCONFIRMED_PREFILL_SECONDS = 1.0
 # From the first event of an answer to the first byte of a save.
 SAVE_SETUP_SECONDS = 0.03
-# According to the platform, a transfer that would wait more than 2 s is not started; less a margin.
+# By the platform's specification, a transfer that would wait more than 2 s is not started; less a
+# margin.
 MAX_SAVE_WAIT_SECONDS = 1.8
 
 
@@ -48,8 +49,9 @@
     def should_save(self, store: KvCacheStore, salt: str, shape: PromptShape, now: float) -> bool:
         """Return whether a prompt has parts that the store lacks and later requests will need.
 
-        The last part usually belongs to this prompt alone, so it is worth saving only if it is
-        already in the index.
+        False also if the store's link is reserved for so long that the save would probably not start
+        (``MAX_SAVE_WAIT_SECONDS``). The last part usually belongs to this prompt alone, so it is
+        worth saving only if it is already in the index.
         """
         index = self._state.index
         parts = shape.shared
--- a/src/hillstack/serving/fleet_state.py
+++ b/src/hillstack/serving/fleet_state.py
@@ -68,7 +68,7 @@
 STORE_RETRY_SECONDS = 2.0
 
 # Assumed number of nodes while a node does not know its peers: larger than any fleet, so that its
-# share of common budgets is small.
+# share of the retry budget is small.
 MAX_NODES = 8_192
 
 
@@ -86,12 +86,14 @@
     Attributes:
         start_gate: Holds requests until the store has been read for the first time.
         peers_known: Whether this node knows all nodes listed before it, and those listed later know
-            this node. Until then its shares of common budgets are unknown.
+            this node. Until then the retry budget is divided by ``MAX_NODES``, and this node
+            neither requests nor grants tokens of rate limits. The exposure of untrusted versions is
+            divided by the number of nodes known so far.
         store_era: Era of the store; a restore of the store begins a new one.
         highest_fence: Highest fencing token seen from any holder of the weights duty.
         rollout_deciders: Node that decides the rollout, by service.
-        bounds_enforced_from: Time until which bounds are not enforced on a node that has just started: a
-            weights version named before the start need not be in use before this time.
+        bounds_enforced_from: Time until which bounds are not enforced on a node that has just
+            started: a weights version named before the start need not be in use before this time.
     """
 
     def __init__(
@@ -302,7 +304,10 @@
         return self._outage_until
 
     def note_peers_known(self, now: float) -> None:
-        """Record that this node and all other listed nodes know each other."""
+        """Record that this node has read the list of nodes after its own entry was written.
+
+        It then knows all nodes listed before it, and those listed later know this node.
+        """
         self.peers_known = True
         self._update_budget_shares(now)
 
--- a/src/hillstack/serving/job.py
+++ b/src/hillstack/serving/job.py
@@ -34,6 +34,12 @@
     """A runner chosen for an attempt, and the costs that placement expects.
 
     Attributes:
+        delay: Expected seconds to the first event.
+        waiting: Part of the delay that is not the request's own work: time behind other requests,
+            and penalties for a recent refusal, full slots or memory, and another zone.
+        prefill_tokens: Prompt tokens that the runner will prefill.
+        matched_tokens: Prompt tokens that are cached at the runner, by estimate.
+        repeated_tokens: Tokens of the prefill that another runner has prefilled or is prefilling.
         borrowed: Why a runner of another region was chosen; None for a runner of the local region.
         fetches_across: Whether cached parts are fetched from another region.
     """
@@ -66,11 +72,16 @@
     """A request in the pipeline.
 
     Attributes:
+        sends: Attempts sent, including refused ones.
+        runs: Attempts sent, without those that runners refused; limited by the route's
+            ``max_attempts``.
         charged_cost: Cost charged to the tenant's limit.
         may_have_run: Whether some runner may have started to run the request.
         silent_since: Time from which the connection of the current attempt counts as silent: when
             the last bytes arrived, or when the first bytes are overdue.
-        excluded: Runners that are not tried again.
+        excluded: Runners that the next attempt is not sent to: those already tried, unless they may
+            accept the request now. While a runner is chosen, at first also those that are leaving
+            according to peers (``RunnerPlacement.choose``).
         failure_answer: Failure answer of a runner, received before another runner was tried; passed
             on if no other runner answers.
         time_limit: Timeout after which work on the request ends.
@@ -171,10 +182,12 @@
     ) -> RejectedError | StreamCutError:
         """Return the error that ends the request.
 
-        The error promises that the request has not run only if no runner may have run it.
+        A request that may have run ends as timed out if that is the given verdict, and as failed
+        with any other. A request that certainly has not run ends as unavailable, whatever the
+        verdict; a request that timed out after a send counts as one that may have run.
 
         Args:
-            verdict: Verdict if the request may have run.
+            verdict: Why work on the request ends.
             reason: Text for people.
             retry_after: Seconds until a runner is expected to accept work; None if not known.
         """
--- a/src/hillstack/serving/metrics.py
+++ b/src/hillstack/serving/metrics.py
@@ -174,7 +174,7 @@
         Args:
             borrowed: Why a runner of another region was chosen; None for one of the local region.
             fetch_from: Address from which parts are fetched; None for no fetch.
-            across: Whether the parts are fetched from another region.
+            is_cross_region: Whether the parts are fetched from another region.
         """
         if borrowed is not None:
             self.borrowed.labels(borrowed).inc()
--- a/src/hillstack/serving/pipeline.py
+++ b/src/hillstack/serving/pipeline.py
@@ -75,9 +75,10 @@
 # How long a caller may take to read an answer that is ready, also past its deadline: ten
 # retransmissions of a lost packet. A slower caller occupies memory, so its connection is cut.
 DELIVERY_SECONDS = 2.0
-# A request abandons a connection that is silent for this long while its runner sends on others. The
-# operating system's timeouts take up to 2.2 s (1.2 s for sent bytes, two keepalive probes for a
-# wait); callers abandon a stream after 3.2 s on known deployments.
+# A request abandons a connection that is silent for this long while its runner sends on others. It
+# lies between the operating system's timeouts, which take up to 2.2 s (1.2 s for sent bytes, two
+# keepalive probes for a wait), and the 3.2 s after which callers of known deployments abandon a
+# stream.
 CONNECTION_SILENCE_SECONDS = 2.5
 
 
--- a/src/hillstack/serving/placement.py
+++ b/src/hillstack/serving/placement.py
@@ -131,6 +131,10 @@
         rng: Source of randomness.
         resting: Until when an idle connection of this node may be reused, by address.
         regions: Decides which requests may go to another region.
+
+    Attributes:
+        versions: Chooses runners by their software version. Weights versions are in
+            ``FleetState.versions``.
     """
 
     def __init__(
@@ -166,7 +170,8 @@
         """Return a runner for the next attempt, or None if no runner accepts work.
 
         A runner that is leaving according to peers is chosen only if no other runner accepts the
-        request.
+        request. In the first pass it counts as excluded, so with several regions its zone counts as
+        a failed one.
         """
         hinted_ids = self._state.pool.hinted(job.service, now) - job.excluded
         if hinted_ids:
@@ -445,8 +450,8 @@
         accepting: list[Runner] = []
         local: list[Candidate] = []
         remote: list[Candidate] = []
-        # Most runners have the same version, so the terms of each version are computed once.
-        versions: dict[int, _VersionTerms] = {}
+        # Most runners have the same weights, so the terms of each version are computed once.
+        terms_by_version: dict[int, _VersionTerms] = {}
         excluded_ids = job.excluded | usable.holders_only()
         for runner in usable.holders:
             version = runner.likely_weights(model, now)
@@ -455,9 +460,9 @@
             accepting.append(runner)
             if runner.runner_id in excluded_ids:
                 continue
-            version_terms = versions.get(version)
+            version_terms = terms_by_version.get(version)
             if version_terms is None:
-                version_terms = versions[version] = self._version_terms(job, version)
+                version_terms = terms_by_version[version] = self._version_terms(job, version)
             (remote if runner.entry.zone in other_zones else local).append(
                 Candidate(
                     runner,
--- a/src/hillstack/serving/region_choice.py
+++ b/src/hillstack/serving/region_choice.py
@@ -1,10 +1,10 @@
 """Decides whether a request may be sent to a runner of another region, and at what cost.
 
-Runners of the local region are preferred. Runners of another region are considered only if no
-runner of the local region accepts the request, if the best local runner would answer late, or if it
-would prefill shared parts again that are cached in the other region; and only if this node's share
-of the link between the regions has room. A runner of the other region is chosen if it costs less,
-including the round trip and the bytes on the link.
+Runners of the local region are preferred. Runners of another region are considered only if this
+node's share of the link between the regions has room, and for one of the reasons in
+``BorrowReason``. Among engines, a runner of the other region is then chosen if it costs less than
+the best local one, including the round trip and the bytes on the link. Among application servers,
+it is chosen without such a comparison.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 DEFAULT_LINK_MEGABITS = 30.0
 # Round trip to the other region: twice 12 ms; known deployments have 8 to 20 ms one way.
 DETOUR_SECONDS = 0.024
-# Cost of a byte between regions, as a delay: eight times its price relative to that of a repeated
-# prefill of a token (``REPEATED_PREFILL_SECONDS_PER_TOKEN``), because all traffic shares the link.
-# A long prompt of 12 KB costs 0.5 s, as much as 1,760 tokens prefilled again. In calculations with
-# known caches, 15 of 100 prompts go to the other region. At half this cost 19 do; at a quarter more
-# than this cost 5 do, but then cache transfers between regions block the links when half a region
-# is lost.
+# Cost of a byte between regions, as a delay. Its price alone, on the scale on which a repeated
+# prefill of a token costs ``REPEATED_PREFILL_SECONDS_PER_TOKEN``, would give an eighth of this; the
+# cost is higher because all traffic shares the link. A long prompt of 12 KB costs 0.5 s, as much as
+# 1,760 tokens prefilled again. In calculations with known caches, 15 of 100 prompts go to the other
+# region. At half this cost 19 do; at a quarter more than this cost 5 do, but then cache transfers
+# between regions block the links when half a region is lost.
 SECONDS_PER_BYTE = 0.000044
 # Size of the head of a request or of an answer.
 HEAD_BYTES = 600
@@ -42,7 +42,16 @@
 
 
 class BorrowReason(enum.StrEnum):
-    """Why a request is sent to another region."""
+    """Why a request is sent to another region.
+
+    Attributes:
+        NO_RUNNER: No runner of the local region accepts the request.
+        LATE: The best local engine would probably answer late.
+        CACHED: The best local engine would prefill many shared parts again, or fetch them from
+            another region.
+        FULL: No local application server that accepts the request has a free slot, but one in the
+            other region has.
+    """
 
     NO_RUNNER = "no_runner"
     LATE = "late"
@@ -85,7 +94,11 @@
             self._link_share.spend(_link_bytes(request))
 
     def failed_zones(self, excluded: set[str]) -> frozenset[str]:
-        """Return the zones of runners already tried; empty in a deployment with one region."""
+        """Return the zones of a request's excluded runners; empty in a deployment with one region.
+
+        These are the runners already tried and, in the first pass of ``RunnerPlacement.choose``,
+        also those that are leaving according to peers.
+        """
         if not excluded or not self.other_zones():
             return frozenset()
         tried = (self._state.pool.get(runner_id) for runner_id in excluded)
--- a/src/hillstack/serving/rollout_observer.py
+++ b/src/hillstack/serving/rollout_observer.py
@@ -114,7 +114,8 @@
         state: State of the node.
         peers: Sends reports to the peers.
         make_judge: Creates the judge for an order and the time at which it was given.
-        median_answer_seconds: Returns the median time to an answer of a service's application, if known.
+        median_answer_seconds: Returns the median time to an answer of a service's application, if
+            known.
         metrics: Counts outcomes.
         clock: Monotonic seconds.
         rng: Source of randomness.
@@ -146,7 +147,11 @@
         return self._rollout_of_order(order, self._clock()).evidence if order is not None else None
 
     def opinion(self, service: str) -> RolloutOpinion:
-        """Return this node's opinion of the target version of a service's current order."""
+        """Return this node's opinion of the target version of a service's current order.
+
+        The opinion is bad if this node's judge or any report says so, or if the rollout is
+        reverted, by this node itself or by its record in the store.
+        """
         order = self._state.rollouts.order(service)
         if order is None:
             return NO_OPINION
@@ -291,7 +296,11 @@
         return found
 
     def _evaluate(self, order: RolloutOrder, now: float) -> None:
-        """Close the target version if the evidence or a peer shows that it is bad."""
+        """Close the target version if the evidence or a report shows that it is bad.
+
+        This node's own report says so only after it has closed the version, which ends the
+        evaluation; so a report found here was sent by a peer.
+        """
         if self._state.rollouts.stage(order.service) not in EVALUATED_STAGES:
             return
         observed = self._rollout_of_order(order, now)
--- a/src/hillstack/serving/runner_crashes.py
+++ b/src/hillstack/serving/runner_crashes.py
@@ -43,8 +43,10 @@
 PEER_NOTICE_WAIT_SECONDS = 0.015
 # Bytes that were in transit when a runner crashed are read up to this much later.
 LATE_BYTES_SECONDS = 0.02
-# A runner that crashed may listen at its old address again after some seconds, so bytes received
-# later don't prove that it survived. Must exceed the pause between two checks
+# Bytes that arrive from a runner within this time after its connections broke prove that it has not
+# crashed: a new process is assumed to listen at the old address only after some seconds. Later
+# bytes may come from the new process. Not the time after which a failed runner is tried again,
+# which is shorter (``runner_pool.SUSPECT_SECONDS``). Must exceed the pause between two checks
 # (``NOTICE_INTERVAL_SECONDS``).
 MIN_RESTART_SECONDS = 2.0
 # Pause between repetitions of a crash notice: a lost datagram is repeated before a caller has tried
@@ -60,9 +62,9 @@
 # How long peers avoid a runner with a suspect if the end of the attempt is not reported: covers the
 # time in the queue, the prefill and the time after which a run counts as settled.
 PROBATION_SECONDS = 1.0
-# Longest wait of a suspect for a runner without another suspect: the age at which fatal runs were
-# seen to crash runners, and as much again for a queue; less than an objective of 0.5 s to the first
-# event.
+# Longest wait of a suspect for a runner without another suspect. One half covers the age at which
+# fatal runs were seen to crash runners (a quarter of ``core.runner_crashes.SETTLED_SECONDS``) with
+# a margin, the other half a queue. Less than an objective of 0.5 s to the first event.
 SEPARATION_WAIT_SECONDS = 0.4
 SEPARATION_CHECK_SECONDS = 0.02
 # Longest wait of a suspect for the outcome of another caller's try of the same request: as long as
--- a/src/hillstack/serving/start_gate.py
+++ b/src/hillstack/serving/start_gate.py
@@ -7,8 +7,8 @@
 
 # A read of the store takes about 10 ms; callers wait one second for a new connection.
 FIRST_READ_WAIT_SECONDS = 1.0
-# Cost of tokens prefilled again after a start: 0.014 with this wait, 0.022 without it
-# (docs/DECISIONS.md).
+# Longest wait of a prompt for the contents of caches. Tokens prefilled again after a start cost
+# 0.014 with this wait and 0.022 without it (measure and unit: docs/DECISIONS.md).
 CACHES_WAIT_SECONDS = 0.15
 
 
@@ -34,7 +34,7 @@
 
     @property
     def caches_known(self) -> bool:
-        """Whether prompts pass the gate."""
+        """Whether prompts pass the gate: caches are known, or a prompt has waited long enough."""
         return self._caches_known.is_set()
 
     def mark_cache_known(self, holder_id: str) -> None:
@@ -42,7 +42,7 @@
         self._known_holders.add(holder_id)
 
     def expect_caches(self, holder_ids: Collection[str]) -> None:
-        """Let prompts pass if the cached parts of all these holders are known."""
+        """Let prompts pass if the cached parts of all these holders are already known."""
         if self._known_holders.issuperset(holder_ids):
             self._caches_known.set()
 
--- a/src/hillstack/serving/types.py
+++ b/src/hillstack/serving/types.py
@@ -101,7 +101,16 @@
 class Verdict(enum.StrEnum):
     """Kinds of answers that the router itself gives instead of a runner.
 
-    The first group promises that the request has not run and never will.
+    Attributes:
+        UNAVAILABLE: The request has not run and never will: no runner accepts it, or the node can't
+            serve it now.
+        OVERLOADED: The request has not run and never will: it would be answered late.
+        OVER_LIMIT: The request has not run and never will: its tenant's limit has no room.
+        NO_ROUTE: No route matches the request; it was not sent to a runner.
+        UNAUTHENTICATED: The request has no valid key; it was not sent to a runner.
+        BAD_REQUEST: The request can't be read; it was not sent to a runner.
+        FAILED: The request may have run, and its attempt failed.
+        TIMED_OUT: The request may have run, and its deadline passed.
     """
 
     UNAVAILABLE = "unavailable"
--- a/src/hillstack/serving/version_choice.py
+++ b/src/hillstack/serving/version_choice.py
@@ -117,7 +117,12 @@
                 return False
 
     def is_untrusted(self, runner: Runner) -> bool:
-        """Return whether a runner's version is untrusted and not representative of its service."""
+        """Return whether a runner's version does not have open access during a rollout.
+
+        That is the target version until it is accepted, but also the old version while traffic
+        shifts away from it. Neither is representative of the service, so the timings of these
+        runners are not learned.
+        """
         service, rollouts = runner.entry.service, self._state.rollouts
         if not rollouts.concerns(service):
             return False
@@ -219,6 +224,8 @@
         draw = 0.0
         if groups.open:
             draw = self._rng.random()
+            # A count below 1 is the part of one runner that the canaries make busy. They load that
+            # runner fully if they are sent in the same part of the time.
             if not exposure.is_burst(job.service, self._canary_runner_count(groups), now):
                 return
         job.is_canary = exposure.admits(job.service, job.route.name, draw, now)
