--- a/src/hillstack/daemon/cache_follower.py
+++ b/src/hillstack/daemon/cache_follower.py
@@ -151,7 +151,7 @@
 
     async def run(self) -> None:
         """Watch the assigned holders until cancelled."""
-        await self._state.start_gate.passed()
+        await self._state.start_gate.wait_for_first_read()
         try:
             while True:
                 self._assign()
@@ -164,7 +164,7 @@
         """Return the holders that this node watches."""
         return list(self._tasks)
 
-    def welcome(self, node_id: str) -> None:
+    def send_initial_state(self, node_id: str) -> None:
         """Send the contents of the watched holders to a node that has just started.
 
         Nodes of other regions get nothing: they cannot use this region's caches, and the lists
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -191,7 +191,7 @@
             self._clock,
             rng,
         )
-        self._peers.handle_rollouts(self._observer.take_report)
+        self._peers.handle_rollouts(self._observer.add_report)
         placement.versions.handle_canaries(self._metrics.count_canary)
         holders = BucketHolders(settings.node.id, self._state.nodes, choice, zone)
         self._buckets = TokenBuckets(bounds.limit_tolerance(), LEASE_SECONDS)
@@ -212,13 +212,13 @@
             self._observer,
             runner_limits,
         )
-        self._pipeline.runner_ends.set_lag_source(self._lag.on_time_since)
-        self._peers.handle_runner_ends(self._pipeline.runner_ends.observe)
+        self._pipeline.runner_crashes.set_lag_source(self._lag.on_time_since)
+        self._peers.handle_runner_ends(self._pipeline.runner_crashes.observe)
         # The order matters: the cache contents open the start gate of the new peer (``StartGate``),
         # so the reports of runner crashes have to arrive before them.
-        self._peers.handle_new_peers(self._pipeline.runner_ends.welcome)
-        self._peers.handle_new_peers(self._follower.welcome)
-        self._peers.handle_new_peers(self._peers.welcome)
+        self._peers.handle_new_peers(self._pipeline.runner_crashes.send_crash_history)
+        self._peers.handle_new_peers(self._follower.send_initial_state)
+        self._peers.handle_new_peers(self._peers.send_limits)
         own_address = f"{settings.node.address}:{settings.listen.peers_port}"
         own = NodeEntry(
             settings.node.id, own_address, zone, link_megabits=settings.node.link_megabits
@@ -334,7 +334,7 @@
             self._follower.run(),
             self._limits.run(),
             self._shared_runner_limits.run(),
-            self._pipeline.runner_ends.run(),
+            self._pipeline.runner_crashes.run(),
             self._registry.run(),
             self._duty.maintain_lease(),
             self._duty.run(),
--- a/src/hillstack/daemon/limit_client.py
+++ b/src/hillstack/daemon/limit_client.py
@@ -136,7 +136,7 @@
 
     async def run(self) -> None:
         """Transfer this node's refill time to holders and request tokens, until cancelled."""
-        await self._state.start_gate.passed()
+        await self._state.start_gate.wait_for_first_read()
         while True:
             await self._pause(await self._work())
 
--- a/src/hillstack/daemon/node_registry.py
+++ b/src/hillstack/daemon/node_registry.py
@@ -71,7 +71,7 @@
 
     async def run(self) -> None:
         """Check periodically until cancelled."""
-        await self._state.start_gate.passed()
+        await self._state.start_gate.wait_for_first_read()
         while True:
             await asyncio.sleep(CHECK_SECONDS)
             # If its state is stale, this node itself may be cut off from the network.
--- a/src/hillstack/daemon/notice_relay.py
+++ b/src/hillstack/daemon/notice_relay.py
@@ -119,7 +119,7 @@
 
     async def run(self) -> None:
         """Send heartbeats while this node relays, until cancelled."""
-        await self._state.start_gate.passed()
+        await self._state.start_gate.wait_for_first_read()
         while True:
             now = self._clock()
             relaying = self._is_relaying(now)
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -234,7 +234,7 @@
         self._outbox.add_limit(_limit_notice(runner_id, limit, limit.told_at))
         self._schedule()
 
-    def welcome(self, node_id: str) -> None:
+    def send_limits(self, node_id: str) -> None:
         """Send a newly started node the limits that runners have announced to this node.
 
         Without them it would send such a runner any number of requests until the first answer.
@@ -281,7 +281,7 @@
 
         The first notice is sent as soon as the peers are known; they answer with the cached parts.
         """
-        await self._state.start_gate.passed()
+        await self._state.start_gate.wait_for_first_read()
         while True:
             self.repeat_loads()
             await asyncio.sleep(REFRESH_SECONDS)
--- a/src/hillstack/platform/runner_signals.py
+++ b/src/hillstack/platform/runner_signals.py
@@ -51,7 +51,7 @@
 class SignalListener(Protocol):
     """Receives the signals in the answers of runners."""
 
-    def heard(self, runner_id: str, signals: RunnerSignals, source: AnswerSource) -> None:
+    def receive(self, runner_id: str, signals: RunnerSignals, source: AnswerSource) -> None:
         """Handle the signals of an answer; called once per answer, when its head was received.
 
         Args:
@@ -102,7 +102,7 @@
         source = AnswerSource(
             asked.kind, status, clock.seconds() - asked.at, asked.request_id, is_complete
         )
-        self._listener.heard(runner_id, parse_signals(status, headers), source)
+        self._listener.receive(runner_id, parse_signals(status, headers), source)
         for name in unknown_fields(headers):
             self._listener.handle_unknown_field(runner_id, name.lower(), headers[name])
 
--- a/src/hillstack/serving/cache_estimates.py
+++ b/src/hillstack/serving/cache_estimates.py
@@ -49,9 +49,9 @@
     def should_save(self, store: KvCacheStore, salt: str, shape: PromptShape, now: float) -> bool:
         """Return whether a prompt has parts that the store lacks and later requests will need.
 
-        False also if the store's link is reserved for so long that the save would probably not start
-        (``MAX_SAVE_WAIT_SECONDS``). The last part usually belongs to this prompt alone, so it is
-        worth saving only if it is already in the index.
+        False also if the store's link is reserved for so long that the save would probably not
+        start (``MAX_SAVE_WAIT_SECONDS``). The last part usually belongs to this prompt alone, so
+        it is worth saving only if it is already in the index.
         """
         index = self._state.index
         parts = shape.shared
--- a/src/hillstack/serving/fleet_state.py
+++ b/src/hillstack/serving/fleet_state.py
@@ -115,7 +115,7 @@
         self.table: RoutingTable | None = None
         self.pool = RunnerPool()
         self._doubtful_entries = UnconfirmedEntries(self.pool)
-        self.runner_ends = RunnerCrashRecord()
+        self.runner_crashes = RunnerCrashRecord()
         self.crash_counts = CrashCounts()
         self.probations = Probations()
         self.index = PartIndex()
--- a/src/hillstack/serving/pipeline.py
+++ b/src/hillstack/serving/pipeline.py
@@ -117,7 +117,7 @@
         self._clock = clock
         self._admission = RequestAdmission(state, clock)
         self._backoff_waits = BackoffWaits(state, placement)
-        self.runner_ends = RunnerCrashMonitor(state, placement, clock, self._metrics)
+        self.runner_crashes = RunnerCrashMonitor(state, placement, clock, self._metrics)
         self.active = 0
 
     def stop_accepting(self) -> None:
@@ -134,7 +134,7 @@
         self.active += 1
         result = "error"
         try:
-            await self._state.start_gate.passed(_useful_patience(request))
+            await self._state.start_gate.wait_for_first_read(_useful_patience(request))
             job = self._admission.admit(request)
             await self._run(job, sink)
             result = "served"
@@ -190,17 +190,17 @@
     async def _run_in_time(self, job: Job, sink: ResponseSink) -> None:
         try:
             async with asyncio.timeout(max(0.0, job.deadline - self._clock())) as job.time_limit:
-                await self.runner_ends.check(job)
+                await self.runner_crashes.check(job)
                 await self._charge_tenant_limit(job)
                 if not self._state.start_gate.caches_known:
                     # Peers report runner crashes to a node that has just started before they report
                     # cached parts, so requests known to be fatal are known by then.
                     await self._state.start_gate.wait_for_caches()
-                    await self.runner_ends.check(job)
+                    await self.runner_crashes.check(job)
                 await self._attempt_until_done(job, sink)
         except TimeoutError:
             if job.is_fatal:
-                raise self.runner_ends.fatal_error(job) from None
+                raise self.runner_crashes.fatal_error(job) from None
             raise job.give_up_error(Verdict.TIMED_OUT, "the deadline passed") from None
         finally:
             if job.charged_cost and not job.runs and not job.may_have_run:
@@ -222,7 +222,7 @@
 
     async def _attempt_until_done(self, job: Job, sink: ResponseSink) -> None:
         while True:
-            await self.runner_ends.check(job)
+            await self.runner_crashes.check(job)
             placed = await self._place(job)
             job.sends += 1
             try:
@@ -317,7 +317,7 @@
         dispatch = self._dispatch(job, placed, now)
         job.watch = self._observer.watch(job, placed, now)
         self._placement.sent(job, placed, attempt_id, now)
-        self.runner_ends.sent(job, placed.runner, attempt_id, now)
+        self.runner_crashes.sent(job, placed.runner, attempt_id, now)
         logger.info("attempt", extra=attempt_fields(job, placed, dispatch))
         log_held_back(self._state.pool, self._metrics, job.request.request_id, placed.runner, now)
         self._log_older_weights("sent on older weights", job, placed)
@@ -346,7 +346,7 @@
             raise
         finally:
             self._placement.finished(placed, attempt_id)
-            self.runner_ends.finished(attempt_id, may_still_run=may_still_run)
+            self.runner_crashes.finished(attempt_id, may_still_run=may_still_run)
             self._observer.ended(job, self._clock())
             if answer is not None:
                 answer.close()
@@ -475,7 +475,7 @@
         else:
             await self._deliver(job, await self._read_whole(job, answer), sink)
         self._state.pool.succeeded(runner)
-        self.runner_ends.answered(job, succeeded=answer.status in SUCCESS)
+        self.runner_crashes.answered(job, succeeded=answer.status in SUCCESS)
         self._metrics.attempts.labels("answered").inc()
         if job.first_event_at is not None:
             self._metrics.longest_pause.observe(job.longest_gap)
@@ -524,7 +524,7 @@
                 started = True
                 job.watch.first_bytes(self._clock())
                 self._placement.started(job, placed, attempt_id, self._clock())
-                self.runner_ends.started(job, attempt_id, self._clock())
+                self.runner_crashes.started(job, attempt_id, self._clock())
             if not job.head_sent:
                 job.head_sent = True
                 await sink.start(answer.status, answer.headers)
@@ -557,7 +557,7 @@
             case RefusalCause.UNREACHABLE:
                 pool.unreachable(runner, now)
                 self._placement.lost(runner)
-                self.runner_ends.unreachable(runner, now)
+                self.runner_crashes.unreachable(runner, now)
             case RefusalCause.FULL:
                 pool.shed(runner, now)
             case RefusalCause.OTHER_INSTANCE:
@@ -575,7 +575,7 @@
         job.excluded.add(runner.runner_id)
         self._state.pool.failed(runner, self._clock())
         if isinstance(error, ConnectionLostError):
-            self.runner_ends.lost(job, runner, self._clock())
+            self.runner_crashes.lost(job, runner, self._clock())
         self._metrics.attempts.labels("broken").inc()
         log_outcome(job, runner, f"broken at {error.step}: {error.message}")
         if not job.may_run_again():
--- a/src/hillstack/serving/placement.py
+++ b/src/hillstack/serving/placement.py
@@ -450,8 +450,8 @@
         accepting: list[Runner] = []
         local: list[Candidate] = []
         remote: list[Candidate] = []
-        # Most runners have the same weights, so the terms of each version are computed once.
-        terms_by_version: dict[int, _VersionTerms] = {}
+        # By weights version. Most runners have the same one, so its terms are computed once.
+        versions: dict[int, _VersionTerms] = {}
         excluded_ids = job.excluded | usable.holders_only()
         for runner in usable.holders:
             version = runner.likely_weights(model, now)
@@ -460,9 +460,9 @@
             accepting.append(runner)
             if runner.runner_id in excluded_ids:
                 continue
-            version_terms = terms_by_version.get(version)
+            version_terms = versions.get(version)
             if version_terms is None:
-                version_terms = terms_by_version[version] = self._version_terms(job, version)
+                version_terms = versions[version] = self._version_terms(job, version)
             (remote if runner.entry.zone in other_zones else local).append(
                 Candidate(
                     runner,
--- a/src/hillstack/serving/rollout_observer.py
+++ b/src/hillstack/serving/rollout_observer.py
@@ -212,9 +212,7 @@
             # The node that decides the rollout waits for this before the old runners are stopped.
             self._send_reports_now()
 
-    def take_report(
-        self, node_id: str, incarnation: int, report: RolloutReport, now: float
-    ) -> None:
+    def add_report(self, node_id: str, incarnation: int, report: RolloutReport, now: float) -> None:
         """Add a report of a peer to the evidence; its order may not be known here yet."""
         order = self._state.rollouts.order(report.service)
         reported_identity = report.order(order.revision if order is not None else None)
@@ -284,7 +282,7 @@
 
         If a request crashes runners of one version only, that version may be bad.
         """
-        record = self._state.runner_ends
+        record = self._state.runner_crashes
         if not record:
             return set()
         found: set[str] = set()
--- a/src/hillstack/serving/runner_crashes.py
+++ b/src/hillstack/serving/runner_crashes.py
@@ -123,7 +123,7 @@
         metrics: FleetMetrics,
     ) -> None:
         self._state = state
-        self._record = state.runner_ends
+        self._record = state.runner_crashes
         self._counts = state.crash_counts
         self._placement = placement
         self._peers = placement.peers
@@ -430,7 +430,7 @@
             if run.content:
                 self._counts.note(run.content, crashed)
 
-    def welcome(self, node_id: str) -> None:
+    def send_crash_history(self, node_id: str) -> None:
         """Report crashes to a node that has just started.
 
         This node reports the crashes that it saw itself. A crash that it did not see is reported by
--- a/src/hillstack/serving/runner_limits.py
+++ b/src/hillstack/serving/runner_limits.py
@@ -21,9 +21,9 @@
 
 # How long a request waits for the bucket's holder, which usually answers within milliseconds; then
 # another runner serves the request.
-ANSWER_SECONDS = 0.03
+HOLDER_TIMEOUT_SECONDS = 0.03
 # Without an answer, the runner is skipped for as long as it takes to find another holder.
-SILENT_SECONDS = 0.1
+NO_ANSWER_PAUSE_SECONDS = 0.1
 # A runner whose limit had no room is tried again after this time at the latest: other nodes may not
 # have used their shares.
 MAX_PAUSE_SECONDS = 1.0
@@ -98,10 +98,10 @@
         """Charge one call and return 0, or return the seconds until the next try may have room."""
         limit = TenantLimit(rate, burst=0.0)
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
+            async with asyncio.timeout(HOLDER_TIMEOUT_SECONDS):
                 return await self._limiter.take(runner_id, limit, limit.cost(None), rank)
         except TimeoutError:
-            return SILENT_SECONDS
+            return NO_ANSWER_PAUSE_SECONDS
 
     def _log_result(self, job: Job, runner: Runner, rate: float, result: str) -> None:
         self._metrics.limited_attempts.labels(result).inc()
--- a/src/hillstack/serving/signal_receiver.py
+++ b/src/hillstack/serving/signal_receiver.py
@@ -53,7 +53,7 @@
         self._clock = clock
         self._unknown_fields: set[str] = set()
 
-    def heard(self, runner_id: str, signals: RunnerSignals, source: AnswerSource) -> None:
+    def receive(self, runner_id: str, signals: RunnerSignals, source: AnswerSource) -> None:
         """Apply the signals in the head of a process's answer."""
         self._receive_limit(runner_id, signals.limit, source)
         if signals.leaving or signals.backoff_seconds > 0:
--- a/src/hillstack/serving/start_gate.py
+++ b/src/hillstack/serving/start_gate.py
@@ -50,13 +50,13 @@
         """Let prompts pass, whether cached parts are known or not."""
         self._caches_known.set()
 
-    async def passed(self, patience_seconds: float = FIRST_READ_WAIT_SECONDS) -> None:
+    async def wait_for_first_read(self, patience_seconds: float = FIRST_READ_WAIT_SECONDS) -> None:
         """Wait for the first read, for a bounded time and no longer than the caller waits."""
         await _bounded_wait(self._first_read_done, min(FIRST_READ_WAIT_SECONDS, patience_seconds))
 
     async def wait_for_caches(self) -> None:
         """Wait for the first read, and then for a bounded time until cached parts are known."""
-        await self.passed()
+        await self.wait_for_first_read()
         if not self.caches_known:
             await _bounded_wait(self._caches_known, CACHES_WAIT_SECONDS)
             self.open_for_prompts()
--- a/tests/fleet/fatal_world.py
+++ b/tests/fleet/fatal_world.py
@@ -297,7 +297,7 @@
     def deliver(self, source: str, node: Node, notice: RunnerEndNotice) -> None:
         def take() -> None:
             self.loop.call_soon(
-                node.pipeline.runner_ends.observe, source, notice, self.scheduler.now
+                node.pipeline.runner_crashes.observe, source, notice, self.scheduler.now
             )
 
         self.scheduler.at(self.scheduler.now + NOTICE_SECONDS, take)
--- a/tests/fleet/node_network.py
+++ b/tests/fleet/node_network.py
@@ -352,7 +352,7 @@
             runner_limits,
             ChangeLog(),
         )
-        exchange.handle_new_peers(exchange.welcome)
+        exchange.handle_new_peers(exchange.send_limits)
         exchange.handle_placements(
             lambda _, notice, now: node.placements.append(notice),
             lambda peer, number, now: node.reads.append((peer, number)),
--- a/tests/fleet/rollout_traffic.py
+++ b/tests/fleet/rollout_traffic.py
@@ -177,7 +177,7 @@
         observer = RolloutObserver(
             node.state, node.exchange, ThresholdJudge, lambda _: WORK_SECONDS, metrics, clock, rng
         )
-        node.exchange.handle_rollouts(observer.take_report)
+        node.exchange.handle_rollouts(observer.add_report)
         self.observers[node.node_id] = observer
         self._pipelines[node.node_id] = RequestPipeline(
             node.state, _Client(self, node), placement, clock, FakeLimiter(), metrics, observer
--- a/tests/fleet/runner_limit_traffic.py
+++ b/tests/fleet/runner_limit_traffic.py
@@ -153,6 +153,6 @@
         source = AnswerSource(AnswerKind.REQUEST, 200, now - asked_at, is_whole=True)
 
         def take() -> None:
-            side.intake.heard(self.runner_id, signals, source)
+            side.intake.receive(self.runner_id, signals, source)
 
         side.node.loop.call_soon(take)
--- a/tests/fleet/test_cache_follower.py
+++ b/tests/fleet/test_cache_follower.py
@@ -252,7 +252,7 @@
 def test_a_new_peer_gets_all_large_parts(bench: Bench) -> None:
     bench.feed.holders["i-1"].held = {"a": 4_000, "b": 3_000, "small": 50}
     bench.run(1.0)
-    bench.follower.welcome("node-2")
+    bench.follower.send_initial_state("node-2")
     assert ("node-2", "i-1", 2) in bench.peers.sent
 
 
--- a/tests/fleet/test_crash_bound.py
+++ b/tests/fleet/test_crash_bound.py
@@ -118,7 +118,7 @@
     """Requests with the path, tenant and body of a request that is fatal because of its query."""
     world = World(8, 3)
     node = world.nodes["node-0"]
-    watch = node.pipeline.runner_ends
+    watch = node.pipeline.runner_crashes
     content = content_name("tenant-1", "/gen/x", b"short")
 
     def tell() -> None:
@@ -152,7 +152,7 @@
     world.run(0.1)
     world.loop.call_soon(fatal.task.cancel)
     world.run(0.1)
-    record = world.nodes["node-0"].state.runner_ends
+    record = world.nodes["node-0"].state.runner_crashes
     assert len(world.runners.ended()) == 1
     assert not record
     for number in range(6):
@@ -172,7 +172,7 @@
     world.run(0.5)
     assert beside.task.done() and beside.error is not None
     for node in world.nodes.values():
-        (crash,) = node.state.runner_ends.ends()
+        (crash,) = node.state.runner_crashes.ends()
         assert len(crash.runs) == 2
 
 
@@ -185,14 +185,14 @@
     world.run(1.5)
     world.runners.by_id["i-0"].crash()
     world.run(0.01)
-    (crash,) = world.nodes["node-0"].state.runner_ends.ends()
+    (crash,) = world.nodes["node-0"].state.runner_crashes.ends()
     assert len(crash.runs) == 1
 
 
 def _report_crash_from_peer(world: World, runner_id: str, ended_ms_ago: int) -> None:
     """Let a peer report a runner crash to the first node."""
     notice = RunnerEndNotice(runner_id, ended_ms_ago, [RequestAtEnd(77, 110, started=False)])
-    watch = world.nodes["node-0"].pipeline.runner_ends
+    watch = world.nodes["node-0"].pipeline.runner_crashes
     world.loop.call_soon(watch.observe, "node-9", notice, world.scheduler.now)
     world.run(0.001)
 
@@ -203,9 +203,9 @@
     _report_crash_from_peer(world, "i-0", 0)
     world.run(3.0)
     assert world.try_until_done("node-0", b"short 1").is_served
-    node.pipeline.runner_ends._refresh()
+    node.pipeline.runner_crashes._refresh()
     assert node.state.crash_counts.count(77) == 1
-    assert node.state.runner_ends.get("i-0") is not None
+    assert node.state.runner_crashes.get("i-0") is not None
 
 
 def test_a_connection_older_than_the_crash_proves_that_its_runner_is_alive() -> None:
@@ -221,7 +221,7 @@
     world = World(1, 1)
     node = world.nodes["node-0"]
     on_time_since = [1_000.0]
-    node.pipeline.runner_ends.set_lag_source(lambda: on_time_since[0])
+    node.pipeline.runner_crashes.set_lag_source(lambda: on_time_since[0])
     world.send("node-0", b"long 1")
     world.run(1.0)
     _report_crash_from_peer(world, "i-0", 500)
@@ -229,7 +229,7 @@
     # Bytes that are read without delay prove it.
     on_time_since[0] = world.scheduler.now
     world.run(0.1)
-    node.pipeline.runner_ends._refresh()
+    node.pipeline.runner_crashes._refresh()
     assert node.state.crash_counts.count(77) == 0
 
 
@@ -237,8 +237,8 @@
     world = World(3, 1)
     node = world.nodes["node-0"]
     world.try_until_done("node-0", b"fatal 1")
-    ends = [crash.runner_id for crash in node.state.runner_ends.ends()]
-    watch = node.pipeline.runner_ends
+    ends = [crash.runner_id for crash in node.state.runner_crashes.ends()]
+    watch = node.pipeline.runner_crashes
 
     def tell(runner_id: str) -> None:
         told = RunnerEndNotice(runner_id, 0, [], taken_back=True)
@@ -249,7 +249,7 @@
     tell(ends[0])
     world.run(3.0)
     tell(ends[1])
-    assert [crash.runner_id for crash in node.state.runner_ends.ends()] == ends[1:]
+    assert [crash.runner_id for crash in node.state.runner_crashes.ends()] == ends[1:]
 
 
 def test_nodes_that_left_runs_at_one_end_answer_no_notice_with_a_notice() -> None:
--- a/tests/fleet/test_crash_counts.py
+++ b/tests/fleet/test_crash_counts.py
@@ -161,9 +161,9 @@
 def test_an_answer_with_a_failure_clears_no_request() -> None:
     world = World(12, 1)
     node = world.nodes["node-0"]
-    watch = node.pipeline.runner_ends
+    watch = node.pipeline.runner_crashes
     world.try_until_done("node-0", FATAL)
-    (fingerprint,) = node.state.runner_ends.fatal()
+    (fingerprint,) = node.state.runner_crashes.fatal()
     outcome = world.send("node-0", b"short")
     world.run(0.01)
     (job, _), *_ = watch._active.values()
@@ -184,7 +184,7 @@
     node = world.nodes["node-0"]
     started = world.add_node("node-1")
     node.state.nodes.list_node(started.state.nodes.get("node-1"))  # type: ignore[arg-type]
-    node.pipeline.runner_ends.welcome("node-1")
+    node.pipeline.runner_crashes.send_crash_history("node-1")
     world.run(0.05)
     world.try_until_done("node-1", FATAL)
     assert world.try_until_done("node-1", FATAL).verdict() is Verdict.FAILED
@@ -195,7 +195,7 @@
     world = World(4, 2)
     counts = world.nodes["node-1"].state.crash_counts
     requests = [RequestAtEnd(NAME, 110, started=False)]
-    watch = world.nodes["node-1"].pipeline.runner_ends
+    watch = world.nodes["node-1"].pipeline.runner_crashes
     world.loop.call_soon(watch.observe, "node-0", RunnerEndNotice("gone", 0, requests), 0.0)
     world.run(0.01)
     assert counts.count(NAME) == 1
--- a/tests/fleet/test_fatal_requests.py
+++ b/tests/fleet/test_fatal_requests.py
@@ -158,15 +158,15 @@
     world = World(8, 2)
     world.partitioned_nodes = {"node-1"}
     world.try_until_done("node-0", FATAL)
-    record = world.nodes["node-1"].state.runner_ends
+    record = world.nodes["node-1"].state.runner_crashes
     again = world.send("node-1", FATAL)
     world.run(0.09)
     world.partitioned_nodes = set()
     # A try through the other node is running when the notices of both crashes arrive.
     at = next(runner for runner in world.runners.by_id.values() if FATAL in runner.running_bodies)
-    ends = world.nodes["node-0"].state.runner_ends.ends()
+    ends = world.nodes["node-0"].state.runner_crashes.ends()
     for crash in ends:
-        notice = world.nodes["node-0"].pipeline.runner_ends._notice(crash, world.scheduler.now)
+        notice = world.nodes["node-0"].pipeline.runner_crashes._notice(crash, world.scheduler.now)
         world.deliver("node-0", world.nodes["node-1"], notice)
     world.run(0.02)
     assert again.task.done() and at.is_alive
@@ -178,7 +178,7 @@
     known = record.get(at.runner_id)
     assert known is not None and fingerprint in known.runs
     # The node of the aborted run reports the crash to the others.
-    other = world.nodes["node-0"].state.runner_ends.get(at.runner_id)
+    other = world.nodes["node-0"].state.runner_crashes.get(at.runner_id)
     assert other is not None and fingerprint in other.runs
 
 
@@ -212,7 +212,7 @@
 def test_a_lost_notice_is_repeated() -> None:
     world = World(8, 2)
     world.notices_to_drop = 100
-    world.scheduler.spawn(world.loop, world.nodes["node-0"].pipeline.runner_ends.run())
+    world.scheduler.spawn(world.loop, world.nodes["node-0"].pipeline.runner_crashes.run())
     world.try_until_done("node-0", FATAL)
     world.notices_to_drop = 0
     world.run(NOTICE_INTERVAL_SECONDS + 0.05)
@@ -229,7 +229,7 @@
     world.nodes["node-0"].state.nodes.list_node(
         world.nodes["node-1"].state.nodes.get("node-1")  # type: ignore[arg-type]
     )
-    world.nodes["node-0"].pipeline.runner_ends.welcome("node-1")
+    world.nodes["node-0"].pipeline.runner_crashes.send_crash_history("node-1")
     world.run(0.05)
     again = world.try_until_done("node-1", FATAL)
     assert again.verdict() is Verdict.FAILED
@@ -250,10 +250,10 @@
             node.state.nodes.list_node(NodeEntry(name, "10.1.0.1:1", "zone-a"))
         for node in world.nodes.values():
             if node is not started:
-                node.pipeline.runner_ends.welcome(name)
+                node.pipeline.runner_crashes.send_crash_history(name)
         world.run(0.3)
     for node in world.nodes.values():
-        assert len(node.state.runner_ends.ends()) == 2
+        assert len(node.state.runner_crashes.ends()) == 2
     for name in world.nodes:
         assert world.try_until_done(name, FATAL).verdict() is Verdict.FAILED
         assert world.try_until_done(name, b"short 1").is_served
@@ -277,7 +277,7 @@
     state = world.nodes["node-0"].state
     again = world.try_until_done("node-0", b"short 1")
     assert again.is_served
-    assert not state.runner_ends.ends()
+    assert not state.runner_crashes.ends()
     world.run(9.0)
     assert all(stream.is_served for stream in streams)
 
@@ -305,7 +305,7 @@
     outcomes = [world.send("node-0", b"short %d" % number) for number in range(6)]
     world.run(1.0)
     assert all(outcome.is_served for outcome in outcomes)
-    assert not state.runner_ends.ends()
+    assert not state.runner_crashes.ends()
 
 
 def test_a_runner_that_crashes_by_itself_makes_no_request_fatal() -> None:
@@ -317,7 +317,7 @@
     world.runners.by_id["i-1"].crash()
     world.run(8.0)
     for node in world.nodes.values():
-        assert not node.state.runner_ends.fatal()
+        assert not node.state.runner_crashes.fatal()
     lost_twice = [stream for stream in streams if not stream.is_served]
     # The route allows two attempts, so streams that were running at both crashes are cut.
     assert len(lost_twice) <= 8
@@ -334,7 +334,7 @@
         world.run(0.03)
     world.run(2.0)
     for node in world.nodes.values():
-        assert not node.state.runner_ends.fatal()
+        assert not node.state.runner_crashes.fatal()
     assert all(outcome.is_served for outcome in outcomes)
 
 
@@ -349,7 +349,7 @@
         world.run(0.05)
     world.run(9.0)
     for node in world.nodes.values():
-        assert not node.state.runner_ends.fatal()
+        assert not node.state.runner_crashes.fatal()
     verdicts = [outcome.verdict() for outcome in outcomes]
     # A stream is cut if the second crash broke its second run, the last one that the route allows.
     assert verdicts.count("served") >= 0.8 * len(outcomes)
@@ -371,13 +371,13 @@
         for number, ended_ms_ago in ((1, 300), (2, 100)):
             requests = [RequestAtEnd(fingerprint, 110, started=False)]
             notice = RunnerEndNotice(f"gone-{number}", ended_ms_ago, requests)
-            node.pipeline.runner_ends.observe("node-9", notice, world.scheduler.now)
+            node.pipeline.runner_crashes.observe("node-9", notice, world.scheduler.now)
 
     world.loop.call_soon(tell)
     world.run(0.001)
-    assert fingerprint in node.state.runner_ends.fatal()
+    assert fingerprint in node.state.runner_crashes.fatal()
     world.run(0.1)
-    assert not node.state.runner_ends.fatal()
+    assert not node.state.runner_crashes.fatal()
     world.run(9.0)
     assert stream.is_served
 
@@ -397,18 +397,18 @@
         for number, ended_ms_ago in ((1, 300), (2, 100)):
             requests = [RequestAtEnd(fingerprint, 110, started=False)]
             notice = RunnerEndNotice(f"gone-{number}", ended_ms_ago, requests)
-            node.pipeline.runner_ends.observe("node-9", notice, world.scheduler.now)
+            node.pipeline.runner_crashes.observe("node-9", notice, world.scheduler.now)
 
     world.loop.call_soon(tell)
     world.run(0.1)
-    assert fingerprint in node.state.runner_ends.fatal()
+    assert fingerprint in node.state.runner_crashes.fatal()
     world.run(1.5)
     assert reading.is_served
 
 
 def test_all_attempts_of_a_node_at_a_runner_count_as_lost_with_the_first_one() -> None:
     world = World(2, 1)
-    record = world.nodes["node-0"].state.runner_ends
+    record = world.nodes["node-0"].state.runner_crashes
     for number in range(6):
         world.send("node-0", b"long %d" % number)
     world.run(1.0)
@@ -445,13 +445,13 @@
 def test_the_crash_record_is_bounded_and_expires() -> None:
     world = World(4, 1)
     node = world.nodes["node-0"]
-    record = node.state.runner_ends
+    record = node.state.runner_crashes
 
     def tell() -> None:
         for number in range(3 * MAX_ENDS):
             requests = [RequestAtEnd(number * 1_000 + at, 100, False) for at in range(300)]
             notice = RunnerEndNotice(f"gone-{number}", number, requests)
-            node.pipeline.runner_ends.observe("node-9", notice, world.scheduler.now)
+            node.pipeline.runner_crashes.observe("node-9", notice, world.scheduler.now)
 
     world.loop.call_soon(tell)
     world.run(0.1)
@@ -465,7 +465,7 @@
 def test_a_fatal_request_gets_one_more_try_and_expires_later() -> None:
     world = World(8, 1)
     world.try_until_done("node-0", FATAL)
-    record = world.nodes["node-0"].state.runner_ends
+    record = world.nodes["node-0"].state.runner_crashes
     world.run(FATAL_REFUSAL_SECONDS - 1.0)
     assert world.try_until_done("node-0", FATAL).verdict() is Verdict.FAILED
     assert len(world.runners.ended()) == 2
@@ -492,7 +492,7 @@
     world.runners.by_id[second.runner_id].crash()
     world.run(1.0)
     assert len(world.runners.ended()) == 2
-    assert not state.runner_ends
+    assert not state.runner_crashes
 
 
 def test_without_crashes_no_fingerprint_is_computed(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/fleet/test_pipeline.py
+++ b/tests/fleet/test_pipeline.py
@@ -946,7 +946,7 @@
     sink, error = bench.serve(stream_request(), within=0.5)
     assert error is None and len(first) == 1
     # The crash is recorded with this request, which may be its cause.
-    ended = [end.runner_id for end in bench.state.runner_ends.ends()]
+    ended = [end.runner_id for end in bench.state.runner_crashes.ends()]
     assert ended == [first[0].runner_id]
     assert (sink.body, sink.heads, sink.finished) == (b"".join(EVENTS), 1, True)
     assert bench.client.answers[0].closed
--- a/tests/fleet/test_rollout_observer.py
+++ b/tests/fleet/test_rollout_observer.py
@@ -396,7 +396,7 @@
     )
     starts.state.apply(RolloutOrdered(order), 30.0)
     starts.state.apply(RolloutRecorded(record), 30.0)
-    starts.observer.take_report("node-2", 7, saw.reporter.latest(), 30.0)
+    starts.observer.add_report("node-2", 7, saw.reporter.latest(), 30.0)
     starts.observer.tick(30.0)
     assert starts.reporter.latest().order_age_ms == saw.reporter.latest().order_age_ms >= 30_000
 
@@ -410,8 +410,8 @@
         for node in (first, second):
             node.bench.scheduler.run_until(now)
             node.observer.tick(now)
-        first.observer.take_report("second", 1, second.reporter.latest(), now)
-        second.observer.take_report("first", 1, first.reporter.latest(), now)
+        first.observer.add_report("second", 1, second.reporter.latest(), now)
+        second.observer.add_report("first", 1, first.reporter.latest(), now)
     age = now + FIRST_SEEN_AGE_SECONDS
     assert age - 0.001 <= first.reporter.latest().order_age_ms / 1000 <= age
 
@@ -469,7 +469,7 @@
 
 def test_a_bad_verdict_is_reported_until_the_store_has_it() -> None:
     observed = Observed()
-    observed.observer.take_report("peer", 1, report(bad=True), 1.0)
+    observed.observer.add_report("peer", 1, report(bad=True), 1.0)
     assert observed.state.rollouts.stage(APPLICATION) is RolloutStage.REVERTED
     assert observed.reporter.sent_reports[-1][1] and observed.reporter.latest().bad
     observed.observer.tick(2.0)
@@ -478,7 +478,7 @@
 
 def test_a_bad_report_on_an_unknown_order_counts_once_the_order_is_known() -> None:
     observed = Observed(ordered=False)
-    observed.observer.take_report("peer", 1, report(bad=True), 1.0)
+    observed.observer.add_report("peer", 1, report(bad=True), 1.0)
     order = RolloutOrder(APPLICATION, NEW, OVER_SECONDS, rev(REVISION))
     observed.state.apply(RolloutOrdered(order), 1.1)
     observed.observer.tick(1.2)
@@ -488,7 +488,7 @@
 def test_a_bad_report_on_an_earlier_order_does_not_count() -> None:
     observed = Observed()
     earlier = RolloutReport(APPLICATION, REVISION - 1, "canary", 0, [], True)
-    observed.observer.take_report("peer", 1, earlier, 1.0)
+    observed.observer.add_report("peer", 1, earlier, 1.0)
     observed.observer.tick(1.2)
     assert observed.state.rollouts.stage(APPLICATION) is RolloutStage.CANARY
 
@@ -496,14 +496,14 @@
 def test_a_bad_report_after_the_completion_changes_nothing() -> None:
     observed = Observed()
     observed.record(RolloutStage.COMPLETE)
-    observed.observer.take_report("peer", 1, report(bad=True), 1.0)
+    observed.observer.add_report("peer", 1, report(bad=True), 1.0)
     assert observed.state.rollouts.stage(APPLICATION) is RolloutStage.COMPLETE
 
 
 def test_the_closing_is_logged_with_the_evidence(caplog: pytest.LogCaptureFixture) -> None:
     observed = Observed()
     with caplog.at_level(logging.WARNING):
-        observed.observer.take_report("peer", 1, report(counts(40, 20)), 1.0)
+        observed.observer.add_report("peer", 1, report(counts(40, 20)), 1.0)
     (line,) = [line for line in caplog.records if line.message == "version closed"]
     assert line.__dict__["evidence"] == {f"{NEW} {ROUTE}": "20/40 [0,0,0,0,20,0,0,0,0,0]"}
 
@@ -517,11 +517,11 @@
     for number, runner_id in enumerate(runner_ids):
         at = 1.0 + 0.2 * number
         runs = {7: RunAtCrash(0.1, None)}
-        observed.state.runner_ends.record_crash(runner_id, at, runs, at, 1)
+        observed.state.runner_crashes.record_crash(runner_id, at, runs, at, 1)
         runner = observed.state.pool.get(runner_id)
         assert runner is not None
         observed.observer._record_outcome(order, broken(runner_id, runner.entry.software), at)
-    assert 7 in observed.state.runner_ends.fatal()
+    assert 7 in observed.state.runner_crashes.fatal()
 
 
 def test_attempts_broken_beside_a_request_that_crashes_both_versions_do_not_count() -> None:
@@ -552,14 +552,14 @@
     observed = Observed()
     assert observed.observer.opinion(APPLICATION) == RolloutOpinion(Verdict.UNDECIDED, "1 looks")
     observed.bench.scheduler.run_until(1.0)
-    observed.observer.take_report("peer", 1, report(counts(40, 20)), 1.0)
+    observed.observer.add_report("peer", 1, report(counts(40, 20)), 1.0)
     assert observed.state.rollouts.stage(APPLICATION) is RolloutStage.REVERTED
     assert observed.observer.opinion(APPLICATION) == RolloutOpinion(Verdict.BAD, "2 looks")
 
 
 def test_an_opinion_names_the_peer_that_found_the_version_bad() -> None:
     observed = Observed()
-    observed.observer.take_report("peer", 1, report(bad=True), 1.0)
+    observed.observer.add_report("peer", 1, report(bad=True), 1.0)
     opinion = observed.observer.opinion(APPLICATION)
     assert opinion.verdict is Verdict.BAD
     assert opinion.reason == "found bad by another node; here: 0 looks"
@@ -569,7 +569,7 @@
     observed = Observed()
     for _ in range(10):
         observed.observer.opinion(APPLICATION)
-        observed.observer.take_report("peer", 1, report(counts(1)), 0.0)
+        observed.observer.add_report("peer", 1, report(counts(1)), 0.0)
     assert observed.judge().looks == 1
 
 
@@ -637,7 +637,7 @@
     observed = Observed()
     for number in range(MAX_ROLLOUTS + 10):
         strange = RolloutReport(f"service-{number}", 1, "canary", 0)
-        observed.observer.take_report("peer", 1, strange, 1.0)
+        observed.observer.add_report("peer", 1, strange, 1.0)
     assert len(observed.observer._rollouts) <= MAX_ROLLOUTS
     observed.observer.tick(1.0 + REPORTER_SECONDS)
     assert len(observed.observer._rollouts) == 1
--- a/tests/fleet/test_runner_limits.py
+++ b/tests/fleet/test_runner_limits.py
@@ -39,10 +39,10 @@
 from hillstack.platform.runner_signals import MAX_REQUESTS_PER_SECOND, limit_of, parse_signals
 from hillstack.serving.metrics import FleetMetrics
 from hillstack.serving.runner_limits import (
-    ANSWER_SECONDS,
+    HOLDER_TIMEOUT_SECONDS,
     CALL_RANK,
     MAX_PAUSE_SECONDS,
-    SILENT_SECONDS,
+    NO_ANSWER_PAUSE_SECONDS,
     RunnerLimits,
 )
 from hillstack.serving.types import RefusalCause, RejectedError
@@ -364,10 +364,10 @@
 
     limited.limiter.take = never  # type: ignore[method-assign]
     for _ in range(6):
-        sink, error = bench.serve(make_request(), ANSWER_SECONDS + 0.01)
+        sink, error = bench.serve(make_request(), HOLDER_TIMEOUT_SECONDS + 0.01)
         assert (sink.status, error) == (200, None)
     assert limited.sent_to() == ["i-2"] * 6
-    assert SILENT_SECONDS > ANSWER_SECONDS
+    assert NO_ANSWER_PAUSE_SECONDS > HOLDER_TIMEOUT_SECONDS
 
 
 def test_a_runner_is_used_again_as_soon_as_an_answer_names_no_limit() -> None:
@@ -541,7 +541,7 @@
     network.close()
     assert traffic.worst_window() <= allowed(limit)
     assert traffic.used(10.0, 35.0) >= 0.8 * 25.0 * limit - 1
-    assert max(traffic.delays) <= ANSWER_SECONDS + 0.01
+    assert max(traffic.delays) <= HOLDER_TIMEOUT_SECONDS + 0.01
 
 
 @pytest.mark.parametrize("limit", [0.5, 1.0, 2.3])
@@ -678,7 +678,7 @@
     network.run(21.0)
     assert traffic.worst_window() <= allowed(2.0)
     assert traffic.used(10.0, 25.0) >= 0.3 * 15.0 * 2.0
-    assert max(traffic.delays) <= ANSWER_SECONDS + 0.01
+    assert max(traffic.delays) <= HOLDER_TIMEOUT_SECONDS + 0.01
 
 
 def test_nothing_is_sent_about_limits_that_no_runner_names(network: NodeNetwork) -> None:
--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -83,7 +83,7 @@
         self.signals: list[tuple[str, RunnerSignals, str]] = []
         self.unknown: list[tuple[str, str, str]] = []
 
-    def heard(self, runner_id: str, signals: RunnerSignals, source: AnswerSource) -> None:
+    def receive(self, runner_id: str, signals: RunnerSignals, source: AnswerSource) -> None:
         self.signals.append((runner_id, signals, str(source)))
 
     def handle_unknown_field(self, runner_id: str, name: str, value: str) -> None:
@@ -357,7 +357,7 @@
 
         async def behave(request: ServingRequest, dispatch: Dispatch) -> FakeAnswer:
             if remaining:
-                self.intake.heard(dispatch.runner_id, remaining.pop(0), ANSWER)
+                self.intake.receive(dispatch.runner_id, remaining.pop(0), ANSWER)
             return await behaviour(request, dispatch)
 
         return behave
--- a/tests/fleet/test_start.py
+++ b/tests/fleet/test_start.py
@@ -188,7 +188,7 @@
 
 def test_the_gate_holds_requests_for_a_bounded_time_only() -> None:
     scheduler = Scheduler()
-    waiting = scheduler.spawn(scheduler.new_loop(), StartGate().passed())
+    waiting = scheduler.spawn(scheduler.new_loop(), StartGate().wait_for_first_read())
     scheduler.run_until(FIRST_READ_WAIT_SECONDS / 2)
     assert not waiting.done()
     scheduler.run_until(FIRST_READ_WAIT_SECONDS * 1.1)
@@ -199,7 +199,7 @@
 def test_the_gate_opens_for_waiting_requests() -> None:
     gate = StartGate()
     scheduler = Scheduler()
-    waiting = scheduler.spawn(scheduler.new_loop(), gate.passed())
+    waiting = scheduler.spawn(scheduler.new_loop(), gate.wait_for_first_read())
     scheduler.at(FIRST_READ_WAIT_SECONDS / 4, gate.open)
     scheduler.run_until(FIRST_READ_WAIT_SECONDS / 2)
     assert waiting.done()
@@ -213,7 +213,7 @@
     scheduler = Scheduler()
     loop = scheduler.new_loop()
     prompt = scheduler.spawn(loop, gate.wait_for_caches())
-    other = scheduler.spawn(loop, gate.passed())
+    other = scheduler.spawn(loop, gate.wait_for_first_read())
     gate.open()
     scheduler.run_until(CACHES_WAIT_SECONDS / 4)
     assert other.done() and not prompt.done()
--- a/tests/fleet/test_store_sync.py
+++ b/tests/fleet/test_store_sync.py
@@ -415,7 +415,7 @@
         scheduler = Scheduler()
         sync = make_sync(store, state, scheduler)
         loop = scheduler.new_loop()
-        waiting = scheduler.spawn(loop, state.start_gate.passed())
+        waiting = scheduler.spawn(loop, state.start_gate.wait_for_first_read())
         scheduler.run_until(0.1)
         assert not waiting.done()
         scheduler.spawn(loop, sync.run())
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -241,19 +241,19 @@
     Mutation(
         "requests before the first read of the store are refused",
         "serving/pipeline.py",
-        "await self._state.start_gate.passed(_useful_patience(request))",
+        "await self._state.start_gate.wait_for_first_read(_useful_patience(request))",
         "pass",
     ),
     Mutation(
         "prompts are placed before caches are known",
         "serving/pipeline.py",
         "await self._state.start_gate.wait_for_caches()",
-        "await self._state.start_gate.passed()",
+        "await self._state.start_gate.wait_for_first_read()",
     ),
     Mutation(
         "requests that will be refused wait for what is cached",
         "serving/pipeline.py",
-        "await self._state.start_gate.passed(_useful_patience(request))",
+        "await self._state.start_gate.wait_for_first_read(_useful_patience(request))",
         "await self._state.start_gate.wait_for_caches()",
     ),
     Mutation(
@@ -772,7 +772,7 @@
     Mutation(
         "a request waits for a holder that says nothing",
         "serving/runner_limits.py",
-        "            async with asyncio.timeout(ANSWER_SECONDS):",
+        "            async with asyncio.timeout(HOLDER_TIMEOUT_SECONDS):",
         "            async with asyncio.timeout(100.0):",
     ),
     Mutation(
@@ -874,7 +874,7 @@
     Mutation(
         "a crash that broke no connection is not told",
         "serving/pipeline.py",
-        "                self.runner_ends.unreachable(runner, now)\n",
+        "                self.runner_crashes.unreachable(runner, now)\n",
         "",
     ),
     Mutation(
