--- a/src/hillstack/daemon/backend_watch.py
+++ b/src/hillstack/daemon/backend_watch.py
@@ -8,7 +8,7 @@
 
 from hillstack.core.cache_index import CacheIndex
 from hillstack.core.fleet import Backend, Fleet
-from hillstack.daemon.ports import Surroundings
+from hillstack.daemon.ports import Environment
 from hillstack.errors import BackendError, PeerError, PlatformError
 from hillstack.logs import error_fields
 from hillstack.messages.types import BackendKind, Machine, MachineListReply, MachineListRequest
@@ -24,7 +24,7 @@
     Args:
         fleet: Back ends and their load.
         index: Estimated contents of the engines' caches.
-        surroundings: Access to the machine list, back ends, cache events, peers and clock.
+        environment: Access to the machine list, back ends, cache events, peers and clock.
         machine_interval: Mean seconds between reads of the machine list.
         load_interval: Mean seconds between reads of the status and load of one back end.
         choose_peer: Returns the address of another node, or None if no other node is known.
@@ -34,14 +34,14 @@
         self,
         fleet: Fleet,
         index: CacheIndex,
-        surroundings: Surroundings,
+        environment: Environment,
         machine_interval: float,
         load_interval: float,
         choose_peer: Callable[[], str | None],
     ) -> None:
         self._fleet = fleet
         self._index = index
-        self._surroundings = surroundings
+        self._environment = environment
         self._machine_interval = machine_interval
         self._load_interval = load_interval
         self._choose_peer = choose_peer
@@ -54,9 +54,7 @@
         try:
             while True:
                 await self.read_machines()
-                await asyncio.sleep(
-                    self._machine_interval * (0.5 + self._surroundings.rng.random())
-                )
+                await asyncio.sleep(self._machine_interval * (0.5 + self._environment.rng.random()))
         finally:
             tasks = [*self._pollers.values(), *(task for _, task in self._subscribers.values())]
             for task in tasks:
@@ -70,7 +68,7 @@
         remove back ends.
         """
         try:
-            self._apply(await self._surroundings.fetch_machines(), age=0.0)
+            self._apply(await self._environment.fetch_machines(), age=0.0)
         except PlatformError as error:
             logger.debug("could not read the machine list", extra=error_fields(error))
             await self._read_from_peer()
@@ -80,14 +78,14 @@
         if self._read_at is None:
             return None
         machines = tuple(backend.machine for backend in self._fleet.all())
-        return MachineListReply(machines, self._surroundings.clock() - self._read_at)
+        return MachineListReply(machines, self._environment.clock() - self._read_at)
 
     async def _read_from_peer(self) -> None:
         address = self._choose_peer()
         if address is None:
             return
         try:
-            reply = await self._surroundings.peers.call(
+            reply = await self._environment.peers.call(
                 address, MachineListRequest(), PEER_TIMEOUT_SECONDS
             )
         except PeerError as error:
@@ -97,7 +95,7 @@
             self._apply(list(reply.machines), reply.age)
 
     def _apply(self, machines: list[Machine], age: float) -> None:
-        read_at = self._surroundings.clock() - age
+        read_at = self._environment.clock() - age
         if self._read_at is not None and read_at <= self._read_at:
             return
         self._read_at = read_at
@@ -124,13 +122,13 @@
             try:
                 await self._read_backend(backend)
             except BackendError as error:
-                self._fleet.observe_failure(machine_id, self._surroundings.clock())
+                self._fleet.observe_failure(machine_id, self._environment.clock())
                 logger.info("could not read back end", extra=error_fields(error))
-            await asyncio.sleep(self._load_interval * (0.5 + self._surroundings.rng.random()))
+            await asyncio.sleep(self._load_interval * (0.5 + self._environment.rng.random()))
 
     async def _read_backend(self, backend: Backend) -> None:
         machine = backend.machine
-        status = await self._surroundings.backends.fetch_status(machine.address)
+        status = await self._environment.backends.fetch_status(machine.address)
         self._fleet.observe_status(
             machine.machine_id, status.incarnation, status.weights_version, status.draining
         )
@@ -139,8 +137,8 @@
         if self._index.observe_incarnation(machine.machine_id, status.incarnation):
             logger.info("engine has a new incarnation", extra={"peer": machine.machine_id})
         self._subscribe(backend, status.incarnation)
-        report = await self._surroundings.backends.fetch_load(machine.address)
-        self._fleet.observe_load(machine.machine_id, report, self._surroundings.clock())
+        report = await self._environment.backends.fetch_load(machine.address)
+        self._fleet.observe_load(machine.machine_id, report, self._environment.clock())
 
     def _subscribe(self, backend: Backend, incarnation: str) -> None:
         machine = backend.machine
@@ -148,7 +146,7 @@
         if known is not None and known[0] == incarnation and not known[1].done():
             return
         self._unsubscribe(machine.machine_id)
-        events = self._surroundings.cache_events
+        events = self._environment.cache_events
         task = asyncio.create_task(events.follow(machine, incarnation))
         self._subscribers[machine.machine_id] = (incarnation, task)
 
--- a/src/hillstack/daemon/cache_follower.py
+++ b/src/hillstack/daemon/cache_follower.py
@@ -115,7 +115,7 @@
         """Report that a runner's process was replaced by a new one."""
         ...
 
-    def store_unavailable(self, address: str) -> None:
+    def cache_store_unavailable(self, address: str) -> None:
         """Report that a store of saved KV cache does not answer."""
         ...
 
@@ -288,4 +288,4 @@
         # A store that refuses to list its contents still serves fetches.
         if holder.is_store and not isinstance(error, BackendRefusedError):
             self._state.note_unavailable(holder.holder_id, self._clock())
-            self._peers.store_unavailable(holder.holder_id)
+            self._peers.cache_store_unavailable(holder.holder_id)
--- a/src/hillstack/daemon/change_log.py
+++ b/src/hillstack/daemon/change_log.py
@@ -49,13 +49,13 @@
     Attributes:
         runner_ids: The listed runners.
         node_ids: The listed nodes.
-        duty_held: Whether some node holds the lease on the duty of ordering weights.
+        has_duty_holder: Whether some node holds the lease on the duty of ordering weights.
         rollouts: The listed rollouts of software.
     """
 
     runner_ids: set[str]
     node_ids: set[str]
-    duty_held: bool
+    has_duty_holder: bool
     rollouts: ListedRollouts = field(default_factory=ListedRollouts)
 
 
@@ -99,7 +99,7 @@
         self.revision = max(self.revision, revision)
         self._removals_from = self.revision
 
-    def take(self, items: Iterable[StoredItem], revision: StoreRevision) -> None:
+    def apply(self, items: Iterable[StoredItem], revision: StoreRevision) -> None:
         """Add changes, which must be ordered by revision.
 
         A change is added even if it leaves the value as this node knows it, because a peer that
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -212,13 +212,13 @@
             self._observer,
             runner_limits,
         )
-        self._pipeline.runner_crashes.set_lag_source(self._lag.on_time_since)
-        self._peers.handle_runner_ends(self._pipeline.runner_crashes.observe)
+        self._pipeline.runner_crashes.set_lag_source(self._lag.lag_free_since)
+        self._peers.handle_runner_crashes(self._pipeline.runner_crashes.observe)
         # The order matters: the cache contents open the start gate of the new peer (``StartGate``),
         # so the reports of runner crashes have to arrive before them.
-        self._peers.handle_new_peers(self._pipeline.runner_crashes.send_crash_history)
+        self._peers.handle_new_peers(self._pipeline.runner_crashes.send_initial_state)
         self._peers.handle_new_peers(self._follower.send_initial_state)
-        self._peers.handle_new_peers(self._peers.send_limits)
+        self._peers.handle_new_peers(self._peers.send_initial_state)
         own_address = f"{settings.node.address}:{settings.listen.peers_port}"
         own = NodeEntry(
             settings.node.id, own_address, zone, link_megabits=settings.node.link_megabits
@@ -233,7 +233,7 @@
             settings.store_poll_interval(),
             self._clock,
             rng,
-            self._lag.is_behind,
+            self._lag.is_lagging,
         )
         self._check = StoreCheck(
             store,
@@ -301,7 +301,7 @@
                 self._clock,
                 self._max_body_bytes,
                 self._should_close,
-                self._lag.is_behind,
+                self._lag.is_lagging,
             ),
             settings.listen.callers,
             keep_alive_seconds=KEEP_ALIVE_SECONDS,
--- a/src/hillstack/daemon/loop_lag.py
+++ b/src/hillstack/daemon/loop_lag.py
@@ -39,12 +39,12 @@
             self._behind_until = now + BEHIND_SECONDS
         self._ticked_at = now
 
-    def is_behind(self) -> bool:
+    def is_lagging(self) -> bool:
         """Return whether data that is read now may have waited in its socket for long."""
         now = self._clock()
         return now < self._behind_until or self._is_late(now)
 
-    def on_time_since(self) -> float:
+    def lag_free_since(self) -> float:
         """Return the time since which the loop has not lagged; now if it lags."""
         now = self._clock()
         return now if self._is_late(now) else min(now, self._behind_until)
--- a/src/hillstack/daemon/node.py
+++ b/src/hillstack/daemon/node.py
@@ -21,7 +21,7 @@
 from hillstack.daemon.bundle_sync import BundleSync
 from hillstack.daemon.claim_coordinator import ClaimCoordinator
 from hillstack.daemon.metrics import RouterMetrics
-from hillstack.daemon.ports import Backends, Surroundings
+from hillstack.daemon.ports import Backends, Environment
 from hillstack.daemon.weights_duty import WeightsDuty
 from hillstack.errors import PeerError
 from hillstack.logs import error_fields
@@ -56,7 +56,7 @@
 
     Args:
         settings: Validated settings.
-        surroundings: Clocks, randomness and transports.
+        environment: Clocks, randomness and transports.
         fleet: Back ends and their load.
         index: Estimated contents of the engines' caches.
     """
@@ -64,14 +64,14 @@
     def __init__(
         self,
         settings: RouterSettings,
-        surroundings: Surroundings,
+        environment: Environment,
         fleet: Fleet,
         index: CacheIndex,
     ) -> None:
         self.settings = settings
-        self.rng = surroundings.rng
-        self.clock = surroundings.clock
-        self.wall_clock = surroundings.wall_clock
+        self.rng = environment.rng
+        self.clock = environment.clock
+        self.wall_clock = environment.wall_clock
         self.metrics = RouterMetrics()
         self.fleet = fleet
         self.index = index
@@ -85,13 +85,13 @@
         self.router: RequestRouter | None = None
         self.bundle_index: BundleIndex | None = None
         self.stopping = False
-        self._surroundings = surroundings
-        self.coordinator = ClaimCoordinator(self.control, surroundings.peers, self.wall_clock)
+        self._environment = environment
+        self.coordinator = ClaimCoordinator(self.control, environment.peers, self.wall_clock)
         self._bundles = BundleSync(
             self.adopter,
             self.membership,
-            surroundings.peers,
-            surroundings.key_value,
+            environment.peers,
+            environment.key_value,
             self._on_bundle,
             settings.platform.bundle_poll_seconds,
             self.clock,
@@ -100,23 +100,23 @@
         self._watch = BackendWatch(
             fleet,
             index,
-            surroundings,
+            environment,
             settings.platform.machine_poll_seconds,
             settings.backends.load_poll_seconds,
             self._any_peer,
         )
-        self._weights = WeightsDuty(self.control, fleet, surroundings)
+        self._weights = WeightsDuty(self.control, fleet, environment)
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
     def backends(self) -> Backends:
         """Client for requests to back ends."""
-        return self._surroundings.backends
+        return self._environment.backends
 
     @property
     def gossip_bytes_sent(self) -> int:
         """Bytes of gossip sent so far."""
-        return self._surroundings.peers.gossip_bytes_sent
+        return self._environment.peers.gossip_bytes_sent
 
     @property
     def bundle(self) -> Bundle | None:
@@ -133,7 +133,7 @@
         self.rng.shuffle(peers)
         peers.sort(key=lambda member: member.zone != own.zone)
         for member in peers[:MAX_NOTIFIED_PEERS]:
-            self._surroundings.peers.gossip(member.address, notice)
+            self._environment.peers.gossip(member.address, notice)
 
     def is_ready(self) -> bool:
         """Return whether requests can be served."""
@@ -141,7 +141,7 @@
 
     async def start(self) -> None:
         """Open sockets and start all tasks."""
-        await self._surroundings.listen(self._on_peer_request, self._on_gossip)
+        await self._environment.listen(self._on_peer_request, self._on_gossip)
         self._spawn(self._bundles.first_bundle(self.settings.peers.seeds))
         self._spawn(self._bundles.poll())
         self._spawn(self._bundles.watch())
@@ -161,7 +161,7 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self._surroundings.close()
+        await self._environment.close()
 
     def _own_member(self) -> Member:
         settings = self.settings
@@ -246,7 +246,7 @@
         return await self._sync_with(address)
 
     async def _call(self, address: str, message: Message) -> Message:
-        return await self._surroundings.peers.call(address, message, SYNC_TIMEOUT_SECONDS)
+        return await self._environment.peers.call(address, message, SYNC_TIMEOUT_SECONDS)
 
     async def _sync_with(self, address: str) -> bool:
         try:
@@ -277,7 +277,7 @@
 
     def _send(self, datagrams: list[Datagram]) -> None:
         for datagram in datagrams:
-            self._surroundings.peers.gossip(datagram.address, datagram.message)
+            self._environment.peers.gossip(datagram.address, datagram.message)
 
 
 def _log_failure(task: asyncio.Task[None]) -> None:
--- a/src/hillstack/daemon/notice_reader.py
+++ b/src/hillstack/daemon/notice_reader.py
@@ -60,7 +60,7 @@
         """Call a handler for each report of a peer on a software rollout."""
         self._on_rollout = handler
 
-    def handle_runner_ends(self, handler: RunnerEndHandler) -> None:
+    def handle_runner_crashes(self, handler: RunnerEndHandler) -> None:
         """Call a handler for each runner crash that a peer reports."""
         self._on_runner_end = handler
 
@@ -68,8 +68,8 @@
         """Call a handler with each runner for which a peer reports a limit that has ended."""
         self._on_outdated_limit = handler
 
-    def take(self, notice: NodeNotice, now: float) -> None:
-        """Apply a peer's notice except for its loads, which ``take_loads`` applies."""
+    def apply(self, notice: NodeNotice, now: float) -> None:
+        """Apply a peer's notice except for its loads, which ``apply_loads`` applies."""
         if not notice.is_news():
             return
         for weights in notice.weights:
@@ -106,7 +106,7 @@
             for report in notice.rollouts:
                 self._on_rollout(notice.node_id, notice.incarnation, report, now)
 
-    def take_loads(self, reporter: str, loads: Iterable[LoadNotice], now: float) -> None:
+    def apply_loads(self, reporter: str, loads: Iterable[LoadNotice], now: float) -> None:
         """Apply the loads that a peer has on runners."""
         pool = self._state.pool
         for notice in loads:
@@ -114,7 +114,7 @@
             if runner is not None:
                 pool.note_peer_load(runner, reporter, notice.load(), now)
 
-    def take_zone_loads(self, zone: str, loads: Iterable[LoadNotice], now: float) -> None:
+    def apply_zone_loads(self, zone: str, loads: Iterable[LoadNotice], now: float) -> None:
         """Apply the loads that all nodes of a zone together have on runners."""
         pool = self._state.pool
         reporter = f"zone {zone}"
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -132,9 +132,9 @@
         """Call a handler for each report of a peer on a software rollout."""
         self._reader.handle_rollouts(handler)
 
-    def handle_runner_ends(self, handler: RunnerEndHandler) -> None:
+    def handle_runner_crashes(self, handler: RunnerEndHandler) -> None:
         """Call a handler for each runner crash that a peer reports."""
-        self._reader.handle_runner_ends(handler)
+        self._reader.handle_runner_crashes(handler)
 
     def handle_new_peers(self, handler: PeerHandler) -> None:
         """Call a handler with a peer's name at the first notice from each process of the peer."""
@@ -157,7 +157,7 @@
             return []
         return self._liveness.silent_for(seconds, group, now)
 
-    def placed(self, notice: PlacementNotice) -> None:
+    def placement_sent(self, notice: PlacementNotice) -> None:
         """Report a prompt sent to a runner, soon: until then peers may choose the same runner."""
         self._outbox.add_placement(notice)
         self._schedule_placements()
@@ -191,7 +191,7 @@
         self._outbox.add_cache_lost(holder_id)
         self.flush(urgent=True)
 
-    def store_unavailable(self, address: str) -> None:
+    def cache_store_unavailable(self, address: str) -> None:
         """Report at once that a KV cache store does not answer."""
         self._outbox.add_unavailable(address)
         self.flush(urgent=True)
@@ -234,7 +234,7 @@
         self._outbox.add_limit(_limit_notice(runner_id, limit, limit.told_at))
         self._schedule()
 
-    def send_limits(self, node_id: str) -> None:
+    def send_initial_state(self, node_id: str) -> None:
         """Send a newly started node the limits that runners have announced to this node.
 
         Without them it would send such a runner any number of requests until the first answer.
@@ -254,12 +254,12 @@
             return
         self.limit_changed(runner_id, limit)
 
-    def runner_ended(self, notice: RunnerEndNotice) -> None:
+    def report_runner_crash(self, notice: RunnerEndNotice) -> None:
         """Report at once that a runner crashed while it processed requests of this node."""
         self._outbox.add_runner_end(notice)
         self.flush(urgent=True)
 
-    def send_runner_ends(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
+    def send_runner_crashes(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
         """Send runner crashes to one peer, each in its own datagram."""
         node = self._state.nodes.get(node_id)
         if node is None:
@@ -390,7 +390,7 @@
 
     def _forward(self, report: NodeReport, notice: NodeNotice, now: float) -> None:
         sums = self._relay.forward_report(report, now)
-        self._reader.take_zone_loads(self._zone, sums, now)
+        self._reader.apply_zone_loads(self._zone, sums, now)
         if self._choice.topology.has_regions():
             self._crossing.add_loads(self._zone, sums, now)
             self._crossing.add_notice(notice, now)
@@ -399,7 +399,7 @@
         now = self._clock()
         notice = peer_notices.decode(payload, peer)
         self._choice.heard(notice.node_id, now)
-        self._reader.take_loads(notice.node_id, notice.loads, now)
+        self._reader.apply_loads(notice.node_id, notice.loads, now)
         self._apply_notice(notice, now)
 
     def _on_report(self, payload: bytes, peer: str) -> None:
@@ -440,7 +440,7 @@
         self._liveness.heard_zone(batch.zone, now)
         for zone_loads in batch.loads:
             self._liveness.heard_zone(zone_loads.zone, now)
-            self._reader.take_zone_loads(zone_loads.zone, zone_loads.loads, now)
+            self._reader.apply_zone_loads(zone_loads.zone, zone_loads.loads, now)
         decoded = (peer_notices.decode(encoded, peer) for encoded in batch.notices)
         notices = [notice for notice in decoded if notice.node_id != self._state.node_id]
         for notice in notices:
@@ -451,7 +451,7 @@
         """Apply a notice except for its loads, and record that its sender is alive."""
         self._state.nodes.record_contact(notice.node_id, now)
         is_new = self._liveness.heard(notice.node_id, notice.incarnation, now)
-        self._reader.take(notice, now)
+        self._reader.apply(notice, now)
         if is_new:
             for handler in self._on_new_peer:
                 handler(notice.node_id)
--- a/src/hillstack/daemon/ports.py
+++ b/src/hillstack/daemon/ports.py
@@ -156,7 +156,7 @@
         ...
 
 
-class Surroundings(Protocol):
+class Environment(Protocol):
     """All external interfaces of a router node."""
 
     @property
--- a/src/hillstack/daemon/store_check.py
+++ b/src/hillstack/daemon/store_check.py
@@ -71,7 +71,7 @@
         self._store = store
         self._state = state
         self._log = log
-        self._read_anew = request_reload
+        self._request_reload = request_reload
         self._clock = clock
         self._rng = rng
         self._peers = peers
@@ -125,7 +125,7 @@
         if missed:
             fields = {"missed": missed[:MAX_KEYS_LOGGED], "count": len(missed)}
             logger.warning("changes of the store were missed", extra=fields)
-            self._read_anew()
+            self._request_reload()
 
     async def _has_reached(self, revision: StoreRevision) -> bool:
         """Wait until this node has reached the revision of a list; return False on timeout."""
--- a/src/hillstack/daemon/store_sync.py
+++ b/src/hillstack/daemon/store_sync.py
@@ -140,7 +140,7 @@
         interval: Seconds between two polls.
         clock: Monotonic clock in seconds.
         rng: Source of randomness.
-        is_behind: Returns whether this node's event loop lags, so that it may miss answers.
+        is_lagging: Returns whether this node's event loop lags, so that it may miss answers.
     """
 
     def __init__(
@@ -154,9 +154,9 @@
         interval: float,
         clock: Callable[[], float],
         rng: Random,
-        is_behind: Callable[[], bool] = lambda: False,
+        is_lagging: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._is_behind = is_behind
+        self._is_lagging = is_lagging
         self._outage = OutageEvidence(OUTAGE_SECONDS)
         self._store = store
         self._state = state
@@ -435,7 +435,7 @@
         self._note_success()
         self._note_source(None)
         self._apply(changes.changes)
-        self._log.take([change.item for change in changes.changes], changes.revision)
+        self._log.apply([change.item for change in changes.changes], changes.revision)
         self._state.note_proof(changes.revision, started_at)
         return changes.revision
 
@@ -454,7 +454,7 @@
         if relayed.keys is not None:
             self._note_era(relayed.revision, relayed.keys)
         self._apply(changes)
-        self._log.take(relayed.items, relayed.revision)
+        self._log.apply(relayed.items, relayed.revision)
         if relayed.keys is not None:
             self._log.retain(relayed.keys, relayed.revision)
             self._retain(relayed.keys, relayed.revision)
@@ -484,7 +484,7 @@
         self._state.retain_runners(listed.runner_ids, now, revision)
         self._state.retain_nodes(listed.node_ids, now, revision)
         self._state.retain_rollouts(listed.rollouts, now, revision)
-        if not listed.duty_held:
+        if not listed.has_duty_holder:
             self._state.apply(DutyHeld(None), now)
 
     def _note_era(self, revision: StoreRevision, keys: Sequence[str]) -> None:
@@ -522,7 +522,7 @@
         now = self._clock()
         self._state.start_gate.open()
         self._failed_at = now
-        is_explained = isinstance(error, PlatformThrottledError) or self._is_behind()
+        is_explained = isinstance(error, PlatformThrottledError) or self._is_lagging()
         self._outage.failed(now, is_explained=is_explained)
         if self._failing_since is None:
             self._failing_since = now
--- a/src/hillstack/daemon/weights_duty.py
+++ b/src/hillstack/daemon/weights_duty.py
@@ -10,7 +10,7 @@
 from hillstack.core.rendezvous import ranked
 from hillstack.core.weights import LoadOrder, next_orders
 from hillstack.daemon.duty_lease import DutyLease
-from hillstack.daemon.ports import Surroundings
+from hillstack.daemon.ports import Environment
 from hillstack.errors import BackendError, PlatformError
 from hillstack.logs import error_fields
 
@@ -25,20 +25,20 @@
 class WeightsDuty:
     """Orders engines to load the weights of the bundle in force, while the lease is held."""
 
-    def __init__(self, control: ControlState, fleet: Fleet, surroundings: Surroundings) -> None:
+    def __init__(self, control: ControlState, fleet: Fleet, environment: Environment) -> None:
         self._control = control
         self._fleet = fleet
-        self._surroundings = surroundings
+        self._environment = environment
         own = control.membership.own
         self._lease = DutyLease(
-            surroundings.key_value, DUTY_KEY, own.node_id, LEASE_SECONDS, surroundings.clock
+            environment.key_value, DUTY_KEY, own.node_id, LEASE_SECONDS, environment.clock
         )
         self._in_progress: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
         """Try to hold the lease, and give orders while it is held, until cancelled."""
         while True:
-            pause = INTERVAL_SECONDS * (0.75 + 0.5 * self._surroundings.rng.random())
+            pause = INTERVAL_SECONDS * (0.75 + 0.5 * self._environment.rng.random())
             await asyncio.sleep(pause)
             if not self._is_candidate():
                 continue
@@ -65,14 +65,14 @@
         bundle, fence = self._control.bundle, self._lease.fence()
         if bundle is None or fence is None:
             return
-        now = self._surroundings.clock()
+        now = self._environment.clock()
         for order in next_orders(bundle, self._fleet, self._in_progress, now):
             task = asyncio.create_task(self._give(order, fence))
             self._in_progress[order.engine_id] = task
 
     async def _give(self, order: LoadOrder, fence: int) -> None:
         try:
-            taken = await self._surroundings.backends.order_load(
+            taken = await self._environment.backends.order_load(
                 order.address, fence, order.weights_version
             )
             fields = {"peer": order.engine_id, "fence": fence, "version": order.weights_version}
--- a/src/hillstack/platform/ingress.py
+++ b/src/hillstack/platform/ingress.py
@@ -87,7 +87,7 @@
         max_body_bytes: Returns the size limit of a request body.
         should_close: Returns whether connections should be closed after an answer, so that callers
             move to another node.
-        is_behind: Returns whether the event loop reads requests late, in which case their callers
+        is_lagging: Returns whether the event loop reads requests late, in which case their callers
             may already have disconnected.
     """
 
@@ -97,9 +97,9 @@
         clock: Callable[[], float],
         max_body_bytes: Callable[[], int],
         should_close: Callable[[], bool],
-        is_behind: Callable[[], bool],
+        is_lagging: Callable[[], bool],
     ) -> None:
-        self._is_behind = is_behind
+        self._is_lagging = is_lagging
         self._serving = serving
         self._clock = clock
         self._max_body_bytes = max_body_bytes
@@ -132,7 +132,7 @@
         assert serving_task is not None
         watcher = asyncio.create_task(_cancel_on_disconnect(receive, serving_task))
         try:
-            if self._is_behind():
+            if self._is_lagging():
                 await _yield_until_close_is_read()
             await self._serving.serve(request, sink)
         except RejectedError as error:
--- a/src/hillstack/serving/peers.py
+++ b/src/hillstack/serving/peers.py
@@ -12,7 +12,7 @@
 class PeerNotifier(Protocol):
     """Queues notices for the peers and sends them in batches soon after, without a guarantee."""
 
-    def placed(self, notice: PlacementNotice) -> None:
+    def placement_sent(self, notice: PlacementNotice) -> None:
         """Report a request that was sent to a runner."""
         ...
 
@@ -28,10 +28,10 @@
         """Report that a runner is silent or accepts no connections."""
         ...
 
-    def runner_ended(self, notice: RunnerEndNotice) -> None:
+    def report_runner_crash(self, notice: RunnerEndNotice) -> None:
         """Report immediately that a runner crashed while it ran requests of this node."""
         ...
 
-    def send_runner_ends(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
+    def send_runner_crashes(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
         """Report runner crashes to one peer."""
         ...
--- a/src/hillstack/serving/placement.py
+++ b/src/hillstack/serving/placement.py
@@ -299,7 +299,7 @@
         self._cache_estimates.sent(placed, shape, now)
         if _should_announce(placed, shape):
             self._announced[attempt_id] = number = next(self._notice_numbers)
-            self._peers.placed(_placement_notice(placed, shape, number))
+            self._peers.placement_sent(_placement_notice(placed, shape, number))
 
     def answered(self, job: Job, placed: PlacedAttempt, attempt_id: str, now: float) -> None:
         """Record that the head of an answer arrived; an application server is then finished."""
--- a/src/hillstack/serving/runner_crashes.py
+++ b/src/hillstack/serving/runner_crashes.py
@@ -135,22 +135,22 @@
         self._unreported: set[str] = set()
         self._announced_fatal: set[int] = set()
         self._abandoned: deque[_AbandonedRun] = deque()
-        self._on_time_since: Callable[[], float] = lambda: -math.inf
+        self._lag_free_since: Callable[[], float] = lambda: -math.inf
         self._is_stopping = False
         self._report_handle: asyncio.Handle | None = None
         self._enforce_handle: asyncio.TimerHandle | None = None
 
-    def set_lag_source(self, on_time_since: Callable[[], float]) -> None:
+    def set_lag_source(self, lag_free_since: Callable[[], float]) -> None:
         """Set the function that returns since when the event loop has read bytes without delay.
 
         Bytes that were read late don't prove that a runner is alive.
         """
-        self._on_time_since = on_time_since
+        self._lag_free_since = lag_free_since
 
     def _has_survived(self, runner: Runner, ended_at: float) -> bool:
         """Return whether a process that seemed to crash at a time has sent bytes afterwards."""
         received_at = runner.last_contact_at
-        if received_at <= ended_at + LATE_BYTES_SECONDS or received_at < self._on_time_since():
+        if received_at <= ended_at + LATE_BYTES_SECONDS or received_at < self._lag_free_since():
             return False
         if received_at < ended_at + MIN_RESTART_SECONDS:
             return True
@@ -430,7 +430,7 @@
             if run.content:
                 self._counts.note(run.content, crashed)
 
-    def send_crash_history(self, node_id: str) -> None:
+    def send_initial_state(self, node_id: str) -> None:
         """Report crashes to a node that has just started.
 
         This node reports the crashes that it saw itself. A crash that it did not see is reported by
@@ -449,7 +449,7 @@
             for notice in self._notices(end, now)
         ]
         notices += self._earlier_crash_notices(others, now)
-        self._peers.send_runner_ends(node_id, notices)
+        self._peers.send_runner_crashes(node_id, notices)
 
     def _earlier_crash_notices(self, others: list[str], now: float) -> list[RunnerEndNotice]:
         """Return notices of crashes that are no longer in the record but still counted."""
@@ -495,7 +495,7 @@
 
     def _send_crash_notices(self, end: RunnerCrash, now: float) -> None:
         for notice in self._notices(end, now):
-            self._peers.runner_ended(notice)
+            self._peers.report_runner_crash(notice)
 
     def _send_probation(
         self, runner_id: str, seconds: float, names: tuple[int, int] = (0, 0)
@@ -503,7 +503,7 @@
         fingerprint, content = names
         requests = [RequestAtEnd(fingerprint, 0, started=False, content=content)]
         notice = RunnerEndNotice(runner_id, 0, requests, probation_ms=round(seconds * 1000))
-        self._peers.runner_ended(notice)
+        self._peers.report_runner_crash(notice)
 
     def _log_suspect(self, job: Job, runner: Runner) -> None:
         fingerprint = self._fingerprint(job)
@@ -540,7 +540,7 @@
             self._metrics.runner_ends.labels("taken_back").inc()
             logger.info("runner has not ended", extra={"runner": end.runner_id})
             seen_ms_ago = max(0, int((now - runner.last_contact_at) * 1000))
-            self._peers.runner_ended(
+            self._peers.report_runner_crash(
                 RunnerEndNotice(end.runner_id, seen_ms_ago, [], taken_back=True)
             )
         self._locally_lost = {
@@ -554,7 +554,7 @@
         now = self._clock()
         found = [name for name in names if self._counts.clear(name, now)]
         if found:
-            self._peers.runner_ended(RunnerEndNotice("", 0, [], succeeded=found))
+            self._peers.report_runner_crash(RunnerEndNotice("", 0, [], succeeded=found))
 
     def _reset_survivor_counts(self) -> None:
         """Reset the counts of requests that run here for longer than runs that crash runners."""
@@ -575,7 +575,9 @@
         runner_ids = self._record.clear(fingerprint, self._clock())
         if not runner_ids:
             return
-        self._peers.runner_ended(RunnerEndNotice(runner_ids[-1], 0, [], cleared=[fingerprint]))
+        self._peers.report_runner_crash(
+            RunnerEndNotice(runner_ids[-1], 0, [], cleared=[fingerprint])
+        )
         if was is not Suspicion.NONE:
             self._metrics.runner_ends.labels("cleared").inc()
             logger.info("request cleared", extra={"fingerprint": f"{fingerprint:016x}"})
--- a/src/hillstack/simulation/clients.py
+++ b/src/hillstack/simulation/clients.py
@@ -12,10 +12,10 @@
 from hillstack.etcd.bundle_store import BundleStore
 from hillstack.simulation.asgi import AsgiCall, AsgiReply
 from hillstack.simulation.cluster import MODEL, TENANTS, SimCluster, tenant_token
+from hillstack.simulation.environment import SimKeyValue
 from hillstack.simulation.history import Accept, Invoke, Return
 from hillstack.simulation.network import ConnectionBroken, ConnectionRefused, SimProcess
 from hillstack.simulation.services import BLOCK_TOKENS, KEY_LENGTH
-from hillstack.simulation.surroundings import SimKeyValue
 
 CALL_TIMEOUT_SECONDS = 8.0
 BOOKING_ATTEMPTS = 4
--- a/src/hillstack/simulation/cluster.py
+++ b/src/hillstack/simulation/cluster.py
@@ -18,11 +18,12 @@
 from hillstack.core.fleet import Fleet
 from hillstack.daemon.key_value import Put
 from hillstack.daemon.node import Node
-from hillstack.daemon.ports import Surroundings
+from hillstack.daemon.ports import Environment
 from hillstack.etcd.bundle_store import HEAD_KEY, Head, bundle_key
 from hillstack.gateway.app import make_app
 from hillstack.messages.types import BackendKind, Machine
 from hillstack.simulation.asgi import AsgiCall, AsgiReply, run_asgi
+from hillstack.simulation.environment import EPOCH, SimCacheEvents, SimEnvironment
 from hillstack.simulation.history import Adopt, History
 from hillstack.simulation.network import SimNetwork, SimProcess
 from hillstack.simulation.services import (
@@ -32,7 +33,6 @@
     SimEngine,
     SimPlatform,
 )
-from hillstack.simulation.surroundings import EPOCH, SimCacheEvents, SimSurroundings
 from hillstack.simulation.virtual_loop import Scheduler
 
 ZONES = ("zone-a", "zone-b", "zone-c")
@@ -59,12 +59,12 @@
     def __init__(
         self,
         settings: RouterSettings,
-        surroundings: Surroundings,
+        environment: Environment,
         fleet: Fleet,
         index: CacheIndex,
         history: History,
     ) -> None:
-        super().__init__(settings, surroundings, fleet, index)
+        super().__init__(settings, environment, fleet, index)
         self._history = history
 
     def _on_bundle(self) -> None:
@@ -168,10 +168,8 @@
             peers, self.network, index, self.services.engines, rng, self.event_loss
         )
         skew = Random(f"{self.seed}:{name}").uniform(-1, 1) * MAX_CLOCK_SKEW_SECONDS
-        surroundings = SimSurroundings(
-            peers, self.network, self.services.platform, events, rng, skew
-        )
-        node = RecordingNode(self._settings(name, zone), surroundings, Fleet(), index, self.history)
+        environment = SimEnvironment(peers, self.network, self.services.platform, events, rng, skew)
+        node = RecordingNode(self._settings(name, zone), environment, Fleet(), index, self.history)
         app = make_app(node)
         callers.on_call = lambda call, _: run_asgi(app, call)
         self.routers[name] = SimRouter(node, peers, callers, app)
--- a/src/hillstack/simulation/surroundings.py
+++ b/src/hillstack/simulation/environment.py
@@ -381,7 +381,7 @@
         self._index.removed(engine_id, incarnation, removed)
 
 
-class SimSurroundings:
+class SimEnvironment:
     """The environment of one simulated node.
 
     Args:
--- a/tests/fleet/fake_runners.py
+++ b/tests/fleet/fake_runners.py
@@ -140,7 +140,7 @@
         self.runner_ends: list[RunnerEndNotice] = []
         self.sent_runner_ends: list[tuple[str, RunnerEndNotice]] = []
 
-    def placed(self, notice: PlacementNotice) -> None:
+    def placement_sent(self, notice: PlacementNotice) -> None:
         self.placements.append(notice)
 
     def prompt_prefilled(self, number: int) -> None:
@@ -152,10 +152,10 @@
     def suspected(self, runner: Runner) -> None:
         self.suspects.append(runner.runner_id)
 
-    def runner_ended(self, notice: RunnerEndNotice) -> None:
+    def report_runner_crash(self, notice: RunnerEndNotice) -> None:
         self.runner_ends.append(notice)
 
-    def send_runner_ends(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
+    def send_runner_crashes(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
         self.sent_runner_ends.extend((node_id, notice) for notice in notices)
 
 
--- a/tests/fleet/fatal_world.py
+++ b/tests/fleet/fatal_world.py
@@ -201,7 +201,7 @@
         self._world = world
         self._name = name
 
-    def placed(self, notice: PlacementNotice) -> None:
+    def placement_sent(self, notice: PlacementNotice) -> None:
         return
 
     def prompt_prefilled(self, number: int) -> None:
@@ -218,14 +218,14 @@
     def suspected(self, runner: Runner) -> None:
         return
 
-    def runner_ended(self, notice: RunnerEndNotice) -> None:
+    def report_runner_crash(self, notice: RunnerEndNotice) -> None:
         if self._world.notices_to_drop > 0:
             self._world.notices_to_drop -= 1
             return
         for node in self._world.reached_from(self._name):
             self._world.deliver(self._name, node, notice)
 
-    def send_runner_ends(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
+    def send_runner_crashes(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
         node = self._world.nodes[node_id]
         for notice in notices:
             self._world.deliver(self._name, node, notice)
--- a/tests/fleet/node_network.py
+++ b/tests/fleet/node_network.py
@@ -228,7 +228,7 @@
         assert runner is not None
         runner.attempts.add(attempt_id, OwnAttempt(0, 100, 0.0, 9.0))
         self.exchange.load_changed(runner)
-        self.exchange.placed(PlacementNotice(runner_id, "salt", [(attempt_id, 900)], 1_200))
+        self.exchange.placement_sent(PlacementNotice(runner_id, "salt", [(attempt_id, 900)], 1_200))
 
 
 class _Transport:
@@ -352,7 +352,7 @@
             runner_limits,
             ChangeLog(),
         )
-        exchange.handle_new_peers(exchange.send_limits)
+        exchange.handle_new_peers(exchange.send_initial_state)
         exchange.handle_placements(
             lambda _, notice, now: node.placements.append(notice),
             lambda peer, number, now: node.reads.append((peer, number)),
--- a/tests/fleet/test_cache_follower.py
+++ b/tests/fleet/test_cache_follower.py
@@ -102,7 +102,7 @@
     def restarted(self, runner_id: str) -> None:
         self.ended.append(runner_id)
 
-    def store_unavailable(self, address: str) -> None:
+    def cache_store_unavailable(self, address: str) -> None:
         self.unavailable.append(address)
 
 
--- a/tests/fleet/test_callers_leave.py
+++ b/tests/fleet/test_callers_leave.py
@@ -160,7 +160,7 @@
         serving = RecordingServing()
         loop = asyncio.get_running_loop()
         ingress = Ingress(
-            serving, loop.time, lambda: 1_000_000, lambda: False, LoopLag(loop.time).is_behind
+            serving, loop.time, lambda: 1_000_000, lambda: False, LoopLag(loop.time).is_lagging
         )
         server = make_server(ingress, f"127.0.0.1:{address[1]}")
         running = asyncio.create_task(server._serve([listener]))
@@ -182,21 +182,21 @@
 def test_an_event_loop_that_was_blocked_counts_as_behind_for_a_while() -> None:
     now = 0.0
     lag = LoopLag(lambda: now)
-    assert lag.is_behind()
+    assert lag.is_lagging()
     for _ in range(30):
         now += 0.1
         lag.note_tick()
-    assert not lag.is_behind()
+    assert not lag.is_lagging()
     now += 0.6
-    assert lag.is_behind()
+    assert lag.is_lagging()
     lag.note_tick()
     now += 0.1
     lag.note_tick()
-    assert lag.is_behind()
+    assert lag.is_lagging()
     for _ in range(20):
         now += 0.1
         lag.note_tick()
-    assert not lag.is_behind()
+    assert not lag.is_lagging()
 
 
 def play(folder: Path, scenario: Callable[[Deployment], Awaitable[None]]) -> None:
--- a/tests/fleet/test_change_log.py
+++ b/tests/fleet/test_change_log.py
@@ -73,7 +73,7 @@
     @rule(node=st.sampled_from(LOGS))
     def poll_store(self, node: int) -> None:
         log = self.logs[node]
-        log.take(self.store.changes(log.revision.number), rev(self.store.revision))
+        log.apply(self.store.changes(log.revision.number), rev(self.store.revision))
 
     @rule(node=st.sampled_from(LOGS))
     def load(self, node: int) -> None:
@@ -85,7 +85,7 @@
         since = self.logs[peer].since(log.revision)
         if since.revision < log.revision:
             return
-        log.take(since.items, since.revision)
+        log.apply(since.items, since.revision)
         if since.keys is not None:
             log.retain(since.keys, since.revision)
 
@@ -121,7 +121,7 @@
     log.load(store.held.values(), rev(store.revision))
     store.write(KEYS[1], VALUES[1])
     store.write(KEYS[2], None)
-    log.take([], rev(store.revision))
+    log.apply([], rev(store.revision))
     missed = log.differences(list(store.held.values()), rev(store.revision))
     assert sorted(missed) == [KEYS[1], KEYS[2]]
 
@@ -135,7 +135,7 @@
     store.write(KEYS[0], VALUES[1])
     store.write(KEYS[1], None)
     store.write(KEYS[2], VALUES[0])
-    log.take(store.history, rev(store.revision))
+    log.apply(store.history, rev(store.revision))
     assert log.differences(older, rev(revision)) == []
 
 
@@ -146,5 +146,5 @@
     store.write(KEYS[0], VALUES[1])
     log = ChangeLog()
     log.load(store.held.values(), rev(1))
-    log.take(store.history[1:2], rev(2))
+    log.apply(store.history[1:2], rev(2))
     assert existing_items(log) == store.held
--- a/tests/fleet/test_crash_bound.py
+++ b/tests/fleet/test_crash_bound.py
@@ -220,14 +220,14 @@
 def test_bytes_that_were_read_late_do_not_prove_that_a_runner_is_alive() -> None:
     world = World(1, 1)
     node = world.nodes["node-0"]
-    on_time_since = [1_000.0]
-    node.pipeline.runner_crashes.set_lag_source(lambda: on_time_since[0])
+    lag_free_since = [1_000.0]
+    node.pipeline.runner_crashes.set_lag_source(lambda: lag_free_since[0])
     world.send("node-0", b"long 1")
     world.run(1.0)
     _report_crash_from_peer(world, "i-0", 500)
     assert node.state.crash_counts.count(77) == 1
     # Bytes that are read without delay prove it.
-    on_time_since[0] = world.scheduler.now
+    lag_free_since[0] = world.scheduler.now
     world.run(0.1)
     node.pipeline.runner_crashes._refresh()
     assert node.state.crash_counts.count(77) == 0
--- a/tests/fleet/test_crash_counts.py
+++ b/tests/fleet/test_crash_counts.py
@@ -184,7 +184,7 @@
     node = world.nodes["node-0"]
     started = world.add_node("node-1")
     node.state.nodes.list_node(started.state.nodes.get("node-1"))  # type: ignore[arg-type]
-    node.pipeline.runner_crashes.send_crash_history("node-1")
+    node.pipeline.runner_crashes.send_initial_state("node-1")
     world.run(0.05)
     world.try_until_done("node-1", FATAL)
     assert world.try_until_done("node-1", FATAL).verdict() is Verdict.FAILED
--- a/tests/fleet/test_fatal_requests.py
+++ b/tests/fleet/test_fatal_requests.py
@@ -229,7 +229,7 @@
     world.nodes["node-0"].state.nodes.list_node(
         world.nodes["node-1"].state.nodes.get("node-1")  # type: ignore[arg-type]
     )
-    world.nodes["node-0"].pipeline.runner_crashes.send_crash_history("node-1")
+    world.nodes["node-0"].pipeline.runner_crashes.send_initial_state("node-1")
     world.run(0.05)
     again = world.try_until_done("node-1", FATAL)
     assert again.verdict() is Verdict.FAILED
@@ -250,7 +250,7 @@
             node.state.nodes.list_node(NodeEntry(name, "10.1.0.1:1", "zone-a"))
         for node in world.nodes.values():
             if node is not started:
-                node.pipeline.runner_crashes.send_crash_history(name)
+                node.pipeline.runner_crashes.send_initial_state(name)
         world.run(0.3)
     for node in world.nodes.values():
         assert len(node.state.runner_crashes.ends()) == 2
--- a/tests/fleet/test_peer_exchange.py
+++ b/tests/fleet/test_peer_exchange.py
@@ -207,7 +207,7 @@
     other_state, other, _ = make_node()
     other_state.table = make_table(make_route(), store=store)
     assert other_state.kept_cache_store("zone-a", 100.0) == store
-    exchange.store_unavailable(store.address)
+    exchange.cache_store_unavailable(store.address)
     deliver(transport, other)
     assert other_state.kept_cache_store("zone-a", 100.0) is None
     assert other_state.kept_cache_store("zone-a", 103.0) == store
@@ -298,7 +298,7 @@
     async def send() -> None:
         state.pool.sent(runner, "r-1/1", attempt, 40_000.0)
         exchange.load_changed(runner)
-        exchange.placed(PlacementNotice("i-1", "salt", [("p", 900)], 1_200))
+        exchange.placement_sent(PlacementNotice("i-1", "salt", [("p", 900)], 1_200))
 
     async def end() -> None:
         state.pool.finished(runner, "r-1/1")
@@ -332,10 +332,10 @@
     _, exchange, transport = make_node()
     _, other, _ = make_node()
     received: list[tuple[str, RunnerEndNotice]] = []
-    other.handle_runner_ends(lambda peer, notice, _: received.append((peer, notice)))
+    other.handle_runner_crashes(lambda peer, notice, _: received.append((peer, notice)))
     requests = [RequestAtEnd(2**64 - 1, 115, True, 20), RequestAtEnd(7, 3, False)]
     notice = RunnerEndNotice("i-1", 4, requests, 9, [5], taken_back=False)
-    exchange.runner_ended(notice)
+    exchange.report_runner_crash(notice)
     assert len(transport.sent) == 1
     deliver(transport, other)
     assert received == [("node-1", notice)]
@@ -345,10 +345,10 @@
     _, exchange, transport = make_node()
     _, other, _ = make_node()
     received: list[RunnerEndNotice] = []
-    other.handle_runner_ends(lambda peer, notice, _: received.append(notice))
+    other.handle_runner_crashes(lambda peer, notice, _: received.append(notice))
     notices = [RunnerEndNotice(f"i-{number}", 0, []) for number in range(3)]
-    exchange.send_runner_ends("node-2", notices)
-    exchange.send_runner_ends("node-9", notices)
+    exchange.send_runner_crashes("node-2", notices)
+    exchange.send_runner_crashes("node-9", notices)
     assert len(transport.sent) == 3
     deliver(transport, other)
     assert received == notices
--- a/tests/fleet/test_region_relays.py
+++ b/tests/fleet/test_region_relays.py
@@ -131,14 +131,16 @@
     sender = ordinary_of(network, FAR)
     ended: list[str] = []
     for node in nodes_of(network, NEAR):
-        node.exchange.handle_runner_ends(lambda peer, notice, now: ended.append(notice.runner_id))
+        node.exchange.handle_runner_crashes(
+            lambda peer, notice, now: ended.append(notice.runner_id)
+        )
     notice = RunnerEndNotice("i-1", 0, [])
     runner = sender.state.pool.get("i-1")
     assert runner is not None
     network.crossed.clear()
     network.at_node(sender, partial(sender.exchange.suspected, runner))
     network.at_node(sender, partial(sender.exchange.cache_lost, "i-3"))
-    network.at_node(sender, partial(sender.exchange.runner_ended, notice))
+    network.at_node(sender, partial(sender.exchange.report_runner_crash, notice))
     network.run(0.25)
     assert len(ended) == len(nodes_of(network, NEAR))
     crossed = crossed_notices(network)
@@ -437,7 +439,7 @@
 def test_a_missed_change_is_found_through_peers_of_the_region(network: NodeNetwork) -> None:
     node = ordinary_of(network, FAR)
     item = StoredItem(names.RUNNERS_PREFIX + "i-1", node.log.revision, None)
-    node.log.take([item], node.log.revision)
+    node.log.apply([item], node.log.revision)
     node.log._items.pop(item.key)
     node.log._removed.pop(item.key)
     node.state.pool.unlist("i-1", 0.0, 0.0)
--- a/tests/fleet/test_relays.py
+++ b/tests/fleet/test_relays.py
@@ -57,7 +57,7 @@
 
 def forget_runner(node: SimulatedNode, runner_id: str) -> None:
     """Make a node consider a runner removed, as if it had missed the runner's return."""
-    node.log.take(
+    node.log.apply(
         [StoredItem(names.RUNNERS_PREFIX + runner_id, node.log.revision, None)], node.log.revision
     )
     node.state.pool.unlist(runner_id, 0.0, 0.0)
@@ -88,10 +88,10 @@
         notified.append(name)
 
     for node in network.nodes.values():
-        node.exchange.handle_runner_ends(partial(note, node.node_id))
+        node.exchange.handle_runner_crashes(partial(note, node.node_id))
     sender = other_than(network, *(relay_of(network, f"zone-{n}") for n in range(ZONES)))
     notice = RunnerEndNotice("i-1", 0, [RequestAtEnd(7, 115, False)])
-    network.at_node(sender, partial(sender.exchange.runner_ended, notice))
+    network.at_node(sender, partial(sender.exchange.report_runner_crash, notice))
     # Half of the time after which poison requests were seen to crash their runners.
     network.run(0.05)
     assert sorted(notified) == sorted(name for name in network.nodes if name != sender.node_id)
--- a/tests/fleet/test_runner_limits.py
+++ b/tests/fleet/test_runner_limits.py
@@ -39,8 +39,8 @@
 from hillstack.platform.runner_signals import MAX_REQUESTS_PER_SECOND, limit_of, parse_signals
 from hillstack.serving.metrics import FleetMetrics
 from hillstack.serving.runner_limits import (
-    HOLDER_TIMEOUT_SECONDS,
     CALL_RANK,
+    HOLDER_TIMEOUT_SECONDS,
     MAX_PAUSE_SECONDS,
     NO_ANSWER_PAUSE_SECONDS,
     RunnerLimits,
@@ -252,7 +252,7 @@
 
     def receive(rate: float, age_ms: int, now: float) -> None:
         notices = [LimitNotice("i-1", rate, age_ms), LimitNotice("i-unknown", rate, age_ms)]
-        reader.take(NodeNotice(PROTOCOL_VERSION, "node-2", limits=notices), now)
+        reader.apply(NodeNotice(PROTOCOL_VERSION, "node-2", limits=notices), now)
 
     receive(2.0, 10, NOW)
     assert state.pool.limit_of("i-1", NOW) == 2.0
--- a/tests/fleet/test_runner_restarts.py
+++ b/tests/fleet/test_runner_restarts.py
@@ -139,9 +139,9 @@
         cache=[CacheNotice(FIRST, "salt", [("part", 900)])],
         restarted=[FIRST],
     )
-    reader.take(notice, 10.0)
-    reader.take_loads("node-2", notice.loads, 10.0)
-    reader.take_zone_loads("zone-b", notice.loads, 10.0)
+    reader.apply(notice, 10.0)
+    reader.apply_loads("node-2", notice.loads, 10.0)
+    reader.apply_zone_loads("zone-b", notice.loads, 10.0)
     after = runner_of(state, SECOND)
     assert usable(state) == [SECOND]
     assert (after.running(10.0), after.weights_after_load(MODEL)) == (0, 1)
@@ -152,7 +152,7 @@
     state = make_fleet()
     notice = NodeNotice(PROTOCOL_VERSION, "node-2", restarted=[FIRST])
     assert notice.is_urgent() and notice.is_news()
-    NoticeReader(state, "zone-a").take(notice, 10.0)
+    NoticeReader(state, "zone-a").apply(notice, 10.0)
     assert usable(state) == []
     write(state, 2_000, 11)
     assert usable(state) == [SECOND]
@@ -163,7 +163,7 @@
     ended: list[str] = []
     state.handle_restarted(lambda runner: ended.append(runner.runner_id))
     notice = NodeNotice(PROTOCOL_VERSION, "node-2", restarted=[FIRST])
-    NoticeReader(state, "zone-a").take(notice, 10.0)
+    NoticeReader(state, "zone-a").apply(notice, 10.0)
     write(state, 2_000, 11)
     assert ended == [FIRST]
     write(state, 3_000, 12)
--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -538,7 +538,7 @@
 def receive_leaving_notice(bench: SignalBench, *runner_ids: str) -> None:
     """Let the node receive a notice of a peer that runners leave."""
     notice = NodeNotice(PROTOCOL_VERSION, "node-2", leaving=list(runner_ids))
-    NoticeReader(bench.state, "zone-a").take(notice, bench.scheduler.now)
+    NoticeReader(bench.state, "zone-a").apply(notice, bench.scheduler.now)
 
 
 def test_a_peers_notice_diverts_requests_while_another_runner_accepts_them() -> None:
--- a/tests/fleet/test_store_sync.py
+++ b/tests/fleet/test_store_sync.py
@@ -155,7 +155,7 @@
     state: FleetState
     store: FakeStore
     scheduler: Scheduler
-    is_behind: bool = False
+    is_lagging: bool = False
 
     def run(self, seconds: float) -> None:
         self.scheduler.run_until(self.scheduler.now + seconds)
@@ -178,7 +178,7 @@
     state: FleetState,
     scheduler: Scheduler,
     peers: FakePeers | None = None,
-    is_behind: Callable[[], bool] = lambda: False,
+    is_lagging: Callable[[], bool] = lambda: False,
 ) -> StoreSync:
     return StoreSync(
         store,
@@ -190,7 +190,7 @@
         1.0,
         scheduler.clock,
         make_rng(),
-        is_behind,
+        is_lagging,
     )
 
 
@@ -202,7 +202,7 @@
     store = FakeStore([Snapshot(as_changes(events), rev(10), rev(10))])
     scheduler = Scheduler()
     bench = Bench(state, store, scheduler)
-    sync = make_sync(store, state, scheduler, is_behind=lambda: bench.is_behind)
+    sync = make_sync(store, state, scheduler, is_lagging=lambda: bench.is_lagging)
     scheduler.spawn(scheduler.new_loop(), sync.run())
     scheduler.run_until(0.5)
     yield bench
@@ -369,9 +369,9 @@
     throttled = PlatformThrottledError("status 429", step="watch", peer="store")
     lost = PlatformOutcomeUnknownError("no answer", step="watch", peer="store")
     bench.store.failure = throttled if reason == "throttled" else lost
-    bench.is_behind = reason == "late itself"
+    bench.is_lagging = reason == "late itself"
     bench.run(2.5)
-    bench.is_behind = reason != "throttled"
+    bench.is_lagging = reason != "throttled"
     bench.run(0.5)
     bench.store.failure = None
     # Entries may have expired anyway, so a runner that is missing from the list stays in use.
--- a/tests/stateful/test_runner_restarts.py
+++ b/tests/stateful/test_runner_restarts.py
@@ -132,8 +132,8 @@
             return
         notice = others[which % len(others)]
         reader = NoticeReader(self.states[node], "zone-a")
-        reader.take(notice, self.now)
-        reader.take_loads(notice.node_id, notice.loads, self.now)
+        reader.apply(notice, self.now)
+        reader.apply_loads(notice.node_id, notice.loads, self.now)
 
     @rule(seconds=st.floats(0.1, 20.0))
     def time_passes(self, seconds: float) -> None:
--- a/tests/stateful/test_runner_signals.py
+++ b/tests/stateful/test_runner_signals.py
@@ -121,7 +121,7 @@
     def receive_notice_of_peer(self, name: str, back: int) -> None:
         runner_id = runner_id_of(name, max(1, self.process[name] - back))
         notice = NodeNotice(PROTOCOL_VERSION, "node-2", leaving=[runner_id])
-        NoticeReader(self.state, "zone-a").take(notice, self.now)
+        NoticeReader(self.state, "zone-a").apply(notice, self.now)
 
     @rule(seconds=st.floats(0.01, 40.0))
     def time_passes(self, seconds: float) -> None:
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -368,7 +368,7 @@
     Mutation(
         "a duty that fell free unseen stays held",
         "daemon/store_sync.py",
-        "if not listed.duty_held:",
+        "if not listed.has_duty_holder:",
         "if False:",
     ),
     Mutation(
@@ -506,8 +506,8 @@
     Mutation(
         "an entry that is written again is held back from peers",
         "daemon/store_sync.py",
-        "self._log.take([change.item for change in changes.changes], changes.revision)",
-        "self._log.take([change.item for change in changes.changes"
+        "self._log.apply([change.item for change in changes.changes], changes.revision)",
+        "self._log.apply([change.item for change in changes.changes"
         " if not self._log.has(change.item.key)], changes.revision)",
     ),
     Mutation(
@@ -573,7 +573,7 @@
     Mutation(
         "a close that waits behind its request is seen only after it was sent",
         "platform/ingress.py",
-        "if self._is_behind():",
+        "if self._is_lagging():",
         "if False:",
     ),
     Mutation(
@@ -645,7 +645,7 @@
     Mutation(
         "any failed call shows an outage",
         "daemon/store_sync.py",
-        "is_explained = isinstance(error, PlatformThrottledError) or self._is_behind()",
+        "is_explained = isinstance(error, PlatformThrottledError) or self._is_lagging()",
         "is_explained = False",
     ),
     Mutation(
@@ -892,7 +892,7 @@
     Mutation(
         "bytes that were read late take an end back",
         "serving/runner_crashes.py",
-        " or received_at < self._on_time_since()",
+        " or received_at < self._lag_free_since()",
         "",
     ),
     Mutation(
