--- a/src/hillstack/core/crash_counts.py
+++ b/src/hillstack/core/crash_counts.py
@@ -1,10 +1,10 @@
 """Counts the runners that crashed one after another while each request ran on them.
 
-``RunnerCrashRecord`` estimates which request caused a crash, and can be wrong when many requests run
-on many crashed runners. This count ignores other possible causes: it bounds the number of runners
-that any single request can crash. Only a successful answer resets it. A request is counted under
-both names of ``request_fingerprint``: where an innocent request shares the content name and resets
-that count, the count of the fingerprint remains.
+``RunnerCrashRecord`` estimates which request caused a crash, and can be wrong when many requests
+run on many crashed runners. This count ignores other possible causes: it bounds the number of
+runners that any single request can crash. Only a successful answer resets it. A request is counted
+under both names of ``request_fingerprint``: where an innocent request shares the content name and
+resets that count, the count of the fingerprint remains.
 """
 
 from __future__ import annotations
--- a/src/hillstack/core/local_outcomes.py
+++ b/src/hillstack/core/local_outcomes.py
@@ -76,7 +76,7 @@
             self._count(self._pending.popleft()[0])
 
     def settle(self, now: float, excused: Set[str] = frozenset()) -> list[AttemptOutcome]:
-        """Decide the broken attempts of more than ``DISCONNECT_WINDOW_SECONDS`` ago; return those that count.
+        """Decide attempts broken at least ``DISCONNECT_WINDOW_SECONDS`` ago; return those counted.
 
         Args:
             now: Time on the clock of ``add``.
--- a/src/hillstack/core/runner_crashes.py
+++ b/src/hillstack/core/runner_crashes.py
@@ -25,9 +25,9 @@
 # A fatal request is refused without a run for this time after the last crash under it. A caller
 # whose request was classified wrongly, or has been fixed, waits no longer than that.
 FATAL_REFUSAL_SECONDS = 60.0
-# Retention of crashes with a fatal request. After ``FATAL_REFUSAL_SECONDS`` the request may run again as a
-# suspect, and one further crash makes it fatal again, so that it crashes at most one runner per
-# minute.
+# Retention of crashes with a fatal request. After ``FATAL_REFUSAL_SECONDS`` the request may run
+# again as a suspect, and one further crash makes it fatal again, so that it crashes at most one
+# runner per minute.
 FATAL_CRASH_RETENTION_SECONDS = 300.0
 # Maximum number of recorded crashes: a rack of runners twice. The oldest are dropped first.
 MAX_ENDS = 64
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -81,7 +81,9 @@
 # How long a failed holder blocks the duty: a quarter of the shortest time allowed for new weights
 # (8 s).
 LEASE_TTL_SECONDS = 2.0
-# Assumed maximum time between sending a request to a runner and its start there.
+# Part of the platform's time limits for the use of older weights that this node leaves unused:
+# assumed maximum time between sending a request to a runner and its start there. Placement stops
+# using older weights ``placement.VERSION_MARGIN_SECONDS`` before the shortened limit.
 VERSION_MARGIN_SECONDS = 0.4
 # Longer than the operator's limits allow callers to reuse an idle connection.
 KEEP_ALIVE_SECONDS = 120
@@ -422,6 +424,7 @@
         return self._stopping or not self._state.can_serve(self._clock())
 
     def _max_body_bytes(self) -> int:
+        """Return the maximum size of a request's body; 4 MiB until the configuration is known."""
         table = self._state.table
         return table.limits.max_body_bytes if table is not None else 4_194_304
 
--- a/src/hillstack/daemon/notice_reader.py
+++ b/src/hillstack/daemon/notice_reader.py
@@ -52,7 +52,7 @@
         self._on_outdated_limit: LimitHandler = lambda _: None
 
     def handle_placements(self, on_placement: PlacementHandler, on_read: ReadHandler) -> None:
-        """Call handlers for each placement of a peer, and when its prompt has been processed."""
+        """Call handlers for each placement of a peer, and when its prompt has been prefilled."""
         self._on_placement = on_placement
         self._on_read = on_read
 
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -64,8 +64,10 @@
 # waits only for changes from the same few iterations of the event loop; the relay of the zone
 # collects for longer (``notice_relay``).
 PLACEMENT_SECONDS = 0.005
-# Loads that are not repeated expire after 2 s (``runner_load``), so two repetitions may be lost.
+# Loads that are not repeated expire after 2 s (``runner_load``). One repetition may be lost; if two
+# are, the load is missing from the expiry until the third arrives.
 REFRESH_SECONDS = 0.8
+# Size of the random number that tells the processes of one node apart.
 INCARNATION_BITS = 32
 # If a peer reports a limit that has ended, this node corrects it, at most once in this time.
 LIMIT_CORRECTION_SECONDS = 0.25
@@ -125,7 +127,7 @@
         state.store_era.handle_new(self._report_store_era)
 
     def handle_placements(self, on_placement: PlacementHandler, on_read: ReadHandler) -> None:
-        """Call handlers for each placement of a peer, and when its prompt has been processed."""
+        """Call handlers for each placement of a peer, and when its prompt has been prefilled."""
         self._reader.handle_placements(on_placement, on_read)
 
     def handle_rollouts(self, handler: RolloutHandler) -> None:
@@ -157,13 +159,13 @@
             return []
         return self._liveness.silent_for(seconds, group, now)
 
-    def placement_sent(self, notice: PlacementNotice) -> None:
+    def placed(self, notice: PlacementNotice) -> None:
         """Report a prompt sent to a runner, soon: until then peers may choose the same runner."""
         self._outbox.add_placement(notice)
         self._schedule_placements()
 
     def prompt_prefilled(self, number: int) -> None:
-        """Report that the prompt of a placement was processed, so its parts can be fetched.
+        """Report that the prompt of a placement was prefilled, so its parts can be fetched.
 
         The report is not urgent: until it arrives, peers already count the parts as cached at that
         runner, but don't fetch them from there.
@@ -249,6 +251,7 @@
         self._link.send(DatagramKind.NOTICE, peer_notices.encode(notice), node.address)
 
     def _correct_limit(self, runner_id: str) -> None:
+        """Report this node's newer state of a limit after a peer reported an outdated one."""
         limit = self._state.pool.limit_state(runner_id)
         if limit is None or self._clock() < limit.told_at + LIMIT_CORRECTION_SECONDS:
             return
@@ -358,6 +361,7 @@
         self.flush(urgent=True)
 
     def _send(self, notice: NodeNotice, urgent: bool) -> None:
+        """Send a notice to all nodes or, in a deployment with relays, to the zone's relay."""
         nodes = self._state.nodes
         if self._choice.group(self._zone) is None:
             others = (node for node in nodes.all() if node.node_id != self._state.node_id)
@@ -389,6 +393,13 @@
             self._link.send(DatagramKind.REPORT, payload, node.address)
 
     def _forward(self, report: NodeReport, notice: NodeNotice, now: float) -> None:
+        """Forward a report as the relay of this zone, and apply the zone's new total loads here.
+
+        Args:
+            report: The report of a node of this zone, or of this node.
+            notice: The decoded notice in the report.
+            now: Time on the node's clock.
+        """
         sums = self._relay.forward_report(report, now)
         self._reader.apply_zone_loads(self._zone, sums, now)
         if self._choice.topology.has_regions():
@@ -416,6 +427,7 @@
         notices = self._apply_batch(batch, peer)
         self._relay.forward_batch(batch, now, urgent=_is_urgent(notices))
         self._choice.heard_zone(batch.zone, now)
+        # A batch that came from another region is not sent across the link again.
         if batch.region or not self._choice.topology.has_regions():
             return
         for zone_loads in batch.loads:
--- a/src/hillstack/daemon/rollout_decider.py
+++ b/src/hillstack/daemon/rollout_decider.py
@@ -58,7 +58,8 @@
         Args:
             record: The new record; its revision is that of the record to replace.
             fence: Expected revision of the duty's key.
-            update_operator_status: Whether the operator's status is written in the same transaction.
+            update_operator_status: Whether the operator's status is written in the same
+                transaction.
 
         Returns:
             The revision of the new record, or None if a condition failed.
@@ -110,7 +111,7 @@
         state: The node's view of the fleet.
         store: Where records and statuses are written.
         observations: The observations of all nodes.
-        live_nodes: Returns the live nodes.
+        live_nodes: Returns the live nodes, including this one.
         apply_seconds: Time after which a change is assumed to be in force on silent nodes.
         clock: Monotonic seconds.
     """
@@ -234,6 +235,7 @@
         )
 
     def _reporters(self, now: float) -> dict[str, ReporterState]:
+        """Return the state of each node whose last report is fresh."""
         evidence = self._observations.evidence(self._service)
         if evidence is None:
             return {}
@@ -245,6 +247,7 @@
         }
 
     def _places(self, watch: _Watch, now: float) -> Places:
+        """Return the slots of the runners that accept work, by version."""
         runners = self._state.pool.of_service(self._service)
         accepting = [runner for runner in runners if runner.accepts(now)]
         target = [r for r in accepting if r.entry.software == watch.order.target]
--- a/src/hillstack/daemon/store_sync.py
+++ b/src/hillstack/daemon/store_sync.py
@@ -167,12 +167,18 @@
         self._interval = interval
         self._clock = clock
         self._rng = rng
+        # When the calls to the store began to fail; None if the latest one was answered, or if a
+        # peer has sent a fresh copy since.
         self._failing_since: float | None = None
         self._failed_at = 0.0
+        # Until then ``_store_failure`` is returned again instead of a call, if peers can be asked.
         self._next_direct_at = float("-inf")
         self._store_failure: PlatformError | None = None
+        # The peer whose changes were applied last; None for the store itself.
         self._source: str | None = None
+        # The local copy differs from the store: one attempt to reload it, then polls continue.
         self._must_reload = False
+        # The store no longer has the changes since this node's revision: no polls until reloaded.
         self._history_lost = False
         self._restore_event = asyncio.Event()
         state.store_era.handle_new(self._on_new_era)
@@ -198,6 +204,7 @@
                 await asyncio.sleep(RELOAD_SECONDS)
                 continue
             except PlatformError as error:
+                # ``_try_store`` has already recorded the failure that it returned.
                 if error is not self._store_failure:
                     self._note_failure(error)
                 await asyncio.sleep(RETRY_SECONDS * (0.5 + self._rng.random()))
@@ -309,6 +316,7 @@
         relayed = await self._ask_others(groups[-1], asked, revision)
         if relayed is not None:
             return self._apply_relayed(relayed, revision)
+        # Only after the first of several failures, so that an outage does not double the calls.
         if had_no_failure and isinstance(failure, PlatformOutcomeUnknownError):
             return await self._poll_again(revision)
         raise failure
@@ -339,9 +347,10 @@
         return next((nodes[:MAX_PEERS_ASKED] for nodes in before if nodes), [])
 
     async def _poll_again(self, revision: StoreRevision) -> StoreRevision:
-        """Poll again at once, without waiting for a change, after a first poll without an answer.
+        """Poll the store at once, without waiting for a change.
 
-        The connection of the first poll may be broken while new ones work. The second poll uses a
+        Called by ``_join`` to reach the revision of this node's entry, and after a first poll
+        without an answer: its connection may be broken while new ones work. The second poll uses a
         new connection and proves freshness right away. With a poll each second, the copy becomes
         4.2 s old if there is a pause before the second poll, and 3.7 s at most without one; the
         shortest freshness bound seen is 4.5 s.
@@ -506,6 +515,7 @@
         self._state.note_restored(now)
 
     def _note_source(self, node_id: str | None) -> None:
+        """Record the peer that sent the latest changes, or None for the store; log a new source."""
         if node_id == self._source:
             return
         self._source = node_id
@@ -520,6 +530,7 @@
 
     def _note_failure(self, error: PlatformError) -> None:
         now = self._clock()
+        # At a start, requests no longer wait for the first read.
         self._state.start_gate.open()
         self._failed_at = now
         is_explained = isinstance(error, PlatformThrottledError) or self._is_lagging()
@@ -541,6 +552,7 @@
             "was_outage": outage_ended_at is not None,
         }
         logger.info("store regained", extra=fields)
+        # Whatever made the calls fail, the calls of runners may have failed for the same reason.
         if failure_seconds >= OUTAGE_SECONDS:
             self._state.note_calls_failed(self._failed_at)
         if outage_ended_at is not None:
--- a/src/hillstack/serving/peers.py
+++ b/src/hillstack/serving/peers.py
@@ -12,7 +12,7 @@
 class PeerNotifier(Protocol):
     """Queues notices for the peers and sends them in batches soon after, without a guarantee."""
 
-    def placement_sent(self, notice: PlacementNotice) -> None:
+    def placed(self, notice: PlacementNotice) -> None:
         """Report a request that was sent to a runner."""
         ...
 
--- a/src/hillstack/serving/placement.py
+++ b/src/hillstack/serving/placement.py
@@ -45,7 +45,8 @@
 RATE_MIN_TOKENS = 1500
 # Tokens per second: several times slower and faster than known engines (38,000 to 57,000).
 RATE_RANGE = (5_000.0, 200_000.0)
-# A request may start to run this much later than it is sent.
+# A request may start to run this much later than it is sent. This comes on top of the margin by
+# which ``fleet_node.VERSION_MARGIN_SECONDS`` shortens the platform's limit.
 VERSION_MARGIN_SECONDS = 0.3
 # Shorter prefills take less than 10 ms and are not reported to peers.
 MIN_NOTICE_TOKENS = 400
@@ -299,7 +300,7 @@
         self._cache_estimates.sent(placed, shape, now)
         if _should_announce(placed, shape):
             self._announced[attempt_id] = number = next(self._notice_numbers)
-            self._peers.placement_sent(_placement_notice(placed, shape, number))
+            self._peers.placed(_placement_notice(placed, shape, number))
 
     def answered(self, job: Job, placed: PlacedAttempt, attempt_id: str, now: float) -> None:
         """Record that the head of an answer arrived; an application server is then finished."""
--- a/src/hillstack/serving/rollout_observer.py
+++ b/src/hillstack/serving/rollout_observer.py
@@ -59,7 +59,10 @@
 
 
 class RolloutJudge(Protocol):
-    """Decides from the evidence whether the target version of a rollout is good or bad."""
+    """Decides from the evidence whether the target version of a rollout is good or bad.
+
+    Implemented by ``hillstack.core.rollout_judge.RolloutJudge``.
+    """
 
     def is_due(self, now: float) -> bool:
         """Return whether an evaluation may change the verdict now; if not, it can be skipped."""
--- a/src/hillstack/serving/types.py
+++ b/src/hillstack/serving/types.py
@@ -101,6 +101,8 @@
 class Verdict(enum.StrEnum):
     """Kinds of answers that the router itself gives instead of a runner.
 
+    Unrelated to the verdicts on software versions (``hillstack.core.rollout_judge.Verdict``).
+
     Attributes:
         UNAVAILABLE: The request has not run and never will: no runner accepts it, or the node can't
             serve it now.
--- a/tests/fleet/fake_runners.py
+++ b/tests/fleet/fake_runners.py
@@ -140,7 +140,7 @@
         self.runner_ends: list[RunnerEndNotice] = []
         self.sent_runner_ends: list[tuple[str, RunnerEndNotice]] = []
 
-    def placement_sent(self, notice: PlacementNotice) -> None:
+    def placed(self, notice: PlacementNotice) -> None:
         self.placements.append(notice)
 
     def prompt_prefilled(self, number: int) -> None:
--- a/tests/fleet/fatal_world.py
+++ b/tests/fleet/fatal_world.py
@@ -201,7 +201,7 @@
         self._world = world
         self._name = name
 
-    def placement_sent(self, notice: PlacementNotice) -> None:
+    def placed(self, notice: PlacementNotice) -> None:
         return
 
     def prompt_prefilled(self, number: int) -> None:
--- a/tests/fleet/node_network.py
+++ b/tests/fleet/node_network.py
@@ -228,7 +228,7 @@
         assert runner is not None
         runner.attempts.add(attempt_id, OwnAttempt(0, 100, 0.0, 9.0))
         self.exchange.load_changed(runner)
-        self.exchange.placement_sent(PlacementNotice(runner_id, "salt", [(attempt_id, 900)], 1_200))
+        self.exchange.placed(PlacementNotice(runner_id, "salt", [(attempt_id, 900)], 1_200))
 
 
 class _Transport:
--- a/tests/fleet/test_peer_exchange.py
+++ b/tests/fleet/test_peer_exchange.py
@@ -298,7 +298,7 @@
     async def send() -> None:
         state.pool.sent(runner, "r-1/1", attempt, 40_000.0)
         exchange.load_changed(runner)
-        exchange.placement_sent(PlacementNotice("i-1", "salt", [("p", 900)], 1_200))
+        exchange.placed(PlacementNotice("i-1", "salt", [("p", 900)], 1_200))
 
     async def end() -> None:
         state.pool.finished(runner, "r-1/1")
