--- a/src/hillstack/daemon/cache_follower.py
+++ b/src/hillstack/daemon/cache_follower.py
@@ -115,7 +115,7 @@
         """Report that a runner's process was replaced by a new one."""
         ...
 
-    def store_unavailable(self, address: str) -> None:
+    def cache_store_unavailable(self, address: str) -> None:
         """Report that a store of saved KV cache does not answer."""
         ...
 
@@ -151,7 +151,7 @@
 
     async def run(self) -> None:
         """Watch the assigned holders until cancelled."""
-        await self._state.start_gate.passed()
+        await self._state.start_gate.wait_for_first_read()
         try:
             while True:
                 self._assign()
@@ -164,7 +164,7 @@
         """Return the holders that this node watches."""
         return list(self._tasks)
 
-    def welcome(self, node_id: str) -> None:
+    def send_initial_state(self, node_id: str) -> None:
         """Send the contents of the watched holders to a node that has just started.
 
         Nodes of other regions get nothing: they cannot use this region's caches, and the lists
@@ -288,4 +288,4 @@
         # A store that refuses to list its contents still serves fetches.
         if holder.is_store and not isinstance(error, BackendRefusedError):
             self._state.note_unavailable(holder.holder_id, self._clock())
-            self._peers.store_unavailable(holder.holder_id)
+            self._peers.cache_store_unavailable(holder.holder_id)
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -81,7 +81,9 @@
 # How long a failed holder blocks the duty: a quarter of the shortest time allowed for new weights
 # (8 s).
 LEASE_TTL_SECONDS = 2.0
-# Assumed maximum time between sending a request to a runner and its start there.
+# Part of the platform's time limits for the use of older weights that this node leaves unused:
+# assumed maximum time between sending a request to a runner and its start there. Placement stops
+# using older weights ``placement.VERSION_MARGIN_SECONDS`` before the shortened limit.
 VERSION_MARGIN_SECONDS = 0.4
 # Longer than the operator's limits allow callers to reuse an idle connection.
 KEEP_ALIVE_SECONDS = 120
@@ -191,7 +193,7 @@
             self._clock,
             rng,
         )
-        self._peers.handle_rollouts(self._observer.take_report)
+        self._peers.handle_rollouts(self._observer.add_report)
         placement.versions.handle_canaries(self._metrics.count_canary)
         holders = BucketHolders(settings.node.id, self._state.nodes, choice, zone)
         self._buckets = TokenBuckets(bounds.limit_tolerance(), LEASE_SECONDS)
@@ -212,13 +214,13 @@
             self._observer,
             runner_limits,
         )
-        self._pipeline.runner_ends.set_lag_source(self._lag.on_time_since)
-        self._peers.handle_runner_ends(self._pipeline.runner_ends.observe)
+        self._pipeline.runner_crashes.set_lag_source(self._lag.lag_free_since)
+        self._peers.handle_runner_crashes(self._pipeline.runner_crashes.observe)
         # The order matters: the cache contents open the start gate of the new peer (``StartGate``),
         # so the reports of runner crashes have to arrive before them.
-        self._peers.handle_new_peers(self._pipeline.runner_ends.welcome)
-        self._peers.handle_new_peers(self._follower.welcome)
-        self._peers.handle_new_peers(self._peers.welcome)
+        self._peers.handle_new_peers(self._pipeline.runner_crashes.send_initial_state)
+        self._peers.handle_new_peers(self._follower.send_initial_state)
+        self._peers.handle_new_peers(self._peers.send_initial_state)
         own_address = f"{settings.node.address}:{settings.listen.peers_port}"
         own = NodeEntry(
             settings.node.id, own_address, zone, link_megabits=settings.node.link_megabits
@@ -233,7 +235,7 @@
             settings.store_poll_interval(),
             self._clock,
             rng,
-            self._lag.is_behind,
+            self._lag.is_lagging,
         )
         self._check = StoreCheck(
             store,
@@ -301,7 +303,7 @@
                 self._clock,
                 self._max_body_bytes,
                 self._should_close,
-                self._lag.is_behind,
+                self._lag.is_lagging,
             ),
             settings.listen.callers,
             keep_alive_seconds=KEEP_ALIVE_SECONDS,
@@ -334,7 +336,7 @@
             self._follower.run(),
             self._limits.run(),
             self._shared_runner_limits.run(),
-            self._pipeline.runner_ends.run(),
+            self._pipeline.runner_crashes.run(),
             self._registry.run(),
             self._duty.maintain_lease(),
             self._duty.run(),
@@ -422,6 +424,7 @@
         return self._stopping or not self._state.can_serve(self._clock())
 
     def _max_body_bytes(self) -> int:
+        """Return the maximum size of a request's body; 4 MiB until the configuration is known."""
         table = self._state.table
         return table.limits.max_body_bytes if table is not None else 4_194_304
 
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -64,8 +64,10 @@
 # waits only for changes from the same few iterations of the event loop; the relay of the zone
 # collects for longer (``notice_relay``).
 PLACEMENT_SECONDS = 0.005
-# Loads that are not repeated expire after 2 s (``runner_load``), so two repetitions may be lost.
+# Loads that are not repeated expire after 2 s (``runner_load``). One repetition may be lost; if two
+# are, the load is missing from the expiry until the third arrives.
 REFRESH_SECONDS = 0.8
+# Size of the random number that tells the processes of one node apart.
 INCARNATION_BITS = 32
 # If a peer reports a limit that has ended, this node corrects it, at most once in this time.
 LIMIT_CORRECTION_SECONDS = 0.25
@@ -125,16 +127,16 @@
         state.store_era.handle_new(self._report_store_era)
 
     def handle_placements(self, on_placement: PlacementHandler, on_read: ReadHandler) -> None:
-        """Call handlers for each placement of a peer, and when its prompt has been processed."""
+        """Call handlers for each placement of a peer, and when its prompt has been prefilled."""
         self._reader.handle_placements(on_placement, on_read)
 
     def handle_rollouts(self, handler: RolloutHandler) -> None:
         """Call a handler for each report of a peer on a software rollout."""
         self._reader.handle_rollouts(handler)
 
-    def handle_runner_ends(self, handler: RunnerEndHandler) -> None:
+    def handle_runner_crashes(self, handler: RunnerEndHandler) -> None:
         """Call a handler for each runner crash that a peer reports."""
-        self._reader.handle_runner_ends(handler)
+        self._reader.handle_runner_crashes(handler)
 
     def handle_new_peers(self, handler: PeerHandler) -> None:
         """Call a handler with a peer's name at the first notice from each process of the peer."""
@@ -163,7 +165,7 @@
         self._schedule_placements()
 
     def prompt_prefilled(self, number: int) -> None:
-        """Report that the prompt of a placement was processed, so its parts can be fetched.
+        """Report that the prompt of a placement was prefilled, so its parts can be fetched.
 
         The report is not urgent: until it arrives, peers already count the parts as cached at that
         runner, but don't fetch them from there.
@@ -191,7 +193,7 @@
         self._outbox.add_cache_lost(holder_id)
         self.flush(urgent=True)
 
-    def store_unavailable(self, address: str) -> None:
+    def cache_store_unavailable(self, address: str) -> None:
         """Report at once that a KV cache store does not answer."""
         self._outbox.add_unavailable(address)
         self.flush(urgent=True)
@@ -234,7 +236,7 @@
         self._outbox.add_limit(_limit_notice(runner_id, limit, limit.told_at))
         self._schedule()
 
-    def welcome(self, node_id: str) -> None:
+    def send_initial_state(self, node_id: str) -> None:
         """Send a newly started node the limits that runners have announced to this node.
 
         Without them it would send such a runner any number of requests until the first answer.
@@ -249,17 +251,18 @@
         self._link.send(DatagramKind.NOTICE, peer_notices.encode(notice), node.address)
 
     def _correct_limit(self, runner_id: str) -> None:
+        """Report this node's newer state of a limit after a peer reported an outdated one."""
         limit = self._state.pool.limit_state(runner_id)
         if limit is None or self._clock() < limit.told_at + LIMIT_CORRECTION_SECONDS:
             return
         self.limit_changed(runner_id, limit)
 
-    def runner_ended(self, notice: RunnerEndNotice) -> None:
+    def report_runner_crash(self, notice: RunnerEndNotice) -> None:
         """Report at once that a runner crashed while it processed requests of this node."""
         self._outbox.add_runner_end(notice)
         self.flush(urgent=True)
 
-    def send_runner_ends(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
+    def send_runner_crashes(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
         """Send runner crashes to one peer, each in its own datagram."""
         node = self._state.nodes.get(node_id)
         if node is None:
@@ -281,7 +284,7 @@
 
         The first notice is sent as soon as the peers are known; they answer with the cached parts.
         """
-        await self._state.start_gate.passed()
+        await self._state.start_gate.wait_for_first_read()
         while True:
             self.repeat_loads()
             await asyncio.sleep(REFRESH_SECONDS)
@@ -358,6 +361,7 @@
         self.flush(urgent=True)
 
     def _send(self, notice: NodeNotice, urgent: bool) -> None:
+        """Send a notice to all nodes or, in a deployment with relays, to the zone's relay."""
         nodes = self._state.nodes
         if self._choice.group(self._zone) is None:
             others = (node for node in nodes.all() if node.node_id != self._state.node_id)
@@ -389,8 +393,15 @@
             self._link.send(DatagramKind.REPORT, payload, node.address)
 
     def _forward(self, report: NodeReport, notice: NodeNotice, now: float) -> None:
+        """Forward a report as the relay of this zone, and apply the zone's new total loads here.
+
+        Args:
+            report: The report of a node of this zone, or of this node.
+            notice: The decoded notice in the report.
+            now: Time on the node's clock.
+        """
         sums = self._relay.forward_report(report, now)
-        self._reader.take_zone_loads(self._zone, sums, now)
+        self._reader.apply_zone_loads(self._zone, sums, now)
         if self._choice.topology.has_regions():
             self._crossing.add_loads(self._zone, sums, now)
             self._crossing.add_notice(notice, now)
@@ -399,7 +410,7 @@
         now = self._clock()
         notice = peer_notices.decode(payload, peer)
         self._choice.heard(notice.node_id, now)
-        self._reader.take_loads(notice.node_id, notice.loads, now)
+        self._reader.apply_loads(notice.node_id, notice.loads, now)
         self._apply_notice(notice, now)
 
     def _on_report(self, payload: bytes, peer: str) -> None:
@@ -416,6 +427,7 @@
         notices = self._apply_batch(batch, peer)
         self._relay.forward_batch(batch, now, urgent=_is_urgent(notices))
         self._choice.heard_zone(batch.zone, now)
+        # A batch that came from another region is not sent across the link again.
         if batch.region or not self._choice.topology.has_regions():
             return
         for zone_loads in batch.loads:
@@ -440,7 +452,7 @@
         self._liveness.heard_zone(batch.zone, now)
         for zone_loads in batch.loads:
             self._liveness.heard_zone(zone_loads.zone, now)
-            self._reader.take_zone_loads(zone_loads.zone, zone_loads.loads, now)
+            self._reader.apply_zone_loads(zone_loads.zone, zone_loads.loads, now)
         decoded = (peer_notices.decode(encoded, peer) for encoded in batch.notices)
         notices = [notice for notice in decoded if notice.node_id != self._state.node_id]
         for notice in notices:
@@ -451,7 +463,7 @@
         """Apply a notice except for its loads, and record that its sender is alive."""
         self._state.nodes.record_contact(notice.node_id, now)
         is_new = self._liveness.heard(notice.node_id, notice.incarnation, now)
-        self._reader.take(notice, now)
+        self._reader.apply(notice, now)
         if is_new:
             for handler in self._on_new_peer:
                 handler(notice.node_id)
--- a/src/hillstack/serving/placement.py
+++ b/src/hillstack/serving/placement.py
@@ -45,7 +45,8 @@
 RATE_MIN_TOKENS = 1500
 # Tokens per second: several times slower and faster than known engines (38,000 to 57,000).
 RATE_RANGE = (5_000.0, 200_000.0)
-# A request may start to run this much later than it is sent.
+# A request may start to run this much later than it is sent. This comes on top of the margin by
+# which ``fleet_node.VERSION_MARGIN_SECONDS`` shortens the platform's limit.
 VERSION_MARGIN_SECONDS = 0.3
 # Shorter prefills take less than 10 ms and are not reported to peers.
 MIN_NOTICE_TOKENS = 400
@@ -131,6 +132,10 @@
         rng: Source of randomness.
         resting: Until when an idle connection of this node may be reused, by address.
         regions: Decides which requests may go to another region.
+
+    Attributes:
+        versions: Chooses runners by their software version. Weights versions are in
+            ``FleetState.versions``.
     """
 
     def __init__(
@@ -166,7 +171,8 @@
         """Return a runner for the next attempt, or None if no runner accepts work.
 
         A runner that is leaving according to peers is chosen only if no other runner accepts the
-        request.
+        request. In the first pass it counts as excluded, so with several regions its zone counts as
+        a failed one.
         """
         hinted_ids = self._state.pool.hinted(job.service, now) - job.excluded
         if hinted_ids:
@@ -445,7 +451,7 @@
         accepting: list[Runner] = []
         local: list[Candidate] = []
         remote: list[Candidate] = []
-        # Most runners have the same version, so the terms of each version are computed once.
+        # By weights version. Most runners have the same one, so its terms are computed once.
         versions: dict[int, _VersionTerms] = {}
         excluded_ids = job.excluded | usable.holders_only()
         for runner in usable.holders:
--- a/src/hillstack/serving/rollout_observer.py
+++ b/src/hillstack/serving/rollout_observer.py
@@ -59,7 +59,10 @@
 
 
 class RolloutJudge(Protocol):
-    """Decides from the evidence whether the target version of a rollout is good or bad."""
+    """Decides from the evidence whether the target version of a rollout is good or bad.
+
+    Implemented by ``hillstack.core.rollout_judge.RolloutJudge``.
+    """
 
     def is_due(self, now: float) -> bool:
         """Return whether an evaluation may change the verdict now; if not, it can be skipped."""
@@ -147,7 +150,11 @@
         return self._rollout_of_order(order, self._clock()).evidence if order is not None else None
 
     def opinion(self, service: str) -> RolloutOpinion:
-        """Return this node's opinion of the target version of a service's current order."""
+        """Return this node's opinion of the target version of a service's current order.
+
+        The opinion is bad if this node's judge or any report says so, or if the rollout is
+        reverted, by this node itself or by its record in the store.
+        """
         order = self._state.rollouts.order(service)
         if order is None:
             return NO_OPINION
@@ -208,9 +215,7 @@
             # The node that decides the rollout waits for this before the old runners are stopped.
             self._send_reports_now()
 
-    def take_report(
-        self, node_id: str, incarnation: int, report: RolloutReport, now: float
-    ) -> None:
+    def add_report(self, node_id: str, incarnation: int, report: RolloutReport, now: float) -> None:
         """Add a report of a peer to the evidence; its order may not be known here yet."""
         order = self._state.rollouts.order(report.service)
         reported_identity = report.order(order.revision if order is not None else None)
@@ -280,7 +285,7 @@
 
         If a request crashes runners of one version only, that version may be bad.
         """
-        record = self._state.runner_ends
+        record = self._state.runner_crashes
         if not record:
             return set()
         found: set[str] = set()
@@ -292,7 +297,11 @@
         return found
 
     def _evaluate(self, order: RolloutOrder, now: float) -> None:
-        """Close the target version if the evidence or a peer shows that it is bad."""
+        """Close the target version if the evidence or a report shows that it is bad.
+
+        This node's own report says so only after it has closed the version, which ends the
+        evaluation; so a report found here was sent by a peer.
+        """
         if self._state.rollouts.stage(order.service) not in EVALUATED_STAGES:
             return
         observed = self._rollout_of_order(order, now)
--- a/src/hillstack/serving/runner_crashes.py
+++ b/src/hillstack/serving/runner_crashes.py
@@ -43,8 +43,10 @@
 PEER_NOTICE_WAIT_SECONDS = 0.015
 # Bytes that were in transit when a runner crashed are read up to this much later.
 LATE_BYTES_SECONDS = 0.02
-# A runner that crashed may listen at its old address again after some seconds, so bytes received
-# later don't prove that it survived. Must exceed the pause between two checks
+# Bytes that arrive from a runner within this time after its connections broke prove that it has not
+# crashed: a new process is assumed to listen at the old address only after some seconds. Later
+# bytes may come from the new process. Not the time after which a failed runner is tried again,
+# which is shorter (``runner_pool.SUSPECT_SECONDS``). Must exceed the pause between two checks
 # (``NOTICE_INTERVAL_SECONDS``).
 MIN_RESTART_SECONDS = 2.0
 # Pause between repetitions of a crash notice: a lost datagram is repeated before a caller has tried
@@ -60,9 +62,9 @@
 # How long peers avoid a runner with a suspect if the end of the attempt is not reported: covers the
 # time in the queue, the prefill and the time after which a run counts as settled.
 PROBATION_SECONDS = 1.0
-# Longest wait of a suspect for a runner without another suspect: the age at which fatal runs were
-# seen to crash runners, and as much again for a queue; less than an objective of 0.5 s to the first
-# event.
+# Longest wait of a suspect for a runner without another suspect. One half covers the age at which
+# fatal runs were seen to crash runners (a quarter of ``core.runner_crashes.SETTLED_SECONDS``) with
+# a margin, the other half a queue. Less than an objective of 0.5 s to the first event.
 SEPARATION_WAIT_SECONDS = 0.4
 SEPARATION_CHECK_SECONDS = 0.02
 # Longest wait of a suspect for the outcome of another caller's try of the same request: as long as
@@ -121,7 +123,7 @@
         metrics: FleetMetrics,
     ) -> None:
         self._state = state
-        self._record = state.runner_ends
+        self._record = state.runner_crashes
         self._counts = state.crash_counts
         self._placement = placement
         self._peers = placement.peers
@@ -133,22 +135,22 @@
         self._unreported: set[str] = set()
         self._announced_fatal: set[int] = set()
         self._abandoned: deque[_AbandonedRun] = deque()
-        self._on_time_since: Callable[[], float] = lambda: -math.inf
+        self._lag_free_since: Callable[[], float] = lambda: -math.inf
         self._is_stopping = False
         self._report_handle: asyncio.Handle | None = None
         self._enforce_handle: asyncio.TimerHandle | None = None
 
-    def set_lag_source(self, on_time_since: Callable[[], float]) -> None:
+    def set_lag_source(self, lag_free_since: Callable[[], float]) -> None:
         """Set the function that returns since when the event loop has read bytes without delay.
 
         Bytes that were read late don't prove that a runner is alive.
         """
-        self._on_time_since = on_time_since
+        self._lag_free_since = lag_free_since
 
     def _has_survived(self, runner: Runner, ended_at: float) -> bool:
         """Return whether a process that seemed to crash at a time has sent bytes afterwards."""
         received_at = runner.last_contact_at
-        if received_at <= ended_at + LATE_BYTES_SECONDS or received_at < self._on_time_since():
+        if received_at <= ended_at + LATE_BYTES_SECONDS or received_at < self._lag_free_since():
             return False
         if received_at < ended_at + MIN_RESTART_SECONDS:
             return True
@@ -428,7 +430,7 @@
             if run.content:
                 self._counts.note(run.content, crashed)
 
-    def welcome(self, node_id: str) -> None:
+    def send_initial_state(self, node_id: str) -> None:
         """Report crashes to a node that has just started.
 
         This node reports the crashes that it saw itself. A crash that it did not see is reported by
@@ -447,7 +449,7 @@
             for notice in self._notices(end, now)
         ]
         notices += self._earlier_crash_notices(others, now)
-        self._peers.send_runner_ends(node_id, notices)
+        self._peers.send_runner_crashes(node_id, notices)
 
     def _earlier_crash_notices(self, others: list[str], now: float) -> list[RunnerEndNotice]:
         """Return notices of crashes that are no longer in the record but still counted."""
@@ -493,7 +495,7 @@
 
     def _send_crash_notices(self, end: RunnerCrash, now: float) -> None:
         for notice in self._notices(end, now):
-            self._peers.runner_ended(notice)
+            self._peers.report_runner_crash(notice)
 
     def _send_probation(
         self, runner_id: str, seconds: float, names: tuple[int, int] = (0, 0)
@@ -501,7 +503,7 @@
         fingerprint, content = names
         requests = [RequestAtEnd(fingerprint, 0, started=False, content=content)]
         notice = RunnerEndNotice(runner_id, 0, requests, probation_ms=round(seconds * 1000))
-        self._peers.runner_ended(notice)
+        self._peers.report_runner_crash(notice)
 
     def _log_suspect(self, job: Job, runner: Runner) -> None:
         fingerprint = self._fingerprint(job)
@@ -538,7 +540,7 @@
             self._metrics.runner_ends.labels("taken_back").inc()
             logger.info("runner has not ended", extra={"runner": end.runner_id})
             seen_ms_ago = max(0, int((now - runner.last_contact_at) * 1000))
-            self._peers.runner_ended(
+            self._peers.report_runner_crash(
                 RunnerEndNotice(end.runner_id, seen_ms_ago, [], taken_back=True)
             )
         self._locally_lost = {
@@ -552,7 +554,7 @@
         now = self._clock()
         found = [name for name in names if self._counts.clear(name, now)]
         if found:
-            self._peers.runner_ended(RunnerEndNotice("", 0, [], succeeded=found))
+            self._peers.report_runner_crash(RunnerEndNotice("", 0, [], succeeded=found))
 
     def _reset_survivor_counts(self) -> None:
         """Reset the counts of requests that run here for longer than runs that crash runners."""
@@ -573,7 +575,9 @@
         runner_ids = self._record.clear(fingerprint, self._clock())
         if not runner_ids:
             return
-        self._peers.runner_ended(RunnerEndNotice(runner_ids[-1], 0, [], cleared=[fingerprint]))
+        self._peers.report_runner_crash(
+            RunnerEndNotice(runner_ids[-1], 0, [], cleared=[fingerprint])
+        )
         if was is not Suspicion.NONE:
             self._metrics.runner_ends.labels("cleared").inc()
             logger.info("request cleared", extra={"fingerprint": f"{fingerprint:016x}"})
--- a/src/hillstack/simulation/cluster.py
+++ b/src/hillstack/simulation/cluster.py
@@ -18,7 +18,7 @@
 from hillstack.core.fleet import Fleet
 from hillstack.daemon.key_value import Put
 from hillstack.daemon.node import Node
-from hillstack.daemon.ports import Surroundings
+from hillstack.daemon.ports import Environment
 from hillstack.etcd.bundle_store import HEAD_KEY, Head, bundle_key
 from hillstack.gateway.app import make_app
 from hillstack.messages.types import BackendKind, Machine
@@ -59,12 +59,12 @@
     def __init__(
         self,
         settings: RouterSettings,
-        surroundings: Surroundings,
+        environment: Environment,
         fleet: Fleet,
         index: CacheIndex,
         history: History,
     ) -> None:
-        super().__init__(settings, surroundings, fleet, index)
+        super().__init__(settings, environment, fleet, index)
         self._history = history
 
     def _on_bundle(self) -> None:
--- a/tests/fleet/fake_runners.py
+++ b/tests/fleet/fake_runners.py
@@ -156,10 +156,10 @@
     def suspected(self, runner: Runner) -> None:
         self.suspects.append(runner.runner_id)
 
-    def runner_ended(self, notice: RunnerEndNotice) -> None:
+    def report_runner_crash(self, notice: RunnerEndNotice) -> None:
         self.runner_ends.append(notice)
 
-    def send_runner_ends(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
+    def send_runner_crashes(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
         self.sent_runner_ends.extend((node_id, notice) for notice in notices)
 
 
--- a/tests/fleet/fatal_world.py
+++ b/tests/fleet/fatal_world.py
@@ -218,14 +218,14 @@
     def suspected(self, runner: Runner) -> None:
         return
 
-    def runner_ended(self, notice: RunnerEndNotice) -> None:
+    def report_runner_crash(self, notice: RunnerEndNotice) -> None:
         if self._world.notices_to_drop > 0:
             self._world.notices_to_drop -= 1
             return
         for node in self._world.reached_from(self._name):
             self._world.deliver(self._name, node, notice)
 
-    def send_runner_ends(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
+    def send_runner_crashes(self, node_id: str, notices: list[RunnerEndNotice]) -> None:
         node = self._world.nodes[node_id]
         for notice in notices:
             self._world.deliver(self._name, node, notice)
@@ -297,7 +297,7 @@
     def deliver(self, source: str, node: Node, notice: RunnerEndNotice) -> None:
         def take() -> None:
             self.loop.call_soon(
-                node.pipeline.runner_ends.observe, source, notice, self.scheduler.now
+                node.pipeline.runner_crashes.observe, source, notice, self.scheduler.now
             )
 
         self.scheduler.at(self.scheduler.now + NOTICE_SECONDS, take)
--- a/tests/fleet/node_network.py
+++ b/tests/fleet/node_network.py
@@ -365,7 +365,7 @@
             runner_limits,
             ChangeLog(),
         )
-        exchange.handle_new_peers(exchange.welcome)
+        exchange.handle_new_peers(exchange.send_initial_state)
         exchange.handle_placements(
             lambda _, notice, now: node.placements.append(notice),
             lambda peer, number, now: node.reads.append((peer, number)),
--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -83,7 +83,7 @@
         self.signals: list[tuple[str, RunnerSignals, str]] = []
         self.unknown: list[tuple[str, str, str]] = []
 
-    def heard(self, runner_id: str, signals: RunnerSignals, source: AnswerSource) -> None:
+    def receive(self, runner_id: str, signals: RunnerSignals, source: AnswerSource) -> None:
         self.signals.append((runner_id, signals, str(source)))
 
     def handle_unknown_field(self, runner_id: str, name: str, value: str) -> None:
@@ -357,7 +357,7 @@
 
         async def behave(request: ServingRequest, dispatch: Dispatch) -> FakeAnswer:
             if remaining:
-                self.intake.heard(dispatch.runner_id, remaining.pop(0), ANSWER)
+                self.intake.receive(dispatch.runner_id, remaining.pop(0), ANSWER)
             return await behaviour(request, dispatch)
 
         return behave
@@ -538,7 +538,7 @@
 def receive_leaving_notice(bench: SignalBench, *runner_ids: str) -> None:
     """Let the node receive a notice of a peer that runners leave."""
     notice = NodeNotice(PROTOCOL_VERSION, "node-2", leaving=list(runner_ids))
-    NoticeReader(bench.state, "zone-a").take(notice, bench.scheduler.now)
+    NoticeReader(bench.state, "zone-a").apply(notice, bench.scheduler.now)
 
 
 def test_a_peers_notice_diverts_requests_while_another_runner_accepts_them() -> None:
