--- a/src/hillstack/core/admission.py
+++ b/src/hillstack/core/admission.py
@@ -1,10 +1,12 @@
 """Weighted fair admission control, with costs in tokens.
 
-While no request waits, every request is admitted, so that no capacity is left idle. As queues grow,
-tenants are refused by how far their recent use exceeds their fair share of the use of all active
-tenants. When the mean wait is a hundredth of the target wait, only tenants at ten times their share
-or more are refused; when the mean wait reaches the target, all tenants above their share are.
-A request that cannot meet its deadline is refused at once. Each refusal contains a retry delay.
+While no request waits, all requests are admitted, so that no capacity is left idle. The exception
+are tenants without a weight, whose share is 0: they are refused while they have recent use. As
+queues grow, tenants are refused by how far their recent use exceeds their fair share of the use of
+all active tenants. When the mean wait is a hundredth of the target wait, only tenants at ten times
+their share or more are refused; when the mean wait reaches the target, all tenants above their
+share are. A request that cannot meet its deadline is refused at once. Each refusal contains a retry
+delay.
 """
 
 from __future__ import annotations
--- a/src/hillstack/core/answer_durations.py
+++ b/src/hillstack/core/answer_durations.py
@@ -8,7 +8,8 @@
 # window costs about 20 us and is done once in ANSWERS_PER_UPDATE answers.
 MAX_SAMPLED_ANSWERS = 200
 ANSWERS_PER_UPDATE = 20
-# In a window of 200 answers two exceed this quantile, so it is not just the longest duration.
+# From 101 answers on this is not the longest duration; in a full window of 200 answers one exceeds
+# it.
 QUANTILE = 0.99
 # Allowance for requests that wait behind other work or take longer than most of their kind.
 OVERDUE_FACTOR = 2.0
--- a/src/hillstack/core/bucket_holders.py
+++ b/src/hillstack/core/bucket_holders.py
@@ -1,7 +1,8 @@
 """Which nodes hold the token buckets of tenants' limits, as one node sees it.
 
 The relay of a zone holds the zone's buckets. There is no election, and nodes need not agree on the
-holder: any node that receives contributed time holds the tokens it is worth (``token_buckets``).
+holder: any node to which others contribute their time holds the tokens that this time is worth
+(``token_buckets``).
 Where nodes agree, the tokens are in one place and few messages are needed.
 """
 
@@ -34,7 +35,10 @@
         self._skipped_until: dict[str, float] = {}
 
     def own(self, now: float) -> NodeEntry | None:
-        """Return the holder that this node contributes its time to; None if it is this node."""
+        """Return the holder that this node contributes its time to.
+
+        None if it is this node or if no other holder is known; this node then acts as the holder.
+        """
         group = self._choice.group(self._zone)
         relay = self._choice.relay(group, now)
         candidates = (relay, *self._directory.relay_order(group))
--- a/src/hillstack/core/cache_index.py
+++ b/src/hillstack/core/cache_index.py
@@ -134,9 +134,11 @@
                 partition.expected[block] = until
 
     def correct(self, engine_id: str, hashes: Sequence[int], cached_blocks: int) -> None:
-        """Add the blocks of a finished request, given the cached blocks that its answer reported.
+        """Add all blocks of a finished request, which are cached now.
 
-        Blocks past that number were not cached when the request started, but are now.
+        The first ``cached_blocks`` were already cached when the request started, as its answer
+        reported; expectations for these are dropped. Expectations for the others stay until they
+        expire.
         """
         partition = self._partitions.get(engine_id)
         if partition is None:
--- a/src/hillstack/core/cache_watch.py
+++ b/src/hillstack/core/cache_watch.py
@@ -20,8 +20,8 @@
 
 # A node sends every 0.8 s (``peer_exchange.REFRESH_SECONDS``): two of its datagrams may be lost.
 LIVENESS_TIMEOUT_SECONDS = 3.0
-# Two heartbeats. A node that has just started has received nothing yet, so all listed nodes count
-# as alive.
+# More than two intervals of 0.8 s. A node that has just started has received nothing yet, so all
+# listed nodes count as alive.
 STARTUP_GRACE_SECONDS = 2.0
 
 
@@ -121,7 +121,9 @@
         """Return the listed nodes of a zone from which nothing was received for some seconds.
 
         Without a zone the nodes of all zones are returned. Nodes of another zone are left out while
-        messages arrive from that zone, since their liveness is not tracked individually.
+        messages arrive from that zone, since their liveness is not tracked individually. A node is
+        returned only after ``LIVENESS_TIMEOUT_SECONDS``, however short ``seconds`` is; for a node
+        from which nothing was ever received, the time counts from the first call of this method.
         """
         silent: list[NodeEntry] = []
         self._expire(now)
--- a/src/hillstack/core/change_score.py
+++ b/src/hillstack/core/change_score.py
@@ -77,7 +77,11 @@
         return score
 
     def score_without_burst(self) -> float:
-        """Return the largest sum that ends with the latest step, without the worst burst in it."""
+        """Return the largest sum that ends with the latest step, without one burst in it.
+
+        The burst left out is the one that adds most to the sum; ``worst_burst`` has the most bad
+        answers instead. Only the stored steps count, while ``score`` counts all steps.
+        """
         gains = [step.gain for step in self._steps]
         sums = [0.0, *accumulate(gains)]
         best = 0.0
--- a/src/hillstack/core/claims.py
+++ b/src/hillstack/core/claims.py
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimLimits:
-    """How long claims are retained and how far clocks may differ, in seconds."""
+    """Age up to which claims are honored and greatest clock difference, in seconds."""
 
     horizon: float
     max_clock_skew: float
@@ -144,8 +144,8 @@
     ) -> bool:
         """Return whether the absence of a record proves that there was no earlier claim.
 
-        For a key without a creation time this holds once this node has owned the key for the
-        horizon. The claim of a key older than the horizon may have expired here.
+        True for a key without a creation time once this node has owned it for the horizon plus the
+        clock skew. False for a key older than the horizon, whose claim may have been removed here.
         """
         since = self._ownership.owned_since(key)
         if since is None:
@@ -176,7 +176,7 @@
             self.complete(message.key, message.attempt_id, message.answer)
 
     def expire(self, now_wall: float, limits: ClaimLimits) -> None:
-        """Remove claims older than the horizon."""
+        """Remove claims older than the horizon plus twice the clock skew."""
         oldest_retained = now_wall - limits.horizon - 2 * limits.max_clock_skew
         expired_keys = [
             key for key, record in self._records.items() if record.granted_at < oldest_retained
@@ -236,9 +236,11 @@
         return None
 
     def is_settled(self) -> bool:
-        """Return whether outstanding replies cannot change the answer to the caller.
+        """Return whether the round can end before all replies have arrived.
 
-        A replica that stores the claim may lack the answer, which another replica may have.
+        A held claim is not settled until a reply contains the answer: a replica that stores the
+        claim may lack the answer, which another replica may have. If none has it, this remains
+        False even after all replies have arrived.
         """
         verdict = self.verdict()
         if verdict is ClaimVerdict.HELD:
--- a/src/hillstack/core/control.py
+++ b/src/hillstack/core/control.py
@@ -57,8 +57,8 @@
     def is_too_stale(self, now: float) -> bool:
         """Return whether this node must refuse requests because it was partitioned for too long.
 
-        The node is partitioned while it has live members in no majority of the bundle's zones. The
-        bundle sets the limit.
+        The node is partitioned while it sees live members in at most half of the bundle's zones.
+        The bundle sets the limit.
         """
         bundle = self.bundle
         if bundle is None or bundle.staleness.action == "serve":
--- a/src/hillstack/core/crash_counts.py
+++ b/src/hillstack/core/crash_counts.py
@@ -1,10 +1,13 @@
 """Counts the runners that crashed one after another while each request ran on them.
 
-``RunnerCrashRecord`` estimates which request caused a crash, and can be wrong when many requests run
-on many crashed runners. This count ignores other possible causes: it bounds the number of runners
-that any single request can crash. Only a successful answer resets it. A request is counted under
-both names of ``request_fingerprint``: where an innocent request shares the content name and resets
-that count, the count of the fingerprint remains.
+``RunnerCrashRecord`` estimates which request caused a crash, and can be wrong when many requests
+run on many crashed runners. This count ignores other possible causes: it bounds the number of
+runners that any single request can crash. It is reset by a successful answer, or by a run that
+continues beyond the age at which the earlier runs crashed (``CrashCounts.has_survived``). A crash
+is removed if its runner proves to be running still, and a count expires 1 hour after a single crash
+or 6 hours after the latest of several. A request is counted under both names of
+``request_fingerprint``: where an innocent request shares the content name and resets that count,
+the count of the fingerprint remains.
 """
 
 from __future__ import annotations
@@ -20,11 +23,13 @@
 # is recorded for its fingerprint. With 1, all requests with the same short body would become
 # suspects.
 MIN_SUSPECT_CRASHES = 2
-# Crashes from which a request is refused, except for single trials.
+# Sum of the weights of a request's crashes from which it is refused, except for single trials.
 MAX_CRASHES = 3
 # Weight of a crash long after the answer had begun. A request that crashes runners usually does so
 # at its start, while long streams that are moved between runners are present at unrelated crashes.
-# A request that crashes runners late has no trials left once it is refused.
+# If all crashes are late, the sixth one reaches the bound. The request has no trials left then,
+# since the fourth to sixth run, if sent after the third crash was known, count as sends beyond the
+# bound.
 SETTLED_WEIGHT = 0.5
 # A run has survived once its age exceeds this multiple of the shortest age of the request's crashed
 # runs, plus the slack: a request crashes its runners at about the same age each time, apart from
@@ -34,9 +39,11 @@
 # Time after which all nodes have been notified of a crash. Only sends after that time count as
 # sends beyond the bound.
 PROPAGATION_SECONDS = 2.0
-# Pauses between the latest crash and the next trial, by the number of crashes beyond
-# ``MAX_CRASHES``. A request gets three sends after its third crash and none after them. The first
-# trial is early, for requests that share only a short body with the request that crashes runners.
+# Pauses before the first, second and third trial of a request that has reached the bound, counted
+# from the latest crash or trial. The index is the number of sends beyond the bound so far: the
+# trials, or the crashed runs that were sent after the third crash was known, if these are more.
+# There is no fourth trial. The first trial is early, for requests that share only a short body with
+# the request that crashes runners.
 TRIAL_PAUSES_SECONDS = (10.0, 120.0, 1_800.0)
 # Interval between the trials of successive nodes, so that each node is notified of the trial of the
 # node before it.
@@ -46,7 +53,7 @@
 SINGLE_RETENTION_SECONDS = 3_600.0
 # Retention of requests with several crashes.
 REPEATED_RETENTION_SECONDS = 6 * 3_600.0
-# Two names for each of the requests on the largest runners (64 requests), for a rack of runners.
+# Two names for each of the requests on the largest runners (64 requests), for a rack of 32 runners.
 MAX_NAMES = 4_096
 # Crashes stored for a name. The first ones are retained, since they show when the bound was
 # reached; later crashes are few, since the request is then refused.
@@ -97,7 +104,7 @@
 
     @property
     def third_crash_known_at(self) -> float:
-        """When all nodes know of the third crash, whether or not it had a cause in common."""
+        """When all nodes know of the third crash, counting simultaneous crashes separately."""
         return self.runs[MAX_CRASHES - 1].ended_at + PROPAGATION_SECONDS
 
     def sequential_runs(self) -> list[CrashedRun]:
--- a/src/hillstack/core/local_outcomes.py
+++ b/src/hillstack/core/local_outcomes.py
@@ -1,8 +1,9 @@
 """Outcomes that one node observed for the versions of a rollout, as counts that only rise.
 
-A broken connection counts as a failure of the runner, unless connections to runners of several
-versions broke at the same moment: then the node's own network failed, and none of them counts. A
-connection broken by a runner crash also doesn't count if the crash is attributed to a request.
+A broken connection counts as a failure of the runner, unless connections to three or more runners
+of at least two versions broke within half a second: then the node's own network failed, and none of
+them counts. A connection broken by a runner crash also doesn't count if the crash is attributed to
+a request.
 """
 
 from __future__ import annotations
@@ -76,7 +77,7 @@
             self._count(self._pending.popleft()[0])
 
     def settle(self, now: float, excused: Set[str] = frozenset()) -> list[AttemptOutcome]:
-        """Decide the broken attempts of more than ``DISCONNECT_WINDOW_SECONDS`` ago; return those that count.
+        """Decide attempts broken ``DISCONNECT_WINDOW_SECONDS`` or longer ago; return those that count.
 
         Args:
             now: Time on the clock of ``add``.
@@ -108,7 +109,7 @@
         ]
 
     def _was_network_failure(self, at: float) -> bool:
-        """Return whether connections to runners of several versions broke around a time."""
+        """Return whether a time had broken connections to enough runners, of several versions."""
         around = [
             outcome
             for outcome, other_at in (*self._decided, *self._pending)
--- a/src/hillstack/core/membership.py
+++ b/src/hillstack/core/membership.py
@@ -123,7 +123,8 @@
         """A number that rises with each change of the member list or of what is known of this node.
 
         These are a changed member entry, a node's first acknowledgement of a probe, a refutation,
-        the departure of this node, and its first merge of a full list.
+        the departure of this node, and its first merge of a full list. The number does not rise
+        when a dead member is forgotten or when only a member's bundle version changes.
         """
         return self._generation
 
@@ -357,8 +358,8 @@
                 del self._members[node_id]
                 del self._not_alive[node_id]
                 self._transmits.pop(node_id, None)
-        for sequence, relay in list(self._indirect_probes.items()):
-            if relay.expires_at <= now:
+        for sequence, indirect in list(self._indirect_probes.items()):
+            if indirect.expires_at <= now:
                 del self._indirect_probes[sequence]
 
     def _probe_for_other(self, request: PingRequest, address: str, now: float) -> Datagram:
@@ -372,11 +373,11 @@
             self._acknowledged.add(ack.sender.node_id)
             self._mark_changed()
         self._probes.pop(ack.sequence, None)
-        relay = self._indirect_probes.pop(ack.sequence, None)
-        if relay is None:
+        indirect = self._indirect_probes.pop(ack.sequence, None)
+        if indirect is None:
             return []
-        forwarded = Ack(relay.origin_sequence, ack.sender, self._updates(), self.leaving)
-        return [Datagram(relay.origin_address, forwarded)]
+        forwarded = Ack(indirect.origin_sequence, ack.sender, self._updates(), self.leaving)
+        return [Datagram(indirect.origin_address, forwarded)]
 
     def _ping(self) -> Ping:
         self._sequence += 1
--- a/src/hillstack/core/placement/cached_parts.py
+++ b/src/hillstack/core/placement/cached_parts.py
@@ -19,9 +19,9 @@
 # by the platform's specification.
 CROSS_ZONE_MOVE_FACTOR = 2.0
 CROSS_REGION_MOVE_FACTOR = 10.0
-# Price of a token that is transferred between regions, as a delay: three times the price within a
-# region, and a thirty-fifth of the price of a repeated prefill
-# (``REPEATED_PREFILL_SECONDS_PER_TOKEN``).
+# Price of a token that is transferred between regions, as a delay. In the platform's price list it
+# is three times the price of a transfer within a region, which this module does not count, and
+# about a thirty-fifth of the price of a repeated prefill (``REPEATED_PREFILL_SECONDS_PER_TOKEN``).
 CROSS_REGION_MOVE_SECONDS_PER_TOKEN = 0.000008
 # Weight of a cross-region transfer's duration as a cost. It blocks the links of both runners for
 # other transfers, which run one after another, ten times as long as a transfer within a region. In
@@ -46,12 +46,14 @@
         stores: KV cache stores from which parts may be fetched.
         now: Time on the node's clock.
         target_seconds: Objective for the first event.
-        gap_seconds: Shortest allowed pause of the service's streams.
+        gap_seconds: The strictest limit, over all routes of the service, on the pause between two
+            events of a stream.
         resting: Until when an idle connection of this node may be used, by address.
         topology: Zones and regions; by default all zones are in one region.
         round_trip_seconds: Delay that the round trip to the candidates adds to each of them.
         round_trip_cost: Further cost of this round trip, as a delay.
-        failed_zones: Zones of runners that were already tried for this request.
+        failed_zones: Zones of the runners excluded for this request: those already tried and, in
+            the first of two passes, those that peers report as leaving.
     """
 
     zone: str
@@ -205,7 +207,10 @@
 
 
 def move_seconds(tokens: int, source_zone: str, zone: str, inputs: Surroundings) -> float:
-    """Return the expected seconds of a transfer of cached tokens."""
+    """Return the expected seconds of a transfer of cached tokens.
+
+    The slowest link counts, of the runners and of all stores, whichever holder is the source.
+    """
     rate = inputs.engine.link_megabits
     for store in inputs.stores:
         if store.link_megabits > 0:
--- a/src/hillstack/core/placement/expected_delay.py
+++ b/src/hillstack/core/placement/expected_delay.py
@@ -33,7 +33,7 @@
 
 # Spreads requests over runners of similar cost, since peers learn of a prefill about 50 ms late.
 # With 0.04 and no shared order for short streams, fewer streams are late at 59 runners
-# (docs/DECISIONS.md, size, round 2).
+# (docs/DECISIONS.md, size).
 HASH_BONUS_SECONDS = 0.04
 # A request beyond the slots waits for a stream to end: about a second in all observed deployments.
 SLOT_PENALTY_SECONDS = 1.0
@@ -120,7 +120,8 @@
     Attributes:
         candidate: The chosen candidate.
         delay: Expected seconds to the first event.
-        waiting: Part of the delay that the request waits behind other requests.
+        waiting: Part of the delay before transfer and prefill: the wait for other requests'
+            prefills, and the penalties for exhausted slots or memory, a refusal and another zone.
         prefill_tokens: Tokens that the runner will have to prefill.
         matched_tokens: Estimated tokens of the prompt that the runner has cached.
         fetch_from: Address to fetch cached parts from; None without a fetch.
@@ -329,7 +330,7 @@
 def _contention_delay(
     shape: PromptShape, runner: Runner, load: RunnerLoad, inputs: Surroundings
 ) -> float:
-    """Return the expected delay from exhausted slots or memory, a recent refusal or the zone."""
+    """Return the penalties for exhausted slots or memory, a recent refusal and another zone."""
     penalty = 0.0
     slots = inputs.engine.slots
     excess = load.running + 1 - slots
--- a/src/hillstack/core/planned_stop.py
+++ b/src/hillstack/core/planned_stop.py
@@ -1,9 +1,10 @@
 """Timing of a planned stop of a node.
 
-A request that is sent later than ``LATE_REQUEST_SECONDS`` after the signal must be answered in
-full, however long it runs; an earlier request may be cut off when the grace period ends. The node
-therefore refuses new requests shortly before that time: a request takes some time to arrive, and
-the node's timers fire with a delay.
+A request that was sent within ``LATE_REQUEST_SECONDS`` after the signal may be cut off when the
+grace period ends. A later request would have to be answered in full, however long it runs, if the
+node accepted it. The node therefore refuses all new requests from ``ACCEPT_SECONDS`` on, shortly
+before that time: a request takes some time to arrive, and the node's timers fire with a delay.
+These times are at most half of the grace period.
 """
 
 from __future__ import annotations
--- a/src/hillstack/core/prompt.py
+++ b/src/hillstack/core/prompt.py
@@ -41,5 +41,5 @@
 
 
 def render_chat(messages: Sequence[ChatMessage]) -> str:
-    """Return the prompt text of a chat; with more messages it becomes a prefix of the new text."""
+    """Return the prompt text of a chat, which is a prefix of the text of its continuation."""
     return "".join(f"<|{message.role}|>\n{message.content}\n" for message in messages)
--- a/src/hillstack/core/relay_choice.py
+++ b/src/hillstack/core/relay_choice.py
@@ -125,7 +125,10 @@
         return self._directory.get(candidates[0]) if candidates else None
 
     def relay(self, zone: str | None, now: float) -> str | None:
-        """Return the relay of a group, which may be this node; None if the group has no nodes."""
+        """Return the relay of a group (a zone, or None for the group of all nodes).
+
+        It may be this node. None if the group has no nodes.
+        """
         order = self._directory.relay_order(zone)
         for node_id in order:
             if node_id == self._node_id or self._is_responsive(zone, node_id, now):
--- a/src/hillstack/core/rollout_evidence.py
+++ b/src/hillstack/core/rollout_evidence.py
@@ -30,6 +30,8 @@
 # ended. This is more than twice the longest interval between reports (0.8 s), and longer than
 # notices are delayed.
 PROCESS_SILENT_SECONDS = 2.0
+# Progress of the stages in reports of one process. Unlike ``software_rollouts.STAGE_ORDER``, both
+# final stages are equal, so that a later report of either is applied.
 STAGE_ORDER = {
     RolloutStage.CANARY.value: 0,
     RolloutStage.SHIFTING.value: 1,
@@ -60,7 +62,9 @@
     """Outcomes with one key, summed over all nodes.
 
     Attributes:
-        answered: Attempts that succeeded, or failed because of the runner.
+        answered: Attempts that succeeded, or failed because of the runner. An attempt that was
+            abandoned counts too, if its first bytes had arrived or it had waited for longer than
+            expected.
         failed: Attempts that failed because of the runner.
         delays: Number of answers per delay bucket. Bucket ``i`` counts the answers whose time to
             the first bytes was about ``2 ** (i / 2 - 2)`` times the expected time.
@@ -145,7 +149,7 @@
         }
 
     def peer_says_bad(self) -> bool:
-        """Return whether any node reported that the target version is bad."""
+        """Return whether any node, which may be this one, reported the target version as bad."""
         return self._is_reported_bad
 
     def _merge_counts(
--- a/src/hillstack/core/rollout_judge.py
+++ b/src/hillstack/core/rollout_judge.py
@@ -5,7 +5,8 @@
 sequential test (``ChangeScore``) finds it so even without the worst burst: a runner that crashes or
 loads weights causes one burst of bad answers, while a bad version continues to cause them. The
 verdict good comes as late as possible, when the time left in the order just suffices to shift the
-traffic, and only with enough good answers on each route.
+traffic, and only with at least ``MIN_ANSWERED`` answers, good or bad, on each route that has had
+``ROUTE_ANSWERS`` or more from all versions.
 """
 
 from __future__ import annotations
@@ -92,12 +93,13 @@
 def opinion_of(
     judged: RolloutOpinion, *, peer_says_bad: bool, is_condemned: bool
 ) -> RolloutOpinion:
-    """Return the judge's opinion, or a bad one if the version was already found bad elsewhere.
+    """Return the judge's opinion, or a bad one if the version was reported bad or is reverted.
 
     Args:
         judged: The opinion of this node's judge.
-        peer_says_bad: Whether any node reported that the version is bad.
-        is_condemned: Whether this node has stopped using the version, whatever its record contains.
+        peer_says_bad: Whether any node, which may be this one, reported that the version is bad.
+        is_condemned: Whether the rollout counts as reverted on this node, by its own evidence or by
+            the rollout's record.
     """
     if judged.verdict is Verdict.BAD:
         return judged
@@ -183,7 +185,7 @@
     def look(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
         """Evaluate the outcomes of all nodes since the order; return the verdict.
 
-        A bad verdict is final; a good one may become bad while the traffic shifts.
+        A bad verdict is final; a good one may become bad or undecided while the traffic shifts.
         """
         if self._verdict is Verdict.BAD:
             return self._verdict
--- a/src/hillstack/core/rollout_plan.py
+++ b/src/hillstack/core/rollout_plan.py
@@ -21,10 +21,13 @@
 from hillstack.core.store_revision import NO_REVISION
 
 # Time without any target runner that accepts work after which the rollout is reverted: longer than
-# a suspicion or a load of weights lasts, shorter than callers wait.
+# the first suspicion of a runner (0.6 s) or a load of weights, shorter than callers wait.
+# Suspicions after repeated failures (up to 4 s) or a refused connection (3 s) last longer than
+# this.
 UNUSABLE_SECONDS = 1.5
-# How long the target must have been the only usable version. Runners that a node does not know yet,
-# or that the store removes and lists again, are listed within this time.
+# How long this node must have seen the canary stage before the target may be accepted because no
+# other version can serve. Runners that a node does not know yet, or that the store removes and
+# lists again, are listed within this time.
 ONLY_VERSION_SECONDS = 1.5
 # The target's runners must have at least this share of the old runners' places: a service that has
 # lost one of two zones runs with half of its places.
@@ -65,7 +68,7 @@
         order: The current order.
         record: The latest record of the service, of any order; None if there is none.
         age_seconds: Age of the order.
-        stage_seconds: How long this node has known the record; 0 without a record.
+        stage_seconds: How long this node has seen the current stage; 0 without a record.
         verdict: The verdict on the target version.
         finding: The evidence for the verdict.
         reporters: The latest reported state of each node.
@@ -249,7 +252,10 @@
 
 
 def _rejected(view: RolloutView, stage: RolloutStage) -> tuple[str, ...]:
-    """Return all versions that must not be used, without the target of the current order."""
+    """Return all versions that must not be used.
+
+    The target of the current order is one of them only if the given stage is ``REVERTED``.
+    """
     order, before = view.order, view.record
     rejected = set(view.passed_over)
     if before is not None:
--- a/src/hillstack/core/routing_table.py
+++ b/src/hillstack/core/routing_table.py
@@ -47,7 +47,7 @@
         path_prefix: Prefix of the request path; begins and ends with a slash.
         timeout_seconds: Longest time for which a request may be held.
         target_seconds: Latency objective for the answer, or for the first event of a stream.
-        max_attempts: Maximum number of runners that one request may be sent to.
+        max_attempts: Maximum number of attempts of one request that runners did not refuse.
         priority: Rank of the route's requests; 0 is the most urgent.
         public: Whether requests need no key.
         sticky: Whether requests name the parts of their prompt.
@@ -198,7 +198,7 @@
         return bool(self._tenant_limits)
 
     def shortest_gap(self, service: str) -> float:
-        """Return the shortest event gap allowed by any route of a service; infinite without one."""
+        """Return the strictest limit of a service's routes on event gaps; infinite without one."""
         return self._gaps.get(service, math.inf)
 
     def kept_cache_stores(self) -> list[KvCacheStore]:
--- a/src/hillstack/core/runner_crashes.py
+++ b/src/hillstack/core/runner_crashes.py
@@ -25,9 +25,9 @@
 # A fatal request is refused without a run for this time after the last crash under it. A caller
 # whose request was classified wrongly, or has been fixed, waits no longer than that.
 FATAL_REFUSAL_SECONDS = 60.0
-# Retention of crashes with a fatal request. After ``FATAL_REFUSAL_SECONDS`` the request may run again as a
-# suspect, and one further crash makes it fatal again, so that it crashes at most one runner per
-# minute.
+# Retention of crashes with a fatal request. After ``FATAL_REFUSAL_SECONDS`` the request may run
+# again as a suspect, and one further crash makes it fatal again, so that it crashes at most one
+# runner per minute.
 FATAL_CRASH_RETENTION_SECONDS = 300.0
 # Maximum number of recorded crashes: a rack of runners twice. The oldest are dropped first.
 MAX_ENDS = 64
@@ -36,9 +36,9 @@
 # Maximum number of cleared fingerprints. They are stored so that runs of these requests which peers
 # report late are not added to a recorded crash again.
 MAX_CLEARED_REQUESTS = 1_024
-# A run whose answer has been under way for longer is settled: it is an unlikely cause of a crash
-# and continues on another runner without restriction. Four times the age at which fatal runs were
-# observed to crash their runners.
+# A run is settled once this time has passed since the first bytes of its answer: it is an unlikely
+# cause of a crash and continues on another runner without restriction. Four times the age at which
+# fatal runs were observed to crash their runners.
 SETTLED_SECONDS = 0.5
 # Weight of a run that has just settled; a run that has not settled has weight 1. The weight falls
 # with the age of the answer to MIN_WEIGHT, so that a request which crashes runners late is still
--- a/src/hillstack/core/runner_load.py
+++ b/src/hillstack/core/runner_load.py
@@ -14,7 +14,7 @@
 import msgspec
 
 # Lifetime of a peer's report. A peer repeats its loads every 0.8 s
-# (``peer_exchange.REFRESH_SECONDS``): two repetitions may be lost, and the load of a failed peer
+# (``peer_exchange.REFRESH_SECONDS``): one repetition may be lost, and the load of a failed peer
 # expires soon.
 PEER_LOAD_SECONDS = 2.0
 
--- a/src/hillstack/core/runner_pool.py
+++ b/src/hillstack/core/runner_pool.py
@@ -16,7 +16,8 @@
 from hillstack.core.runner_signals import ReceivedSignals, RunnerSignals, SignalRecord
 from hillstack.core.store_revision import StoreRevision
 
-# Suspicion after the first failure: the usual duration of a restart. It doubles with each failure.
+# Suspicion after the first failure: the time after which a failed runner usually serves again. It
+# doubles with each failure.
 SUSPECT_SECONDS = 0.6
 # Upper bound of the suspicion: about the time in which the store drops a silent runner, three
 # heartbeats of 1.2 s.
@@ -26,14 +27,16 @@
 UNREACHABLE_SECONDS = 3.0
 # Time in which a queue of a few requests shrinks by about one.
 SHED_SECONDS = 0.12
-# A busy runner sends an event every step of 5 to 10 ms; the shortest allowed pause is 0.5 s.
+# A busy runner sends an event every step of 5 to 10 ms; the strictest limit of a route on the pause
+# between two events is 0.5 s.
 SILENCE_SECONDS = 0.4
 # Limit during a long prefill: several chunks of 4,096 tokens in a row delay all streams.
 BUSY_SILENCE_SECONDS = 0.9
 # Directory entries that expired in an outage return within some seconds of its end.
 UNLISTED_MEMORY_SECONDS = 15.0
-# A load of weights takes 0.57 to 0.76 s on the observed deployments. Its end is reported; this
-# timeout covers a lost report.
+# Time after the order to load weights from which a runner gets requests again although it has not
+# reported the end of the load: the report may be lost. A load takes 0.57 to 0.76 s on the observed
+# deployments; a request that arrives before its end is only refused.
 LOADING_SECONDS = 0.7
 # A hint of a peer that a runner is leaving is repeated every HINT_AGAIN_SECONDS while the directory
 # does not list the runner as draining, and expires after HINT_SECONDS: two hints may be lost.
@@ -94,7 +97,8 @@
         loading_until: When a load of weights is expected to be done.
         ordered_weights: Versions that the runner was ordered to load, by model.
         peer_ordered_at: When a peer is last known to have sent the runner an order.
-        leaving: Whether the runner has stopped or its address belongs to another runner.
+        leaving: Whether the runner has stopped or its address belongs to another runner; not
+            whether it announces that it is leaving (``entry.draining``, ``signals``).
         has_ended: Whether the process has ended, since a later process of the same name is known.
         unlisted_until: The directory has dropped the runner, but it may be used until this time;
             None if it is listed.
@@ -195,7 +199,7 @@
         return peers.plus(self.attempts.load()) if len(self.attempts) else peers
 
     def running(self, now: float) -> int:
-        """Return the estimated number of requests at the runner."""
+        """Return the estimated number of requests at the runner, including waiting ones."""
         return self.peer_loads.total(now).running + self.attempts.load().running
 
     def long_running(self, now: float) -> int:
@@ -272,9 +276,10 @@
         """Return whether an entry is older than the latest known entry of its name.
 
         Entries are ordered by revision, not by start time, since a clock may be set back between
-        two starts. A delayed write of an ended process lasts until the next heartbeat of the
-        running process. Only entries of a later store era, which may come from a restored backup,
-        are ordered by start time: the running process writes its entry again.
+        two starts. A late write of a process that has ended may therefore win, until the next
+        heartbeat of the running process overwrites it. After a restore of the store, an old entry
+        from the backup has a new era, so entries of a later era are ordered by start time: the
+        running process writes its entry again.
         """
         latest = self._latest.get(entry.directory_name)
         if latest is None:
--- a/src/hillstack/core/store_era.py
+++ b/src/hillstack/core/store_era.py
@@ -56,7 +56,10 @@
     def era_of_answer(
         self, reported: int | None, era_at_request: int, *, allow_stale: bool
     ) -> int | None:
-        """Return the era of an answer of the store; None if that era has ended.
+        """Record the era in an answer of the store and return the era to which its content belongs.
+
+        None if the answer must be discarded, since its era has ended. An answer to a new request
+        that wrongly contains a lower era is reported, and counts as of the current era.
 
         Args:
             reported: The era in the answer; None if the answer contains none.
--- a/src/hillstack/core/token_buckets.py
+++ b/src/hillstack/core/token_buckets.py
@@ -25,17 +25,19 @@
 CONTRIBUTOR_SECONDS = 1.5
 # Interval between counts of the contributors: about ten counts within the time above.
 RECOUNT_SECONDS = 0.15
-# Share of the margin by which buckets exceed the burst. A burst of 29,000 tokens in three zones is
-# one prompt of 9,190 tokens in each, and requests arrive in another order than they were sent.
+# Share of the margin by which buckets exceed the burst. A third of a burst of 29,000 tokens, in
+# each of three zones, is just one prompt of 9,190 tokens, and requests arrive in another order than
+# they were sent.
 OVERFILL_SHARE = 0.3
 # Share of the margin that all nodes together contribute when they start. After a restart of all
 # nodes the earlier usage is unknown, and without initial tokens all requests would be refused until
-# the buckets have refilled. Two such restarts in a window use nine tenths of the margin; the two
-# seconds without any node give back four tenths or more, for limits from 29,000 tokens/s on.
+# the buckets have refilled. Two such restarts in a window use nine tenths of the margin. In the two
+# seconds without any node nothing is refilled, which saves four tenths of the margin or more, for
+# limits from 29,000 tokens/s on.
 START_SHARE = 0.45
-# Share of a bucket that may be leased ahead for future requests. Leased tokens count as part of the
-# bucket's level, so they don't raise the usage in the worst window; but other nodes can't use them
-# until they are returned.
+# Share of a bucket that may be leased ahead for future requests. Leased tokens still occupy
+# capacity of the bucket, so they don't raise the usage in the worst window; but other nodes can't
+# use them until they are returned.
 LEASE_SHARE = 0.35
 # Fill level above which a bucket leases ahead; below it, tokens go to waiting requests only.
 LEASE_FILL = 0.5
--- a/src/hillstack/core/token_leases.py
+++ b/src/hillstack/core/token_leases.py
@@ -10,7 +10,7 @@
 MAX_CONTRIBUTED_SECONDS = 0.6
 # Averaging time of a node's usage, about the interval between two renewals.
 USAGE_WINDOW_SECONDS = 0.5
-# A node leases tokens ahead for its usage of this time, two renewals.
+# A node leases tokens ahead for its usage of this time, which covers two renewals.
 LEASE_AHEAD_SECONDS = 1.0
 # Usage below which nothing is leased ahead, in requests of the last cost per second. A request then
 # waits for one exchange of some milliseconds instead.
@@ -78,7 +78,10 @@
         return tokens
 
     def wanted(self, tenant: str, now: float) -> float:
-        """Return the number of tokens that the node is expected to use until the next renewal."""
+        """Return the tokens that the node is expected to use in ``LEASE_AHEAD_SECONDS``.
+
+        At least the cost of one request; 0 if the tenant sends rarely.
+        """
         lease = self._valid(tenant, now)
         use = self._usage(lease, now)
         if lease.last_cost <= 0 or use < MIN_REQUESTS_PER_SECOND * lease.last_cost:
--- a/src/hillstack/core/unconfirmed_entries.py
+++ b/src/hillstack/core/unconfirmed_entries.py
@@ -14,7 +14,8 @@
 
 logger = logging.getLogger(__name__)
 
-# The store drops the entry of a stopped runner after three missed heartbeats of 1.2 s.
+# The store drops the entry of a stopped runner after three missed heartbeats of 1.2 s (3.6 s); the
+# rest is a margin.
 LAPSE_SECONDS = 5.0
 
 
@@ -48,7 +49,7 @@
         self._withheld.pop(name, None)
 
     def retain(self, listed: Collection[str]) -> None:
-        """Forget the entries that are not in a full list of the directory."""
+        """Remove the entries that are not in a full list of the directory."""
         for name in self._withheld.keys() - listed:
             del self._withheld[name]
 
--- a/src/hillstack/core/version_baseline.py
+++ b/src/hillstack/core/version_baseline.py
@@ -62,8 +62,8 @@
 def baseline_of(steps: OutcomeSteps, target: str, route: str, busy: bool) -> Baseline | None:
     """Return the baseline for a route and load; None if there are too few answers to compare with.
 
-    While the traffic shifts, the target carries the load of all other versions, so being slower
-    than they were is no evidence against it.
+    Once the target answers more requests than all other versions together, it carries their load,
+    so being slower than they were is no evidence against it.
     """
     baseline = _closest_baseline(steps, target, route, busy)
     if baseline is None or not _carries_most(steps, target):
--- a/src/hillstack/core/version_exposure.py
+++ b/src/hillstack/core/version_exposure.py
@@ -139,8 +139,9 @@
 
         Args:
             service: The service.
-            part: Fraction of the time in which canary requests are sent, using the exposure that
-                the whole time earns; with 1 or more they are sent all the time.
+            part: Number of target runners that the canary requests make as busy as the trusted
+                runners. Below 1 it is also the fraction of the time in which they are sent, using
+                the exposure that the whole time earns; with 1 or more they are sent all the time.
             now: Time on the node's clock.
         """
         account = self._accounts.get(service)
--- a/src/hillstack/core/weights_rollout.py
+++ b/src/hillstack/core/weights_rollout.py
@@ -1,9 +1,10 @@
 """Decides which runners load the newest weights next.
 
-A load takes a runner out of use for about a second and pauses its streams, which continue under the
-new weights. Loads are paced so that all runners finish before the deadline from which no request
-may begin on older weights, and so that enough live runners continue to serve. If another version is
-announced meanwhile, it replaces the earlier one for all runners that have not begun to load.
+A load takes a runner out of use for less than a second (0.57 to 0.76 s on the observed deployments)
+and pauses its streams, which continue under the new weights. Loads are paced so that all runners
+finish before the deadline from which no request may begin on older weights, and so that enough live
+runners continue to serve. If another version is announced meanwhile, it replaces the earlier one
+for all runners that have not begun to load.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from hillstack.core.weights_versions import WeightsVersions
 
 # A version announced right after another one replaces it for runners that have not begun to load.
-# 0.1 s and 0.3 s made no difference (docs/DECISIONS.md, round 5).
+# 0.1 s and 0.3 s made no difference (docs/DECISIONS.md).
 START_DELAY_SECONDS = 0.1
 # A load is urgent this long before the runner's deadline: two loads and their waits.
 URGENT_SECONDS = 2.0
@@ -104,6 +105,6 @@
 
     def _order(self, runner: Runner, now: float) -> tuple[bool, int, int, int, str]:
         version = runner.weights_version(self._model)
-        running = runner.committed_tokens(now)
+        committed = runner.committed_tokens(now)
         suspected = now < runner.suspected_until
-        return suspected, version, runner.long_running(now), running, runner.runner_id
+        return suspected, version, runner.long_running(now), committed, runner.runner_id
--- a/src/hillstack/core/weights_versions.py
+++ b/src/hillstack/core/weights_versions.py
@@ -8,6 +8,11 @@
 An unsolicited message is no proof, since its delay is unknown. When such messages counted from
 their arrival and were forwarded, they moved the bound on 69 nodes by 0.9 s per second with message
 delays of 0.05 to 0.6 s, so that older weights stayed in use indefinitely.
+
+In this module ``acknowledged_after`` is the start of that interval. ``not_before`` is the start of
+the grace period, usually the same time; it is later after an outage and on a node that has just
+started. The bound, or deadline, is the end of the grace period. "Named" in a type, a value or a
+message means announced.
 """
 
 from __future__ import annotations
@@ -62,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NamedVersion:
-    """A version of a model's weights with the time that precedes its acknowledgement.
+    """An announced version of a model's weights with the time that precedes its acknowledgement.
 
     Attributes:
         model: The model.
@@ -136,7 +141,11 @@
         return _moves(named.model, known, after)
 
     def recent(self, now: float) -> list[NamedVersion]:
-        """Return the versions announced so recently that older ones may still be in use."""
+        """Return the versions whose announcement may be younger than the grace period.
+
+        Extensions of the grace period after an outage or a start are not considered, so a version
+        may be missing although older ones are still in use.
+        """
         return [
             NamedVersion(model, entry.version, entry.acknowledged_after, entry.revision)
             for model, known in self._announced.items()
@@ -145,7 +154,7 @@
         ]
 
     def lacks_announcement_time(self, now: float) -> bool:
-        """Return whether the time of announcement is unknown for any version not yet in effect."""
+        """Return whether the announcement time of any version in its grace period is unknown."""
         return any(
             entry.acknowledged_after == -math.inf and now < entry.not_before + self.grace
             for known in self._announced.values()
--- a/src/hillstack/emulator/fleet_runner.py
+++ b/src/hillstack/emulator/fleet_runner.py
@@ -67,7 +67,8 @@
         leaving: Report in all answers that the runner is leaving.
         limit: Limit in requests per second, over all nodes, that all answers report; None for no
             limit.
-        refuse_weights_orders: Refuse orders to load weights, as a runner does while it carries out another.
+        refuse_weights_orders: Refuse orders to load weights, as a runner does while it carries out
+            another.
         software: Faults of the runner's software.
     """
 
--- a/src/hillstack/serving/fleet_state.py
+++ b/src/hillstack/serving/fleet_state.py
@@ -90,8 +90,8 @@
         store_era: Era of the store; a restore of the store begins a new one.
         highest_fence: Highest fencing token seen from any holder of the weights duty.
         rollout_deciders: Node that decides the rollout, by service.
-        bounds_enforced_from: Time until which bounds are not enforced on a node that has just started: a
-            weights version named before the start need not be in use before this time.
+        bounds_enforced_from: Time until which bounds are not enforced on a node that has just
+            started: a weights version named before the start need not be in use before this time.
     """
 
     def __init__(
--- a/src/hillstack/serving/rollout_observer.py
+++ b/src/hillstack/serving/rollout_observer.py
@@ -114,7 +114,8 @@
         state: State of the node.
         peers: Sends reports to the peers.
         make_judge: Creates the judge for an order and the time at which it was given.
-        median_answer_seconds: Returns the median time to an answer of a service's application, if known.
+        median_answer_seconds: Returns the median time to an answer of a service's application, if
+            known.
         metrics: Counts outcomes.
         clock: Monotonic seconds.
         rng: Source of randomness.
--- a/tests/fleet/test_runner_crashes.py
+++ b/tests/fleet/test_runner_crashes.py
@@ -300,7 +300,8 @@
     record.expire(1.4 + END_SECONDS)
     assert [end.runner_id for end in record.ends()] == ["i-1", "i-2"]
     assert record.suspicion(7, 1.1 + FATAL_REFUSAL_SECONDS) is Suspicion.FATAL
-    # After FATAL_REFUSAL_SECONDS the request is tried once more; one further crash makes it fatal again.
+    # After FATAL_REFUSAL_SECONDS the request is tried once more; one further crash makes it fatal
+    # again.
     assert record.suspicion(7, 1.3 + FATAL_REFUSAL_SECONDS) is Suspicion.SUSPECT
     assert record.rank(7) == 0
     record.record_crash("i-4", 100.0, {7: RunAtCrash(0.1), 9: RunAtCrash(0.1)}, 100.0)
