--- a/src/hillstack/core/cache_index.py
+++ b/src/hillstack/core/cache_index.py
@@ -57,7 +57,7 @@
         self._partitions[engine_id] = Partition(incarnation)
         return True
 
-    def forget(self, engine_id: str) -> None:
+    def remove(self, engine_id: str) -> None:
         """Drop the partition of an engine."""
         self._partitions.pop(engine_id, None)
 
--- a/src/hillstack/core/cache_watch.py
+++ b/src/hillstack/core/cache_watch.py
@@ -69,7 +69,7 @@
         self._known: tuple[object, ...] = ()
         self._zones: dict[str, str] = {}
 
-    def heard(self, node_id: str, incarnation: int, now: float) -> bool:
+    def record_contact(self, node_id: str, incarnation: int, now: float) -> bool:
         """Record a message from a node; return whether its incarnation is new to this node."""
         if not self._is_covered_by_zone(node_id, now):
             if node_id not in self._last_seen:
@@ -87,7 +87,7 @@
         self._expire(now)
         return node_id == self._node_id or node_id in self._last_seen
 
-    def heard_zone(self, zone: str, now: float) -> None:
+    def record_zone_contact(self, zone: str, now: float) -> None:
         """Record a message from a zone."""
         self._zones_last_seen[zone] = now
 
@@ -117,7 +117,7 @@
             self._zones = self._zones if zones == self._zones else zones
         return self._zones
 
-    def silent_for(self, seconds: float, zone: str | None, now: float) -> list[NodeEntry]:
+    def silent_nodes(self, seconds: float, zone: str | None, now: float) -> list[NodeEntry]:
         """Return the listed nodes of a zone from which nothing was received for some seconds.
 
         Without a zone the nodes of all zones are returned. Nodes of another zone are left out while
--- a/src/hillstack/core/crash_counts.py
+++ b/src/hillstack/core/crash_counts.py
@@ -66,13 +66,13 @@
 
     Attributes:
         began_at: When the request was sent to the runner.
-        ended_at: When the runner crashed.
+        crashed_at: When the runner crashed.
         is_settled: Whether the answer had been under way for long.
     """
 
     runner_id: str
     began_at: float
-    ended_at: float
+    crashed_at: float
     is_settled: bool = False
 
 
@@ -96,16 +96,16 @@
         if len(self.runs) >= MAX_RUNS_PER_NAME:
             self.runs.pop()
         self.runs.append(run)
-        self.runs.sort(key=lambda known: known.ended_at)
+        self.runs.sort(key=lambda known: known.crashed_at)
 
     @property
     def last_crash_at(self) -> float:
-        return self.runs[-1].ended_at
+        return self.runs[-1].crashed_at
 
     @property
     def third_crash_known_at(self) -> float:
         """When all nodes know of the third crash, counting simultaneous crashes separately."""
-        return self.runs[MAX_CRASHES - 1].ended_at + PROPAGATION_SECONDS
+        return self.runs[MAX_CRASHES - 1].crashed_at + PROPAGATION_SECONDS
 
     def sequential_runs(self) -> list[CrashedRun]:
         """Return the crashed runs that began after the crash of the run before them.
@@ -115,7 +115,7 @@
         """
         found: list[CrashedRun] = []
         for run in self.runs:
-            if not found or run.began_at >= found[-1].ended_at - ORDER_SLACK_SECONDS:
+            if not found or run.began_at >= found[-1].crashed_at - ORDER_SLACK_SECONDS:
                 found.append(run)
         return found
 
@@ -144,7 +144,7 @@
 
     def note(self, name: int, run: CrashedRun) -> None:
         """Record that a request was running on a runner that crashed."""
-        if run.ended_at <= self._cleared.get(name, -math.inf):
+        if run.crashed_at <= self._cleared.get(name, -math.inf):
             return
         known = self._get(name)
         crashes = known if known is not None else _Crashes()
@@ -185,7 +185,7 @@
         crashes = self._get(name)
         if crashes is None:
             return False
-        shortest = min(run.ended_at - run.began_at for run in crashes.runs)
+        shortest = min(run.crashed_at - run.began_at for run in crashes.runs)
         return age > SURVIVED_AGE_FACTOR * shortest + SURVIVED_SLACK_SECONDS
 
     def may_try(self, name: int, rank: int, now: float, min_pause: float = 0.0) -> bool:
@@ -230,7 +230,7 @@
             self._cleared.popitem(last=False)
         return True
 
-    def take_back(self, runner_id: str) -> None:
+    def retract(self, runner_id: str) -> None:
         """Remove a runner's crash from all requests: the runner did not crash."""
         for name, crashes in [*self._single.items(), *self._repeated.items()]:
             left = [run for run in crashes.runs if run.runner_id != runner_id]
--- a/src/hillstack/core/local_outcomes.py
+++ b/src/hillstack/core/local_outcomes.py
@@ -77,7 +77,7 @@
             self._count(self._pending.popleft()[0])
 
     def settle(self, now: float, excused: Set[str] = frozenset()) -> list[AttemptOutcome]:
-        """Decide attempts broken ``DISCONNECT_WINDOW_SECONDS`` or longer ago; return those that count.
+        """Decide attempts broken before the last ``DISCONNECT_WINDOW_SECONDS``; return the counted.
 
         Args:
             now: Time on the clock of ``add``.
--- a/src/hillstack/core/node_directory.py
+++ b/src/hillstack/core/node_directory.py
@@ -124,7 +124,7 @@
         if node_id not in self._nodes:
             self._unlisted[node_id] = now
 
-    def sharing_count(self, now: float) -> int:
+    def budget_node_count(self, now: float) -> int:
         """Return the number of nodes that share a budget.
 
         These are the listed nodes, and the unlisted nodes that were listed or sent a message within
--- a/src/hillstack/core/part_index.py
+++ b/src/hillstack/core/part_index.py
@@ -112,7 +112,7 @@
         else:
             holder.capacity = capacity_tokens
 
-    def forget(self, holder_id: str) -> None:
+    def remove(self, holder_id: str) -> None:
         """Remove a holder."""
         holder = self._holders.pop(holder_id, None)
         if holder is not None:
@@ -124,7 +124,7 @@
         if holder is not None:
             holder.clear()
 
-    def note(
+    def record_cached(
         self,
         holder_id: str,
         salt: str,
--- a/src/hillstack/core/placement/cached_parts.py
+++ b/src/hillstack/core/placement/cached_parts.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class PlacementInputs:
     """Inputs of a placement decision that are equal for all candidates.
 
     Attributes:
@@ -48,7 +48,7 @@
         target_seconds: Objective for the first event.
         gap_seconds: The strictest limit, over all routes of the service, on the pause between two
             events of a stream.
-        resting: Until when an idle connection of this node may be used, by address.
+        idle_until: Until when an idle connection of this node may be used, by address.
         topology: Zones and regions; by default all zones are in one region.
         round_trip_seconds: Delay that the round trip to the candidates adds to each of them.
         round_trip_cost: Further cost of this round trip, as a delay.
@@ -63,7 +63,7 @@
     now: float
     target_seconds: float
     gap_seconds: float
-    resting: Mapping[str, float] = field(default_factory=dict)
+    idle_until: Mapping[str, float] = field(default_factory=dict)
     topology: Topology = ONE_REGION
     round_trip_seconds: float = 0.0
     round_trip_cost: float = 0.0
@@ -79,14 +79,14 @@
         tokens: Transferred tokens.
         seconds: Expected duration.
         cost: Cost in addition to the duration, as a delay; 0 within a region.
-        is_across: Whether the holder is in another region.
+        is_cross_region: Whether the holder is in another region.
     """
 
     address: str | None = None
     tokens: int = 0
     seconds: float = 0.0
     cost: float = 0.0
-    is_across: bool = False
+    is_cross_region: bool = False
 
 
 NO_MOVE = Move()
@@ -127,7 +127,7 @@
     known_tokens: int
     matched: dict[str, int]
     _sources: list[_Source]
-    _inputs: Surroundings
+    _inputs: PlacementInputs
     _moves: dict[tuple[str, int], Moves] = field(default_factory=dict)
 
     def moves(self, runner: Runner, matched: int) -> Moves:
@@ -163,7 +163,7 @@
             )
             gain += REPEATED_PREFILL_SECONDS_PER_TOKEN * tokens - cost
             if gain > across_gain:
-                across = Move(source.address, tokens, seconds, cost, is_across=True)
+                across = Move(source.address, tokens, seconds, cost, is_cross_region=True)
                 across_gain = gain
         return Moves(near, across if across.tokens > near.tokens else None)
 
@@ -172,7 +172,7 @@
     index: PartIndex,
     shape: PromptShape,
     salt: str,
-    inputs: Surroundings,
+    inputs: PlacementInputs,
     holders: Collection[Runner],
 ) -> CachedParts:
     """Return the holders that have cached or are prefilling parts of a prompt.
@@ -206,7 +206,7 @@
     return CachedParts(known, matched, sources, inputs)
 
 
-def move_seconds(tokens: int, source_zone: str, zone: str, inputs: Surroundings) -> float:
+def move_seconds(tokens: int, source_zone: str, zone: str, inputs: PlacementInputs) -> float:
     """Return the expected seconds of a transfer of cached tokens.
 
     The slowest link counts, of the runners and of all stores, whichever holder is the source.
--- a/src/hillstack/core/placement/expected_delay.py
+++ b/src/hillstack/core/placement/expected_delay.py
@@ -23,7 +23,7 @@
     REPEATED_PREFILL_SECONDS_PER_TOKEN,
     CachedParts,
     Move,
-    Surroundings,
+    PlacementInputs,
     find_cached_parts,
 )
 from hillstack.core.prompt_shape import PromptShape
@@ -175,7 +175,7 @@
             self.move.tokens,
             self.repeated,
             self.cost,
-            self.move.is_across,
+            self.move.is_cross_region,
         )
 
 
@@ -191,7 +191,7 @@
         self,
         shape: PromptShape,
         candidates: Sequence[Candidate],
-        surroundings: Surroundings,
+        inputs: PlacementInputs,
         holders: Collection[Runner],
     ) -> Choice | None:
         """Return the best choice, or None if no candidate is suitable.
@@ -199,7 +199,7 @@
         Args:
             shape: The prompt.
             candidates: Runners that may get the request.
-            surroundings: Inputs that are equal for all candidates.
+            inputs: Inputs that are equal for all candidates.
             holders: Runners from which cached parts may be fetched.
         """
         best: _ScoredCandidate | None = None
@@ -214,12 +214,10 @@
         for candidate in sorted(candidates, key=_prefill_done_at):
             cached = cached_by_salt.get(candidate.salt)
             if cached is None:
-                cached = find_cached_parts(
-                    self._index, shape, candidate.salt, surroundings, holders
-                )
+                cached = find_cached_parts(self._index, shape, candidate.salt, inputs, holders)
                 cached_by_salt[candidate.salt] = cached
             position = positions.get(candidate.runner.runner_id, 0.0)
-            scored = _score_candidate(shape, candidate, surroundings, cached, position, lowest_cost)
+            scored = _score_candidate(shape, candidate, inputs, cached, position, lowest_cost)
             if scored is not None:
                 best, lowest_cost = scored, scored.cost
         return best.choice() if best is not None else None
@@ -239,7 +237,7 @@
 def _score_candidate(
     shape: PromptShape,
     candidate: Candidate,
-    inputs: Surroundings,
+    inputs: PlacementInputs,
     cached: CachedParts,
     position: float,
     lowest_cost: float,
@@ -271,7 +269,7 @@
         return None
     repeated = max(0, cached.known_tokens - matched - move.tokens)
     cost = delay + lateness(delay, inputs.target_seconds) + inputs.round_trip_cost + move.cost
-    if inputs.resting.get(runner.address, 0.0) <= now:
+    if inputs.idle_until.get(runner.address, 0.0) <= now:
         cost += NEW_CONNECTION_PENALTY_SECONDS
     if load.running:
         cost += _interference(load.running, queue, prefill, inputs)
@@ -291,7 +289,12 @@
 
 
 def _is_worthwhile(
-    across: Move, near: Move, queue: float, shape: PromptShape, matched: int, inputs: Surroundings
+    across: Move,
+    near: Move,
+    queue: float,
+    shape: PromptShape,
+    matched: int,
+    inputs: PlacementInputs,
 ) -> bool:
     """Return whether a fetch from another region costs less than the best fetch within the region.
 
@@ -306,7 +309,7 @@
     return costs[0] < costs[1]
 
 
-def _interference(streams: int, queue: float, prefill: float, inputs: Surroundings) -> float:
+def _interference(streams: int, queue: float, prefill: float, inputs: PlacementInputs) -> float:
     """Return the cost of the delay that a prefill causes to the streams on the runner."""
     interference = SLOWDOWN_SHARE * prefill * streams
     if queue + prefill > PAUSE_SHARE * inputs.gap_seconds:
@@ -315,7 +318,7 @@
 
 
 def _gather_bonus(
-    shape: PromptShape, load: RunnerLoad, inputs: Surroundings, position: float
+    shape: PromptShape, load: RunnerLoad, inputs: PlacementInputs, position: float
 ) -> float:
     """Return the bonus of a runner with room for long streams, higher for earlier positions."""
     engine = inputs.engine
@@ -328,7 +331,7 @@
 
 
 def _contention_delay(
-    shape: PromptShape, runner: Runner, load: RunnerLoad, inputs: Surroundings
+    shape: PromptShape, runner: Runner, load: RunnerLoad, inputs: PlacementInputs
 ) -> float:
     """Return the penalties for exhausted slots or memory, a recent refusal and another zone."""
     penalty = 0.0
--- a/src/hillstack/core/probations.py
+++ b/src/hillstack/core/probations.py
@@ -54,7 +54,7 @@
         self._names.pop(attempt_id, None)
         return self._runner_by_attempt.pop(attempt_id, None)
 
-    def told(self, runner_id: str, until: float, names: Names = ()) -> None:
+    def note_peer_suspect(self, runner_id: str, until: float, names: Names = ()) -> None:
         """Record that a peer runs a suspect on a runner until a time."""
         self._peer_ends_at[runner_id] = until
         self._peer_names[runner_id] = names
@@ -81,7 +81,7 @@
                 occupied.add(runner_id)
         return occupied
 
-    def suited(
+    def select_runners(
         self, runners: Sequence[Runner], suspect_rank: int | None, now: float
     ) -> Sequence[Runner]:
         """Return the runners to which a request should be sent.
--- a/src/hillstack/core/relay_choice.py
+++ b/src/hillstack/core/relay_choice.py
@@ -55,7 +55,7 @@
         self._unreachable_until: dict[str, float] = {}
         self._chosen: dict[NodeGroup, tuple[str, float]] = {}
 
-    def heard(self, node_id: str, now: float) -> None:
+    def record_contact(self, node_id: str, now: float) -> None:
         """Record a datagram from a node, which proves that the node can reach this one."""
         self._received_at[node_id] = now
         self._unreachable_until.pop(node_id, None)
@@ -87,7 +87,7 @@
         regions = {self.topology.region_of(zone) for zone in self._directory.zones()}
         return sorted(regions - {self.topology.region})
 
-    def heard_zone(self, zone: str, now: float) -> None:
+    def record_zone_relay(self, zone: str, now: float) -> None:
         """Record a datagram from the relay of a zone in this node's region."""
         self._zones_received_at[zone] = now
 
@@ -109,7 +109,7 @@
                 return False
         return True
 
-    def speaker_of(self, region: str, now: float) -> NodeEntry | None:
+    def border_relay_of(self, region: str, now: float) -> NodeEntry | None:
         """Return the node that receives messages for another region; None if it has no nodes."""
         border_relay, received_at = self._border_relays.get(region, ("", float("-inf")))
         if now - received_at < SILENT_SECONDS and self._directory.get(border_relay) is not None:
--- a/src/hillstack/core/rollout_evidence.py
+++ b/src/hillstack/core/rollout_evidence.py
@@ -83,12 +83,12 @@
         stage: The rollout stage that is in effect on the node.
         old_running: Number of the node's attempts still running at runners of other versions than
             the target.
-        heard_at: When the report arrived, on this node's clock.
+        received_at: When the report arrived, on this node's clock.
     """
 
     stage: str
     old_running: int
-    heard_at: float
+    received_at: float
 
 
 @dataclass(slots=True)
@@ -115,7 +115,9 @@
         # Time of the order by the oldest age in any report, on this node's clock.
         self.ordered_at = math.inf
 
-    def take(self, node_id: str, incarnation: int, report: RolloutReport, now: float) -> None:
+    def merge_report(
+        self, node_id: str, incarnation: int, report: RolloutReport, now: float
+    ) -> None:
         """Merge the report of a process.
 
         Args:
@@ -145,10 +147,10 @@
         return {
             node_id: state
             for node_id, (_, state) in self._latest.items()
-            if now - state.heard_at < REPORTER_SECONDS
+            if now - state.received_at < REPORTER_SECONDS
         }
 
-    def peer_says_bad(self) -> bool:
+    def is_reported_bad(self) -> bool:
         """Return whether any node, which may be this one, reported the target version as bad."""
         return self._is_reported_bad
 
@@ -175,7 +177,7 @@
         known = self._latest.get(node_id)
         if known is not None:
             latest, state = known
-            is_silent = now - state.heard_at >= PROCESS_SILENT_SECONDS
+            is_silent = now - state.received_at >= PROCESS_SILENT_SECONDS
             if incarnation != latest and not is_new and not is_silent:
                 return
             is_earlier_stage = STAGE_ORDER.get(report.stage, 0) < STAGE_ORDER.get(state.stage, 0)
--- a/src/hillstack/core/rollout_judge.py
+++ b/src/hillstack/core/rollout_judge.py
@@ -91,27 +91,27 @@
 
 
 def opinion_of(
-    judged: RolloutOpinion, *, peer_says_bad: bool, is_condemned: bool
+    judged: RolloutOpinion, *, is_reported_bad: bool, is_reverted: bool
 ) -> RolloutOpinion:
     """Return the judge's opinion, or a bad one if the version was reported bad or is reverted.
 
     Args:
         judged: The opinion of this node's judge.
-        peer_says_bad: Whether any node, which may be this one, reported that the version is bad.
-        is_condemned: Whether the rollout counts as reverted on this node, by its own evidence or by
+        is_reported_bad: Whether any node, which may be this one, reported that the version is bad.
+        is_reverted: Whether the rollout counts as reverted on this node, by its own evidence or by
             the rollout's record.
     """
     if judged.verdict is Verdict.BAD:
         return judged
-    if peer_says_bad:
+    if is_reported_bad:
         reason = "found bad by another node; here: " + judged.reason
         return RolloutOpinion(Verdict.BAD, reason)
-    if is_condemned:
+    if is_reverted:
         return RolloutOpinion(Verdict.BAD, "condemned on this node; now: " + judged.reason)
     return judged
 
 
-class Trouble(enum.StrEnum):
+class ProblemKind(enum.StrEnum):
     """The kinds of problems of answers."""
 
     FAILED = "failed"
@@ -124,7 +124,7 @@
 
     Attributes:
         group: Group of answers: all, one route, under load, or one route under load.
-        trouble: Kind of the problem.
+        problem: Kind of the problem.
         answered: Answers of the target within the stored steps.
         bad: Answers of the target that failed or were slow.
         expected: Number of bad answers expected at the rate of the other versions.
@@ -132,7 +132,7 @@
     """
 
     group: str
-    trouble: Trouble
+    problem: ProblemKind
     answered: int
     bad: int
     expected: float
@@ -141,7 +141,7 @@
     def describe(self) -> str:
         """Return a description of the evidence for operators."""
         return (
-            f"{self.group}: {self.bad} of {self.answered} {self.trouble},"
+            f"{self.group}: {self.bad} of {self.answered} {self.problem},"
             f" {self.expected:.1f} expected (score {self.score:.1f})"
         )
 
@@ -151,7 +151,7 @@
 
     Args:
         target: The target version.
-        ordered_at: When the order was given, on the clock that is passed to ``look``.
+        ordered_at: When the order was given, on the clock that is passed to ``evaluate``.
         over_seconds: Time within which the rollout should be decided.
     """
 
@@ -161,7 +161,7 @@
         self._min_good_age = over_seconds - shift
         self._good_from = ordered_at + self._min_good_age
         self._steps = OutcomeSteps(MEMORY_STEPS)
-        self._scores: dict[tuple[str, Trouble], ChangeScore] = {}
+        self._scores: dict[tuple[str, ProblemKind], ChangeScore] = {}
         self._verdict = Verdict.UNDECIDED
         self._reason = NO_OPINION.reason
 
@@ -179,10 +179,10 @@
         return RolloutOpinion(self._verdict, self._reason)
 
     def is_due(self, now: float) -> bool:
-        """Return whether ``look`` would evaluate totals now; if not, they needn't be summed."""
+        """Return whether ``evaluate`` would evaluate totals now; if not, they needn't be summed."""
         return self._verdict is not Verdict.BAD and self._steps.is_due(now)
 
-    def look(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
+    def evaluate(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
         """Evaluate the outcomes of all nodes since the order; return the verdict.
 
         A bad verdict is final; a good one may become bad or undecided while the traffic shifts.
@@ -198,24 +198,24 @@
     def findings(self) -> list[RolloutFindings]:
         """Return the evidence against the version, strongest first."""
         found = [
-            _describe_score(group, trouble, score)
-            for (group, trouble), score in self._scores.items()
+            _describe_score(group, problem, score)
+            for (group, problem), score in self._scores.items()
             if score.score > 0
         ]
         return sorted(found, key=lambda finding: -finding.score)
 
     def _score(self, step: Mapping[OutcomeKey, OutcomeTotals]) -> None:
         """Add the answers of a step to the scores of their groups."""
-        sums: dict[tuple[str, Trouble], list[ScoredStep]] = {}
+        sums: dict[tuple[str, ProblemKind], list[ScoredStep]] = {}
         for key, new in step.items():
             if key.version != self._target:
                 continue
             baseline = baseline_of(self._steps, self._target, key.route, key.busy)
             if baseline is None:
                 continue
-            for trouble, scored in _scored_steps(new, baseline):
+            for problem, scored in _scored_steps(new, baseline):
                 for group in _groups(key):
-                    sums.setdefault((group, trouble), []).append(scored)
+                    sums.setdefault((group, problem), []).append(scored)
         for name, parts in sums.items():
             score = self._scores.setdefault(name, ChangeScore(BURST_STEPS, MEMORY_STEPS))
             score.add(_sum_steps(parts))
@@ -241,17 +241,17 @@
 
     def _persists(self, finding: RolloutFindings) -> bool:
         """Return whether there is enough evidence besides the worst burst."""
-        score = self._scores[finding.group, finding.trouble]
+        score = self._scores[finding.group, finding.problem]
         return score.score_without_burst() >= BAD_SCORE_WITHOUT_BURST
 
     def _is_in_doubt(self, finding: RolloutFindings) -> bool:
         """Return whether the problem may persist, rather than being one crash that is over."""
-        score = self._scores[finding.group, finding.trouble]
+        score = self._scores[finding.group, finding.problem]
         if score.score < DOUBT_SCORE:
             return False
-        if finding.trouble is Trouble.SLOW:
+        if finding.problem is ProblemKind.SLOW:
             return True
-        crashed, steps_ago = self._scores[ALL, Trouble.FAILED].worst_burst()
+        crashed, steps_ago = self._scores[ALL, ProblemKind.FAILED].worst_burst()
         if crashed < CRASH_ANSWERS or steps_ago < BURST_STEPS + RECOVERY_STEPS:
             return True
         return score.score_without_burst_at(steps_ago) >= DOUBT_SCORE
@@ -300,14 +300,14 @@
     return groups
 
 
-def _scored_steps(new: OutcomeTotals, baseline: Baseline) -> list[tuple[Trouble, ScoredStep]]:
+def _scored_steps(new: OutcomeTotals, baseline: Baseline) -> list[tuple[ProblemKind, ScoredStep]]:
     """Return the scored answers of a step for each kind of problem."""
     failed = _scored_step(new.answered, new.failed, baseline.failed, BAD_FAILED_SHARE)
     timed = sum(new.delays)
     if baseline.slow_above is None or not timed:
-        return [(Trouble.FAILED, failed)]
+        return [(ProblemKind.FAILED, failed)]
     slow = _scored_step(timed, slow_count(new, baseline.slow_above), baseline.slow, BAD_SLOW_SHARE)
-    return [(Trouble.FAILED, failed), (Trouble.SLOW, slow)]
+    return [(ProblemKind.FAILED, failed), (ProblemKind.SLOW, slow)]
 
 
 def _scored_step(answered: int, bad: int, usual_share: float, min_share: float) -> ScoredStep:
@@ -335,11 +335,11 @@
     )
 
 
-def _describe_score(group: str, trouble: Trouble, score: ChangeScore) -> RolloutFindings:
+def _describe_score(group: str, problem: ProblemKind, score: ChangeScore) -> RolloutFindings:
     steps = score.steps()
     return RolloutFindings(
         group,
-        trouble,
+        problem,
         sum(step.answered for step in steps),
         sum(step.bad for step in steps),
         sum(step.expected for step in steps),
--- a/src/hillstack/core/rollout_plan.py
+++ b/src/hillstack/core/rollout_plan.py
@@ -75,7 +75,7 @@
         live_nodes: Nodes that are alive, including this one.
         places: Request slots of the service's runners.
         apply_seconds: Time after which a change is in force even on nodes that send no report.
-        passed_over: Targets of earlier orders of the service that were never trusted.
+        untrusted_targets: Targets of earlier orders of the service that were never trusted.
         has_lost_record: Whether a restored store no longer has the record of the order.
     """
 
@@ -89,7 +89,7 @@
     live_nodes: Set[str]
     places: Places
     apply_seconds: float
-    passed_over: frozenset[str] = frozenset()
+    untrusted_targets: frozenset[str] = frozenset()
     has_lost_record: bool = False
 
 
@@ -100,11 +100,11 @@
     Attributes:
         record: The record, with the revision of the record that it replaces; ``NO_REVISION`` if
             there is none.
-        news: Whether the operator must be notified of the stage.
+        notifies_operator: Whether the operator must be notified of the stage.
     """
 
     record: RolloutRecord
-    news: bool
+    notifies_operator: bool
 
 
 def is_decided(order: RolloutOrder, record: RolloutRecord | None) -> bool:
@@ -118,7 +118,7 @@
     if record is None or not is_of_order(record, view.order):
         return _first_step(view)
     if view.has_lost_record:
-        return RolloutStep(_record(view, record.stage, record.reason), news=True)
+        return RolloutStep(_record(view, record.stage, record.reason), notifies_operator=True)
     match record.stage:
         case RolloutStage.CANARY:
             return _after_canary(view) or _age_update(view, record)
@@ -134,7 +134,7 @@
         record = _record(view, RolloutStage.SHIFTING, "trusted by an earlier order")
     else:
         record = _record(view, RolloutStage.CANARY, "ordered")
-    return RolloutStep(record, news=True)
+    return RolloutStep(record, notifies_operator=True)
 
 
 def _after_canary(view: RolloutView) -> RolloutStep | None:
@@ -230,11 +230,13 @@
     """
     if view.age_seconds - record.elapsed_seconds < AGE_UPDATE_SECONDS:
         return None
-    return RolloutStep(_record(view, record.stage, record.reason), news=False)
+    return RolloutStep(_record(view, record.stage, record.reason), notifies_operator=False)
 
 
 def _step(view: RolloutView, stage: RolloutStage, reason: str) -> RolloutStep:
-    return RolloutStep(_record(view, stage, reason), news=stage is not RolloutStage.SHIFTING)
+    return RolloutStep(
+        _record(view, stage, reason), notifies_operator=stage is not RolloutStage.SHIFTING
+    )
 
 
 def _record(view: RolloutView, stage: RolloutStage, reason: str) -> RolloutRecord:
@@ -257,7 +259,7 @@
     The target of the current order is one of them only if the given stage is ``REVERTED``.
     """
     order, before = view.order, view.record
-    rejected = set(view.passed_over)
+    rejected = set(view.untrusted_targets)
     if before is not None:
         rejected.update(before.rejected)
         if not is_of_order(before, order) and before.stage not in TRUSTED:
--- a/src/hillstack/core/routing_table.py
+++ b/src/hillstack/core/routing_table.py
@@ -116,7 +116,7 @@
     name: str
     max_connections: int = 0
     engine: EngineProfile | None = None
-    kept_cache: KvCacheStore | None = None
+    kv_cache_store: KvCacheStore | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -201,9 +201,9 @@
         """Return the strictest limit of a service's routes on event gaps; infinite without one."""
         return self._gaps.get(service, math.inf)
 
-    def kept_cache_stores(self) -> list[KvCacheStore]:
+    def kv_cache_stores(self) -> list[KvCacheStore]:
         """Return all KV cache stores."""
-        return [s.kept_cache for s in self.services.values() if s.kept_cache is not None]
+        return [s.kv_cache_store for s in self.services.values() if s.kv_cache_store is not None]
 
 
 def _shortest_gaps(routes: Iterable[Route]) -> dict[str, float]:
--- a/src/hillstack/core/runner_crashes.py
+++ b/src/hillstack/core/runner_crashes.py
@@ -21,7 +21,7 @@
 
 # Retention of crashes without a fatal request. A caller's next attempt, which would crash a second
 # runner, arrives within some seconds.
-END_SECONDS = 30.0
+CRASH_RETENTION_SECONDS = 30.0
 # A fatal request is refused without a run for this time after the last crash under it. A caller
 # whose request was classified wrongly, or has been fixed, waits no longer than that.
 FATAL_REFUSAL_SECONDS = 60.0
@@ -30,7 +30,7 @@
 # runner per minute.
 FATAL_CRASH_RETENTION_SECONDS = 300.0
 # Maximum number of recorded crashes: a rack of runners twice. The oldest are dropped first.
-MAX_ENDS = 64
+MAX_RECORDED_CRASHES = 64
 # Maximum number of runs recorded for a crash: twice the slots of the largest observed runners (64).
 MAX_RUNS_PER_CRASH = 128
 # Maximum number of cleared fingerprints. They are stored so that runs of these requests which peers
@@ -125,19 +125,19 @@
 
     Attributes:
         runner_id: The incarnation that crashed.
-        ended_at: Time of the crash, on this node's clock.
+        crashed_at: Time of the crash, on this node's clock.
         running: Estimated number of requests of all nodes on the runner.
         runs: The runs on the runner that have been reported so far, by fingerprint.
     """
 
     runner_id: str
-    ended_at: float
+    crashed_at: float
     running: int = 0
     runs: dict[int, RunAtCrash] = field(default_factory=dict)
 
     def began_at(self, fingerprint: int) -> float:
         """Return when the run of a request was sent."""
-        return self.ended_at - self.runs[fingerprint].age
+        return self.crashed_at - self.runs[fingerprint].age
 
     def share(self, fingerprint: int) -> float:
         """Return a run's share, at most 1, of the weights of all runs and of the runner itself."""
@@ -167,7 +167,7 @@
     """Runner crashes and the requests that were running, bounded in number and in age."""
 
     def __init__(self) -> None:
-        self._ends: OrderedDict[str, RunnerCrash] = OrderedDict()
+        self._crashes: OrderedDict[str, RunnerCrash] = OrderedDict()
         self._cleared: OrderedDict[int, float] = OrderedDict()
         self._last_contact: OrderedDict[str, float] = OrderedDict()
         self._fatal: dict[int, FatalRequest] = {}
@@ -175,15 +175,15 @@
         self._is_classified = True
 
     def __bool__(self) -> bool:
-        return bool(self._ends)
+        return bool(self._crashes)
 
-    def ends(self) -> list[RunnerCrash]:
+    def crashes(self) -> list[RunnerCrash]:
         """Return all crashes in the order in which they were recorded."""
-        return list(self._ends.values())
+        return list(self._crashes.values())
 
     def get(self, runner_id: str) -> RunnerCrash | None:
         """Return the crash of a runner, or None if none is recorded."""
-        return self._ends.get(runner_id)
+        return self._crashes.get(runner_id)
 
     def fatal(self) -> Mapping[int, FatalRequest]:
         """Return the fatal requests by fingerprint."""
@@ -216,13 +216,15 @@
 
     def last_crash_under(self, fingerprint: int) -> float:
         """Return when the last runner crashed under a request."""
-        ends = [end.ended_at for end in self._ends.values() if fingerprint in end.runs]
-        return max(ends, default=float("-inf"))
+        crashes = [
+            crash.crashed_at for crash in self._crashes.values() if fingerprint in crash.runs
+        ]
+        return max(crashes, default=float("-inf"))
 
     def record_crash(
         self,
         runner_id: str,
-        ended_at: float,
+        crashed_at: float,
         runs: Mapping[int, RunAtCrash],
         now: float,
         running: int = 0,
@@ -231,46 +233,48 @@
 
         Args:
             runner_id: The incarnation that crashed.
-            ended_at: Time of the crash, on this node's clock.
+            crashed_at: Time of the crash, on this node's clock.
             runs: Requests that were running on it.
             now: Time on this node's clock.
             running: Estimated number of requests of all nodes on it.
         """
-        if self.was_contacted_after(runner_id, ended_at):
+        if self.was_contacted_after(runner_id, crashed_at):
             return
-        if now - ended_at >= FATAL_CRASH_RETENTION_SECONDS:
+        if now - crashed_at >= FATAL_CRASH_RETENTION_SECONDS:
             return
-        end = self._ends.get(runner_id)
-        if end is None:
-            end = self._ends[runner_id] = RunnerCrash(runner_id, ended_at)
-        end.running = max(end.running, running)
+        crash = self._crashes.get(runner_id)
+        if crash is None:
+            crash = self._crashes[runner_id] = RunnerCrash(runner_id, crashed_at)
+        crash.running = max(crash.running, running)
         for fingerprint, run in runs.items():
-            self._add_run(end, fingerprint, run)
-        while len(self._ends) > MAX_ENDS:
-            self._ends.popitem(last=False)
+            self._add_run(crash, fingerprint, run)
+        while len(self._crashes) > MAX_RECORDED_CRASHES:
+            self._crashes.popitem(last=False)
         self._is_classified = False
 
-    def was_contacted_after(self, runner_id: str, ended_at: float) -> bool:
+    def was_contacted_after(self, runner_id: str, crashed_at: float) -> bool:
         """Return whether the runner was in contact after its supposed crash."""
-        return ended_at <= self._last_contact.get(runner_id, float("-inf"))
+        return crashed_at <= self._last_contact.get(runner_id, float("-inf"))
 
-    def take_back(self, runner_id: str, heard_at: float) -> bool:
+    def record_contact(self, runner_id: str, contact_at: float) -> bool:
         """Record contact with a runner; return whether its recorded crash was dropped for that."""
         known = self._last_contact.get(runner_id, float("-inf"))
-        self._last_contact[runner_id] = max(known, heard_at)
+        self._last_contact[runner_id] = max(known, contact_at)
         self._last_contact.move_to_end(runner_id)
-        while len(self._last_contact) > MAX_ENDS:
+        while len(self._last_contact) > MAX_RECORDED_CRASHES:
             self._last_contact.popitem(last=False)
-        end = self._ends.get(runner_id)
-        if end is None or end.ended_at > heard_at:
+        crash = self._crashes.get(runner_id)
+        if crash is None or crash.crashed_at > contact_at:
             return False
-        del self._ends[runner_id]
+        del self._crashes[runner_id]
         self._is_classified = False
         return True
 
     def clear(self, fingerprint: int, now: float) -> list[str]:
         """Clear a request after a successful run; return the runners that had crashed under it."""
-        runner_ids = [end.runner_id for end in self._ends.values() if fingerprint in end.runs]
+        runner_ids = [
+            crash.runner_id for crash in self._crashes.values() if fingerprint in crash.runs
+        ]
         if not runner_ids:
             return []
         self._cleared[fingerprint] = now
@@ -278,39 +282,43 @@
         while len(self._cleared) > MAX_CLEARED_REQUESTS:
             self._cleared.popitem(last=False)
         for runner_id in runner_ids:
-            del self._ends[runner_id].runs[fingerprint]
+            del self._crashes[runner_id].runs[fingerprint]
         self._is_classified = False
         return runner_ids
 
     def expire(self, now: float) -> None:
         """Drop old crashes; crashes under fatal requests are retained longer than the others."""
-        if not self._ends:
+        if not self._crashes:
             return
         self._reclassify()
         evidence = {runner_id for fatal in self._fatal.values() for runner_id in fatal.runner_ids}
         old = [
-            end.runner_id
-            for end in self._ends.values()
-            if now - end.ended_at
-            >= (FATAL_CRASH_RETENTION_SECONDS if end.runner_id in evidence else END_SECONDS)
+            crash.runner_id
+            for crash in self._crashes.values()
+            if now - crash.crashed_at
+            >= (
+                FATAL_CRASH_RETENTION_SECONDS
+                if crash.runner_id in evidence
+                else CRASH_RETENTION_SECONDS
+            )
         ]
         for runner_id in old:
-            del self._ends[runner_id]
+            del self._crashes[runner_id]
         if old:
             self._is_classified = False
-        if not self._ends:
+        if not self._crashes:
             self._cleared.clear()
 
-    def _add_run(self, end: RunnerCrash, fingerprint: int, run: RunAtCrash) -> None:
-        if self._cleared.get(fingerprint, float("-inf")) >= end.ended_at:
+    def _add_run(self, crash: RunnerCrash, fingerprint: int, run: RunAtCrash) -> None:
+        if self._cleared.get(fingerprint, float("-inf")) >= crash.crashed_at:
             return
-        known = end.runs.get(fingerprint)
-        if known is None and len(end.runs) >= MAX_RUNS_PER_CRASH:
+        known = crash.runs.get(fingerprint)
+        if known is None and len(crash.runs) >= MAX_RUNS_PER_CRASH:
             return
         # Where several callers sent the same request, the oldest run counts: a fatal request
         # crashes runners at the same age each time, so the oldest run would be the cause.
         if known is None or run.age > known.age:
-            end.runs[fingerprint] = run
+            crash.runs[fingerprint] = run
 
     def _reclassify(self) -> None:
         """Classify the requests again if the record has changed since the last classification."""
@@ -329,15 +337,15 @@
             explained.update(best.runner_ids)
             repeated.discard(best.fingerprint)
         self._suspects = set()
-        for end in self._ends.values():
-            if end.runner_id not in explained:
-                self._suspects |= self._suspects_of(end)
+        for crash in self._crashes.values():
+            if crash.runner_id not in explained:
+                self._suspects |= self._suspects_of(crash)
 
-    def _suspects_of(self, end: RunnerCrash) -> set[int]:
-        simultaneous = self._simultaneous(end)
+    def _suspects_of(self, crash: RunnerCrash) -> set[int]:
+        simultaneous = self._simultaneous(crash)
         return {
             fingerprint
-            for fingerprint, run in end.runs.items()
+            for fingerprint, run in crash.runs.items()
             if not run.is_settled
             and fingerprint not in self._fatal
             and not _has_common_cause(simultaneous, fingerprint)
@@ -347,45 +355,45 @@
         """Return the requests that were running at two or more crashes."""
         seen: set[int] = set()
         repeated: set[int] = set()
-        for end in self._ends.values():
-            repeated.update(seen & end.runs.keys())
-            seen.update(end.runs)
+        for crash in self._crashes.values():
+            repeated.update(seen & crash.runs.keys())
+            seen.update(crash.runs)
         return repeated
 
     def _find_cause(self, fingerprint: int, explained: set[str]) -> FatalRequest:
         """Return the crashes for which a request is the most likely cause, with the probability."""
-        ends = [
-            end
-            for end in self._ends.values()
-            if fingerprint in end.runs
-            and not _has_common_cause(self._simultaneous(end), fingerprint)
+        crashes = [
+            crash
+            for crash in self._crashes.values()
+            if fingerprint in crash.runs
+            and not _has_common_cause(self._simultaneous(crash), fingerprint)
         ]
-        ends.sort(key=lambda end: end.ended_at)
-        unexplained = [end for end in ends if end.runner_id not in explained]
+        crashes.sort(key=lambda crash: crash.crashed_at)
+        unexplained = [crash for crash in crashes if crash.runner_id not in explained]
         if _count_sequential(unexplained, fingerprint) >= CERTAIN_CRASHES:
             return _fatal_request(fingerprint, unexplained, 1.0)
         best = _fatal_request(fingerprint, [], 0.0)
-        for first, second in combinations(ends, 2):
+        for first, second in combinations(crashes, 2):
             share = self._pair_share(fingerprint, first, second, explained)
             if share > best.share:
                 best = _fatal_request(fingerprint, [first, second], share)
         return best
 
-    def _simultaneous(self, end: RunnerCrash) -> list[RunnerCrash]:
+    def _simultaneous(self, crash: RunnerCrash) -> list[RunnerCrash]:
         """Return the crashes of other runners at the same time."""
         return [
             other
-            for other in self._ends.values()
-            if other is not end and abs(other.ended_at - end.ended_at) <= RACK_SECONDS
+            for other in self._crashes.values()
+            if other is not crash and abs(other.crashed_at - crash.crashed_at) <= RACK_SECONDS
         ]
 
     def _unexplained_simultaneous(
-        self, end: RunnerCrash, fingerprint: int, explained: set[str]
+        self, crash: RunnerCrash, fingerprint: int, explained: set[str]
     ) -> int:
         """Return the number of unexplained crashes at the same time without the request."""
         return sum(
             fingerprint not in other.runs and other.runner_id not in explained
-            for other in self._simultaneous(end)
+            for other in self._simultaneous(crash)
         )
 
     def _pair_share(
@@ -405,7 +413,8 @@
         }
         coincidence = COINCIDENCE_SCORE_BESIDE_FATAL if explained_crashes else COINCIDENCE_SCORE
         unexplained = max(
-            self._unexplained_simultaneous(end, fingerprint, explained) for end in (first, second)
+            self._unexplained_simultaneous(crash, fingerprint, explained)
+            for crash in (first, second)
         )
         coincidence += COINCIDENCE_SCORE_PER_CRASH * unexplained
         return scores[fingerprint] / (sum(scores.values()) + coincidence)
@@ -417,17 +426,17 @@
     Runners with the request itself do not count, since the request may have crashed them.
     """
     others = 0
-    for end in simultaneous:
-        others += fingerprint not in end.runs
+    for crash in simultaneous:
+        others += fingerprint not in crash.runs
         if others >= RACK_CRASHES:
             return True
     return False
 
 
-def _fatal_request(fingerprint: int, ends: Iterable[RunnerCrash], share: float) -> FatalRequest:
-    at = list(ends)
-    runner_ids = tuple(end.runner_id for end in at)
-    ages = tuple(round(end.runs[fingerprint].age, 3) for end in at)
+def _fatal_request(fingerprint: int, crashes: Iterable[RunnerCrash], share: float) -> FatalRequest:
+    at = list(crashes)
+    runner_ids = tuple(crash.runner_id for crash in at)
+    ages = tuple(round(crash.runs[fingerprint].age, 3) for crash in at)
     return FatalRequest(fingerprint, runner_ids, ages, share)
 
 
@@ -442,15 +451,15 @@
     Many callers may send the same request to many runners at the same time. If these runners crash,
     that is no evidence against the request.
     """
-    return second.began_at(fingerprint) >= first.ended_at - ORDER_SLACK_SECONDS
+    return second.began_at(fingerprint) >= first.crashed_at - ORDER_SLACK_SECONDS
 
 
-def _count_sequential(ends: list[RunnerCrash], fingerprint: int) -> int:
+def _count_sequential(crashes: list[RunnerCrash], fingerprint: int) -> int:
     """Return how many of the crashes, in order, a request can have caused one after another."""
     count = 0
     last: RunnerCrash | None = None
-    for end in ends:
-        if last is None or _is_sequential(fingerprint, last, end):
+    for crash in crashes:
+        if last is None or _is_sequential(fingerprint, last, crash):
             count += 1
-            last = end
+            last = crash
     return count
--- a/src/hillstack/core/runner_limit.py
+++ b/src/hillstack/core/runner_limit.py
@@ -78,7 +78,7 @@
         hinted_rate: The rate that peers report.
         hinted_until: When the hint of peers expires.
         hinted_asked_at: When the request was sent whose answer the hint reports, or later.
-        told_at: When a peer or this node last sent a hint of the limit.
+        last_hint_at: When a peer or this node last sent a hint of the limit.
         may_probe: Whether one request may be sent to find out whether the limit has ended, since a
             peer reported its end.
         exhausted_until: This node gets no further share of the limit before this time.
@@ -93,7 +93,7 @@
     hinted_rate: float = 0.0
     hinted_until: float = float("-inf")
     hinted_asked_at: float = float("-inf")
-    told_at: float = float("-inf")
+    last_hint_at: float = float("-inf")
     may_probe: bool = False
     exhausted_until: float = float("-inf")
 
@@ -113,7 +113,7 @@
         rate = self.in_force(now)
         return None if rate is None else max(rate, MIN_PROBE_RATE)
 
-    def take(self, rate: float | None, source: AnswerSource, now: float) -> bool:
+    def apply(self, rate: float | None, source: AnswerSource, now: float) -> bool:
         """Apply the limit in the head of an answer; return whether the limit has changed.
 
         Args:
@@ -134,7 +134,7 @@
         self.kinds |= {source.kind}
         return is_news
 
-    def hint(self, rate: float, age_seconds: float, now: float) -> bool:
+    def apply_hint(self, rate: float, age_seconds: float, now: float) -> bool:
         """Apply a peer's hint of a limit; return whether this node knows that it has ended.
 
         Args:
@@ -146,7 +146,7 @@
         asked_at = now - age_seconds
         if self.rate is None and asked_at <= self.asked_at:
             return True
-        self.told_at = now
+        self.last_hint_at = now
         if asked_at >= self.hinted_asked_at - HINT_TRANSIT_SECONDS or now >= self.hinted_until:
             self._apply_hint(rate, asked_at, now)
         return False
@@ -164,7 +164,7 @@
         self.hinted_rate, self.hinted_asked_at = rate, asked_at
         self.hinted_until = now + HINT_SECONDS
 
-    def hint_end(self, age_seconds: float, now: float) -> None:
+    def apply_end_hint(self, age_seconds: float, now: float) -> None:
         """Apply a peer's hint that the limit has ended.
 
         Args:
--- a/src/hillstack/core/runner_pool.py
+++ b/src/hillstack/core/runner_pool.py
@@ -108,7 +108,7 @@
         signals: Signals that the runner sent to this node; directory updates do not change them.
         hinted_until: Peers report the runner as leaving: until this time it is used only if no
             other runner is available.
-        hinted_at: When a peer or this node last sent that hint.
+        leave_hinted_at: When a peer or this node last sent that hint.
     """
 
     entry: RunnerEntry
@@ -129,7 +129,7 @@
     last_contact_at: float = float("-inf")
     signals: ReceivedSignals = field(default_factory=ReceivedSignals)
     hinted_until: float = float("-inf")
-    hinted_at: float = float("-inf")
+    leave_hinted_at: float = float("-inf")
 
     @property
     def runner_id(self) -> str:
@@ -143,7 +143,7 @@
 
     def accepts(self, now: float) -> bool:
         """Return whether the runner may get new work."""
-        return self.stays(now) and now >= self.ready_at
+        return self.will_accept(now) and now >= self.ready_at
 
     @property
     def ready_at(self) -> float:
@@ -151,17 +151,17 @@
         return max(self.suspected_until, self.loading_until, self.signals.unavailable_until)
 
     @property
-    def leaves(self) -> bool:
+    def is_leaving(self) -> bool:
         """Whether the runner is leaving or has left, by any source.
 
         The runner's own signal is not undone by a directory entry that lists it as ready: while the
         store is unavailable the entry may be older than the signal.
         """
-        return self.leaving or self.entry.draining or self.signals.leaves
+        return self.leaving or self.entry.draining or self.signals.is_leaving
 
-    def stays(self, now: float) -> bool:
+    def will_accept(self, now: float) -> bool:
         """Return whether the runner will accept work now or later: it has not left or expired."""
-        if self.leaves:
+        if self.is_leaving:
             return False
         return self.unlisted_until is None or now < self.unlisted_until
 
@@ -243,7 +243,7 @@
         self._unlisted: dict[str, _UnlistedRunner] = {}
         self._signals = SignalRecord()
         # Listed runners whose signals may keep requests away from them; usually empty.
-        self._held_back: dict[str, Runner] = {}
+        self._restricted_runners: dict[str, Runner] = {}
         # Limits that processes or peers have reported; usually empty.
         self._limits: dict[str, RunnerLimit] = {}
         # Runners that a peer has reported as leaving; usually empty.
@@ -348,10 +348,12 @@
         runner = Runner(entry, dict(entry.weights), signals=signals or ReceivedSignals())
         self._runners[entry.runner_id] = runner
         if signals is not None:
-            self._held_back[entry.runner_id] = runner
+            self._restricted_runners[entry.runner_id] = runner
         return runner
 
-    def hear(self, runner_id: str, signals: RunnerSignals, source: str, now: float) -> bool:
+    def apply_signals(
+        self, runner_id: str, signals: RunnerSignals, source: str, now: float
+    ) -> bool:
         """Apply the signals in an answer of a process; return whether they changed anything.
 
         Args:
@@ -360,7 +362,7 @@
             source: The answer, for the log.
             now: When the answer arrived, on the node's clock.
         """
-        return self._received(runner_id).take(signals, source, now)
+        return self._received(runner_id).apply(signals, source, now)
 
     def apply_limit(
         self, runner_id: str, rate: float | None, source: AnswerSource, now: float
@@ -375,8 +377,8 @@
         """
         received = self._signals.get(runner_id)
         if rate is None:
-            return received is not None and received.limit.take(None, source, now)
-        return self._limit(runner_id).take(rate, source, now)
+            return received is not None and received.limit.apply(None, source, now)
+        return self._limit(runner_id).apply(rate, source, now)
 
     def apply_limit_hint(self, runner_id: str, rate: float, age_seconds: float, now: float) -> bool:
         """Apply a peer's hint that a process reports a limit.
@@ -386,13 +388,13 @@
         """
         if self._known(runner_id) is None:
             return False
-        return self._limit(runner_id).hint(rate, age_seconds, now)
+        return self._limit(runner_id).apply_hint(rate, age_seconds, now)
 
     def apply_limit_end_hint(self, runner_id: str, age_seconds: float, now: float) -> None:
         """Apply a peer's hint that the limit of a process has ended."""
         limit = self._limits.get(runner_id)
         if limit is not None:
-            limit.hint_end(age_seconds, now)
+            limit.apply_end_hint(age_seconds, now)
 
     def limit_state(self, runner_id: str) -> RunnerLimit | None:
         """Return the state of a process's limit; None if no signals of the process are stored."""
@@ -404,7 +406,7 @@
         limit = self._limits.get(runner_id)
         return limit.rate_to_use(now) if limit is not None else None
 
-    def limited(self, now: float) -> dict[str, RunnerLimit]:
+    def active_limits(self, now: float) -> dict[str, RunnerLimit]:
         """Return the limits in effect by process, and drop the limits that have ended."""
         for runner_id, limit in list(self._limits.items()):
             if limit.in_force(now) is None or self._known(runner_id) is None:
@@ -413,7 +415,7 @@
 
     def directly_reported_limits(self, now: float) -> dict[str, RunnerLimit]:
         """Return the limits that processes have reported to this node directly."""
-        limited = self.limited(now).items()
+        limited = self.active_limits(now).items()
         return {runner_id: limit for runner_id, limit in limited if limit.rate is not None}
 
     def limit_hints_due(self, now: float) -> dict[str, RunnerLimit]:
@@ -421,7 +423,7 @@
         return {
             runner_id: limit
             for runner_id, limit in self.directly_reported_limits(now).items()
-            if now >= limit.told_at + HINT_AGAIN_SECONDS
+            if now >= limit.last_hint_at + HINT_AGAIN_SECONDS
         }
 
     def _limit(self, runner_id: str) -> RunnerLimit:
@@ -436,19 +438,19 @@
         if received is None:
             runner = self._known(runner_id)
             received = runner.signals if runner is not None else ReceivedSignals()
-        self._signals.keep(runner_id, received)
+        self._signals.store(runner_id, received)
         if runner_id in self._runners:
-            self._held_back[runner_id] = self._runners[runner_id]
+            self._restricted_runners[runner_id] = self._runners[runner_id]
         return received
 
-    def held_back(self, service: str, now: float) -> list[Runner]:
+    def restricted_runners(self, service: str, now: float) -> list[Runner]:
         """Return the runners of a service whose own signals may keep requests away from them."""
         found: list[Runner] = []
-        for runner_id, runner in list(self._held_back.items()):
+        for runner_id, runner in list(self._restricted_runners.items()):
             if self._runners.get(runner_id) is not runner or not runner.signals.restricts_requests(
                 now
             ):
-                del self._held_back[runner_id]
+                del self._restricted_runners[runner_id]
             elif runner.entry.service == service:
                 found.append(runner)
         return found
@@ -460,7 +462,7 @@
         a worse placement, but is never refused.
         """
         runner.hinted_until = now + HINT_SECONDS
-        runner.hinted_at = now
+        runner.leave_hinted_at = now
         self._hinted[runner.runner_id] = runner
 
     def hinted(self, service: str, now: float) -> set[str]:
@@ -481,11 +483,11 @@
         """
         return [
             runner
-            for runner_id, runner in self._held_back.items()
+            for runner_id, runner in self._restricted_runners.items()
             if self._runners.get(runner_id) is runner
-            and runner.signals.leaves
+            and runner.signals.is_leaving
             and not runner.entry.draining
-            and now >= runner.hinted_at + HINT_AGAIN_SECONDS
+            and now >= runner.leave_hinted_at + HINT_AGAIN_SECONDS
         ]
 
     def _known(self, runner_id: str) -> Runner | None:
@@ -553,7 +555,7 @@
             return None
         runner = self._runners[runner_id] = found.runner
         if runner_id in self._signals:
-            self._held_back[runner_id] = runner
+            self._restricted_runners[runner_id] = runner
         runner.leaving = runner.has_ended = False
         self.generation += 1
         return runner
@@ -606,7 +608,7 @@
         runner.failures += 1
         runner.suspected_until = max(runner.suspected_until, now + UNREACHABLE_SECONDS)
 
-    def heard(self, runner: Runner, now: float) -> None:
+    def record_contact(self, runner: Runner, now: float) -> None:
         """Record bytes from a runner, which ends a suspicion: it is alive."""
         runner.last_contact_at = now
         if runner.suspected_until > now:
--- a/src/hillstack/core/runner_signals.py
+++ b/src/hillstack/core/runner_signals.py
@@ -43,26 +43,26 @@
     """The signals that this node has received so far from one runner process.
 
     Attributes:
-        left_at: When the first answer arrived that reported the process as leaving; None without
-            one.
-        left_source: That answer, for the log.
+        leaving_since: When the first answer arrived that reported the process as leaving; None
+            without one.
+        leaving_source: That answer, for the log.
         backoff_until: This node sends no requests before this time: the latest end of all backoffs.
         backoff_asked_at: When that backoff arrived.
         backoff_source: The answer with that backoff, for the log.
         limit: The limit on the requests of all nodes together.
     """
 
-    left_at: float | None = None
-    left_source: str = ""
+    leaving_since: float | None = None
+    leaving_source: str = ""
     backoff_until: float = float("-inf")
     backoff_asked_at: float = float("-inf")
     backoff_source: str = ""
     limit: RunnerLimit = field(default_factory=RunnerLimit)
 
     @property
-    def leaves(self) -> bool:
+    def is_leaving(self) -> bool:
         """Whether the process is leaving."""
-        return self.left_at is not None
+        return self.leaving_since is not None
 
     def remaining_backoff(self, now: float) -> float:
         """Return the remaining seconds of the backoff; 0 without a backoff."""
@@ -75,17 +75,17 @@
 
     def restricts_requests(self, now: float) -> bool:
         """Return whether the signals may keep requests away from the process."""
-        return self.leaves or now < self.backoff_until or self.limit.in_force(now) is not None
+        return self.is_leaving or now < self.backoff_until or self.limit.in_force(now) is not None
 
-    def take(self, signals: RunnerSignals, source: str, now: float) -> bool:
+    def apply(self, signals: RunnerSignals, source: str, now: float) -> bool:
         """Apply the signals of an answer that has just arrived; return whether anything changed.
 
         Of several backoffs the latest end counts: neither an answer to an earlier request nor a
         refusal without a backoff shortens it.
         """
         is_news = False
-        if signals.leaving and self.left_at is None:
-            self.left_at, self.left_source = now, source
+        if signals.leaving and self.leaving_since is None:
+            self.leaving_since, self.leaving_source = now, source
             is_news = True
         until = now + signals.backoff_seconds
         if signals.backoff_seconds > 0 and until > self.backoff_until:
@@ -110,7 +110,7 @@
         """Return the signals of a process; None if it has sent none."""
         return self._signals.get(runner_id)
 
-    def keep(self, runner_id: str, received: ReceivedSignals) -> None:
+    def store(self, runner_id: str, received: ReceivedSignals) -> None:
         """Store the signals of a process, evicting the signals stored longest ago if necessary."""
         self._signals[runner_id] = received
         self._signals.move_to_end(runner_id)
--- a/src/hillstack/core/software_rollouts.py
+++ b/src/hillstack/core/software_rollouts.py
@@ -150,7 +150,7 @@
         # Number of entries of ``_untrusted`` per service.
         self._untrusted_counts: Counter[str] = Counter()
 
-    def take_order(self, order: RolloutOrder) -> bool:
+    def apply_order(self, order: RolloutOrder) -> bool:
         """Apply an order; return whether it begins a new rollout."""
         known = self._orders.get(order.service)
         if known is not None and known.revision >= order.revision:
--- a/src/hillstack/core/store_era.py
+++ b/src/hillstack/core/store_era.py
@@ -36,7 +36,7 @@
         """Register a handler that is called when new answers of the store contain a lower era."""
         self._on_decreased.append(handler)
 
-    def hear(self, era: int, source: str) -> None:
+    def observe(self, era: int, source: str) -> None:
         """Apply an era that a peer or the store reported.
 
         Args:
@@ -69,7 +69,7 @@
         if reported is None:
             return self.current if era_at_request == self.current else None
         if reported >= self.current:
-            self.hear(reported, STORE)
+            self.observe(reported, STORE)
             return reported
         if allow_stale or era_at_request < self.current:
             return None
--- a/src/hillstack/core/token_buckets.py
+++ b/src/hillstack/core/token_buckets.py
@@ -96,7 +96,7 @@
 
     incarnation: int
     number: int
-    heard_at: float
+    received_at: float
 
 
 @dataclass(slots=True)
@@ -107,15 +107,15 @@
         tolerance: By how much limits may be exceeded.
         lease_seconds: Duration of a lease.
         start_share: Share of the margin that all nodes together contribute when they start.
-        is_whole: Whether a request is admitted only if the bucket covers its whole cost. A bucket
-            then never grants more than it holds, however many holders there are, but it may need
-            tokens of other holders for each request.
+        requires_full_cost: Whether a request is admitted only if the bucket covers its whole cost.
+            A bucket then never grants more than it holds, however many holders there are, but it
+            may need tokens of other holders for each request.
     """
 
     tolerance: LimitTolerance
     lease_seconds: float
     start_share: float = START_SHARE
-    is_whole: bool = False
+    requires_full_cost: bool = False
     _refill_time: float = 0.0
     _starts: deque[tuple[float, float]] = field(default_factory=deque)
     _contributors: dict[str, _Contributor] = field(default_factory=dict)
@@ -167,7 +167,9 @@
         """Return the fraction of all nodes that contribute their time to this one."""
         return self._share
 
-    def take(self, tenant: str, limit: TenantLimit, cost: float, rank: int, now: float) -> bool:
+    def take_tokens(
+        self, tenant: str, limit: TenantLimit, cost: float, rank: int, now: float
+    ) -> bool:
         """Take a request's cost from a bucket; return whether the bucket had enough tokens.
 
         A request that costs more than the capacity empties a full bucket and leaves its level
@@ -199,7 +201,7 @@
         room = LEASE_SHARE * capacity - bucket.leased
         spare = bucket.level - LEASE_FILL * capacity
         leased = max(0.0, min(wanted, room, spare))
-        if self.is_whole:
+        if self.requires_full_cost:
             leased = math.floor(leased)
         if leased > 0.0:
             bucket.level -= leased
@@ -207,7 +209,7 @@
             bucket.leases[node_id] = _Lease(leased, now)
         return leased
 
-    def give(self, tenant: str, limit: TenantLimit, wanted: float, now: float) -> float:
+    def transfer_out(self, tenant: str, limit: TenantLimit, wanted: float, now: float) -> float:
         """Transfer tokens to another holder; return their number.
 
         Tokens for the bucket's own usage of the next ``RETAINED_USAGE_SECONDS`` are retained.
@@ -229,7 +231,7 @@
             self._record_usage(bucket, max(0.0, lease.tokens - tokens), now)
         bucket.level += tokens
 
-    def receive(self, tenant: str, limit: TenantLimit, tokens: float, now: float) -> None:
+    def transfer_in(self, tenant: str, limit: TenantLimit, tokens: float, now: float) -> None:
         """Add tokens that another holder transferred."""
         self._refilled(tenant, limit, now).level += tokens
 
@@ -275,7 +277,7 @@
         return {tenant: bucket.level for tenant, bucket in self._buckets.items()}
 
     def _is_contributing(self, contributor: _Contributor, now: float) -> bool:
-        return now - contributor.heard_at <= CONTRIBUTOR_SECONDS
+        return now - contributor.received_at <= CONTRIBUTOR_SECONDS
 
     def _recount(self, now: float) -> None:
         if now - self._counted_at < RECOUNT_SECONDS:
@@ -287,7 +289,7 @@
     def _needed(self, limit: TenantLimit, cost: float, rank: int) -> float:
         """Return the level that a bucket must have to admit a request."""
         needed = min(self._with_reserve(cost, rank), self._capacity(limit))
-        return max(cost, needed) if self.is_whole else needed
+        return max(cost, needed) if self.requires_full_cost else needed
 
     def _with_reserve(self, cost: float, rank: int) -> float:
         return cost * (1.0 + RESERVE_OF_RANK * max(0, rank))
--- a/src/hillstack/core/token_leases.py
+++ b/src/hillstack/core/token_leases.py
@@ -47,7 +47,7 @@
         self._contributed_until = now
         self._leases: dict[str, _Lease] = {}
 
-    def hand_over(self, now: float) -> float:
+    def take_contribution(self, now: float) -> float:
         """Return the time since the last contribution, limited to ``MAX_CONTRIBUTED_SECONDS``.
 
         The time counts as contributed from now on, even if the message is lost.
--- a/src/hillstack/core/weights_rollout.py
+++ b/src/hillstack/core/weights_rollout.py
@@ -31,25 +31,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutView:
+class WeightsLoadView:
     """State on which a decision is based.
 
     Attributes:
         runners: All runners of the services that serve the model.
         loading: Identifiers of runners that are loading.
-        resting: Identifiers of runners that were unreachable lately; they are retried later.
+        unreachable: Identifiers of runners that were unreachable lately; they are retried later.
         load_seconds: Recent duration for which a load takes a runner out of use.
         now: Time on the node's clock.
     """
 
     runners: Sequence[Runner]
     loading: Collection[str]
-    resting: Collection[str]
+    unreachable: Collection[str]
     load_seconds: float
     now: float
 
 
-class RolloutPlan:
+class WeightsLoadPlan:
     """Plans the loads of one model's weights.
 
     Args:
@@ -61,7 +61,7 @@
         self._model = model
         self._versions = versions
 
-    def next_loads(self, view: RolloutView) -> list[Runner]:
+    def next_loads(self, view: WeightsLoadView) -> list[Runner]:
         """Return the runners that should load now."""
         available = [runner for runner in view.runners if self._is_available(runner, view)]
         behind = [runner for runner in available if self._is_behind(runner)]
@@ -71,7 +71,7 @@
         return due[: max(0, self._load_allowance(available, waiting, view))]
 
     def _load_allowance(
-        self, available: Sequence[Runner], waiting: Sequence[Runner], view: RolloutView
+        self, available: Sequence[Runner], waiting: Sequence[Runner], view: WeightsLoadView
     ) -> int:
         """Return how many more runners may load now, so that enough live runners still serve."""
         alive = [runner for runner in available if view.now >= runner.suspected_until]
@@ -81,14 +81,16 @@
         most = max(1, int(len(alive) * share + 1e-9))
         return min(most, self._required_loads(waiting, loading, view)) - loading
 
-    def _required_loads(self, waiting: Sequence[Runner], loading: int, view: RolloutView) -> int:
+    def _required_loads(
+        self, waiting: Sequence[Runner], loading: int, view: WeightsLoadView
+    ) -> int:
         """Return how many runners must load at a time to finish before the first deadline."""
         first = min((self._deadline(runner) for runner in waiting), default=math.inf)
         left = max(MIN_PACE_SECONDS, first - view.now - PACE_SAFETY_SECONDS)
         return max(1, math.ceil((len(waiting) + loading) * view.load_seconds / left - 0.1))
 
-    def _is_available(self, runner: Runner, view: RolloutView) -> bool:
-        return not runner.leaves and runner.runner_id not in view.resting
+    def _is_available(self, runner: Runner, view: WeightsLoadView) -> bool:
+        return not runner.is_leaving and runner.runner_id not in view.unreachable
 
     def _is_behind(self, runner: Runner) -> bool:
         return runner.weights_version(self._model) < self._versions.newest(self._model)
--- a/src/hillstack/core/weights_versions.py
+++ b/src/hillstack/core/weights_versions.py
@@ -125,7 +125,7 @@
         known.append(announcement)
         return True
 
-    def narrow(self, named: NamedVersion, told_by: str = "") -> list[BoundMove]:
+    def apply_proof(self, named: NamedVersion, told_by: str = "") -> list[BoundMove]:
         """Apply a proof that a version was announced no earlier than a time, if that is later.
 
         Args:
--- a/src/hillstack/daemon/backend_watch.py
+++ b/src/hillstack/daemon/backend_watch.py
@@ -114,7 +114,7 @@
         if poller is not None:
             poller.cancel()
         self._unsubscribe(machine_id)
-        self._index.forget(machine_id)
+        self._index.remove(machine_id)
 
     async def _poll(self, machine_id: str) -> None:
         while True:
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -282,7 +282,7 @@
         holders = BucketHolders(node.id, self._state.nodes, choice, node.zone)
         scope = runner_scope(self._state.pool, self._clock)
         buckets = TokenBuckets(
-            RUNNER_TOLERANCE, LEASE_SECONDS, start_share=RUNNER_START_SHARE, is_whole=True
+            RUNNER_TOLERANCE, LEASE_SECONDS, start_share=RUNNER_START_SHARE, requires_full_cost=True
         )
         holder = LimitHolder(self._state, buckets, holders, self._link, self._clock, rng, scope)
         leases = TokenLeases(self._clock())
--- a/src/hillstack/daemon/limit_client.py
+++ b/src/hillstack/daemon/limit_client.py
@@ -227,7 +227,7 @@
             )
             for tenant in tenants
         ]
-        seconds = self._leases.hand_over(now)
+        seconds = self._leases.take_contribution(now)
         is_first, self._is_first = self._is_first, False
         return TokenQuestion(
             PROTOCOL_VERSION,
--- a/src/hillstack/daemon/limit_holder.py
+++ b/src/hillstack/daemon/limit_holder.py
@@ -137,7 +137,7 @@
             question.incarnation,
             question.number,
             question.seconds,
-            self._state.nodes.sharing_count(now),
+            self._state.nodes.budget_node_count(now),
             now,
             is_first=question.is_first,
         )
@@ -173,7 +173,7 @@
         return TenantGrant(entry.tenant, waits, leased)
 
     def _wait_ms(self, tenant: str, limit: TenantLimit, need: TokenNeed, now: float) -> int:
-        if self._buckets.take(tenant, limit, need.cost, need.rank, now):
+        if self._buckets.take_tokens(tenant, limit, need.cost, need.rank, now):
             return GRANTED
         wait = self._buckets.wait_seconds(tenant, limit, need.cost, need.rank, now)
         return round(wait * MILLISECONDS)
@@ -213,7 +213,7 @@
         for tenant, wanted in question.wanted.items():
             limit = self._limit(tenant)
             if limit is not None:
-                given[tenant] = self._buckets.give(tenant, limit, wanted, now)
+                given[tenant] = self._buckets.transfer_out(tenant, limit, wanted, now)
         answer = TransferAnswer(PROTOCOL_VERSION, question.number, given)
         self._link.send(self._scope.transfer_answer, pack(answer), node.address)
 
@@ -226,7 +226,7 @@
         for tenant, tokens in answer.given.items():
             limit = self._limit(tenant)
             if limit is not None:
-                self._buckets.receive(tenant, limit, tokens, now)
+                self._buckets.transfer_in(tenant, limit, tokens, now)
         self._transfers.take(answer.number, answer)
 
     def _expire(self, now: float) -> None:
--- a/src/hillstack/daemon/limit_scopes.py
+++ b/src/hillstack/daemon/limit_scopes.py
@@ -77,7 +77,7 @@
 
     def has_limits(self) -> bool:
         """Return whether any runner has announced a limit."""
-        return bool(self._pool.limited(self._clock()))
+        return bool(self._pool.active_limits(self._clock()))
 
     def limit_of(self, name: str, reported_rate: float) -> TenantLimit | None:
         """Return a runner's limit: the lower of the locally known and the reported rate."""
--- a/src/hillstack/daemon/notice_reader.py
+++ b/src/hillstack/daemon/notice_reader.py
@@ -90,7 +90,7 @@
             self._apply_limit(limit, now)
         self._apply_cache(notice, now)
         if notice.store_era is not None:
-            self._state.store_era.hear(notice.store_era, notice.node_id)
+            self._state.store_era.observe(notice.store_era, notice.node_id)
         for entry in notice.announcements:
             self._apply_announcement(notice.node_id, entry, now)
         if self._on_placement is not None:
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -155,7 +155,7 @@
         first = next((n for n in order if self._liveness.is_directly_reachable(n, now)), None)
         if first != self._state.node_id:
             return []
-        return self._liveness.silent_for(seconds, group, now)
+        return self._liveness.silent_nodes(seconds, group, now)
 
     def placed(self, notice: PlacementNotice) -> None:
         """Report a prompt sent to a runner, soon: until then peers may choose the same runner."""
@@ -222,16 +222,16 @@
     def leaving(self, runner: Runner) -> None:
         """Report that a runner announced that it leaves, unless a peer or the store reported it."""
         now = self._clock()
-        if runner.entry.draining or now < runner.hinted_at + HINT_AGAIN_SECONDS:
+        if runner.entry.draining or now < runner.leave_hinted_at + HINT_AGAIN_SECONDS:
             return
-        runner.hinted_at = now
+        runner.leave_hinted_at = now
         self._outbox.add_leaving(runner.runner_id)
         self._schedule()
 
     def limit_changed(self, runner_id: str, limit: RunnerLimit) -> None:
         """Report the limit that a runner has announced to this node."""
-        limit.told_at = self._clock()
-        self._outbox.add_limit(_limit_notice(runner_id, limit, limit.told_at))
+        limit.last_hint_at = self._clock()
+        self._outbox.add_limit(_limit_notice(runner_id, limit, limit.last_hint_at))
         self._schedule()
 
     def welcome(self, node_id: str) -> None:
@@ -250,7 +250,7 @@
 
     def _correct_limit(self, runner_id: str) -> None:
         limit = self._state.pool.limit_state(runner_id)
-        if limit is None or self._clock() < limit.told_at + LIMIT_CORRECTION_SECONDS:
+        if limit is None or self._clock() < limit.last_hint_at + LIMIT_CORRECTION_SECONDS:
             return
         self.limit_changed(runner_id, limit)
 
@@ -305,10 +305,10 @@
         self._outbox.set_announcements(self._recent_announcements())
         now = self._clock()
         for runner in self._state.pool.leaving_hints_due(now):
-            if self._should_repeat(runner.hinted_at, now):
+            if self._should_repeat(runner.leave_hinted_at, now):
                 self.leaving(runner)
         for runner_id, limit in self._state.pool.limit_hints_due(now).items():
-            if self._should_repeat(limit.told_at, now):
+            if self._should_repeat(limit.last_hint_at, now):
                 self.limit_changed(runner_id, limit)
         self.flush()
 
@@ -398,7 +398,7 @@
     def _on_notice(self, payload: bytes, peer: str) -> None:
         now = self._clock()
         notice = peer_notices.decode(payload, peer)
-        self._choice.heard(notice.node_id, now)
+        self._choice.record_contact(notice.node_id, now)
         self._reader.take_loads(notice.node_id, notice.loads, now)
         self._apply_notice(notice, now)
 
@@ -406,7 +406,7 @@
         now = self._clock()
         report = unpack(payload, NodeReport, peer)
         notice = peer_notices.decode(report.notice, peer)
-        self._choice.heard(report.node_id, now)
+        self._choice.record_contact(report.node_id, now)
         self._forward(report, notice, now)
         self._apply_notice(notice, now)
 
@@ -415,7 +415,7 @@
         now = self._clock()
         notices = self._apply_batch(batch, peer)
         self._relay.forward_batch(batch, now, urgent=_is_urgent(notices))
-        self._choice.heard_zone(batch.zone, now)
+        self._choice.record_zone_relay(batch.zone, now)
         if batch.region or not self._choice.topology.has_regions():
             return
         for zone_loads in batch.loads:
@@ -436,10 +436,10 @@
     def _apply_batch(self, batch: RelayBatch, peer: str) -> list[NodeNotice]:
         """Apply a batch; return the notices of other nodes in it."""
         now = self._clock()
-        self._choice.heard(batch.relay_id, now)
-        self._liveness.heard_zone(batch.zone, now)
+        self._choice.record_contact(batch.relay_id, now)
+        self._liveness.record_zone_contact(batch.zone, now)
         for zone_loads in batch.loads:
-            self._liveness.heard_zone(zone_loads.zone, now)
+            self._liveness.record_zone_contact(zone_loads.zone, now)
             self._reader.take_zone_loads(zone_loads.zone, zone_loads.loads, now)
         decoded = (peer_notices.decode(encoded, peer) for encoded in batch.notices)
         notices = [notice for notice in decoded if notice.node_id != self._state.node_id]
@@ -450,7 +450,7 @@
     def _apply_notice(self, notice: NodeNotice, now: float) -> None:
         """Apply a notice except for its loads, and record that its sender is alive."""
         self._state.nodes.record_contact(notice.node_id, now)
-        is_new = self._liveness.heard(notice.node_id, notice.incarnation, now)
+        is_new = self._liveness.record_contact(notice.node_id, notice.incarnation, now)
         self._reader.take(notice, now)
         if is_new:
             for handler in self._on_new_peer:
--- a/src/hillstack/daemon/region_crossing.py
+++ b/src/hillstack/daemon/region_crossing.py
@@ -161,7 +161,7 @@
                 self._send(region, outbox, now)
 
     def _send(self, region: str, outbox: RelayOutbox, now: float) -> None:
-        border_relay = self._choice.speaker_of(region, now)
+        border_relay = self._choice.border_relay_of(region, now)
         if border_relay is None:
             return
         self._sent_at[region] = now
@@ -275,7 +275,7 @@
         if runner is not None:
             return self._choice.topology.region_of(runner.entry.zone)
         table = self._state.table
-        for store in table.kept_cache_stores() if table is not None else []:
+        for store in table.kv_cache_stores() if table is not None else []:
             if store.address == holder_id:
                 return self._choice.topology.region_of(store.zone)
         return None
--- a/src/hillstack/daemon/rollout_decider.py
+++ b/src/hillstack/daemon/rollout_decider.py
@@ -167,7 +167,7 @@
             return
         self._log_step(view, step)
         try:
-            revision = await self._store.write_rollout(step.record, fence, step.news)
+            revision = await self._store.write_rollout(step.record, fence, step.notifies_operator)
         except PlatformOutcomeUnknownError as error:
             logger.warning("rollout step without an answer", extra=self._log_fields(error))
             await self._reload_record()
@@ -230,7 +230,7 @@
             live_nodes=self._live_nodes(),
             places=self._places(watch, now),
             apply_seconds=self._apply_seconds,
-            passed_over=self._state.rollouts.untrusted_targets(self._service),
+            untrusted_targets=self._state.rollouts.untrusted_targets(self._service),
             has_lost_record=self._state.rollouts.has_lost_record(self._service),
         )
 
@@ -242,7 +242,7 @@
         return {
             node_id: reporter
             for node_id, reporter in reporters.items()
-            if now - reporter.heard_at < REPORT_FRESH_SECONDS
+            if now - reporter.received_at < REPORT_FRESH_SECONDS
         }
 
     def _places(self, watch: _Watch, now: float) -> Places:
@@ -262,7 +262,7 @@
     def _is_usable_alternative(self, runner: Runner, order: RolloutOrder, now: float) -> bool:
         """Return whether a runner has another version that may be used, and stays in service."""
         version = runner.entry.software
-        if version == order.target or not runner.stays(now):
+        if version == order.target or not runner.will_accept(now):
             return False
         return self._state.rollouts.access(self._service, version) is not VersionAccess.CLOSED
 
--- a/src/hillstack/daemon/store_relay.py
+++ b/src/hillstack/daemon/store_relay.py
@@ -113,7 +113,7 @@
         if answer is None:
             return None
         if answer.era is not None:
-            self._state.store_era.hear(answer.era, node_id)
+            self._state.store_era.observe(answer.era, node_id)
         return _relayed_changes(answer, asked_at)
 
     def _take_question(self, payload: bytes, peer: str) -> None:
@@ -123,7 +123,7 @@
             # The asking node is new; this node has not yet read its entry from the store.
             return
         if question.era is not None:
-            self._state.store_era.hear(question.era, question.node_id)
+            self._state.store_era.observe(question.era, question.node_id)
         payload = pack(self._answer(question))
         if len(payload) > MAX_ANSWER_BYTES:
             fields = {"peer": question.node_id, "bytes": len(payload)}
--- a/src/hillstack/daemon/weights_rollout_duty.py
+++ b/src/hillstack/daemon/weights_rollout_duty.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from hillstack.core.runner_pool import Runner
-from hillstack.core.weights_rollout import RolloutPlan, RolloutView
+from hillstack.core.weights_rollout import WeightsLoadPlan, WeightsLoadView
 from hillstack.daemon.duty_lease import DutyLease
 from hillstack.daemon.lease_renewer import AcquireSlot, LeaseRenewer
 from hillstack.daemon.peer_exchange import PeerExchange
@@ -81,7 +81,7 @@
         self._loading: dict[str, asyncio.Task[None]] = {}
         self._paused_until: dict[str, float] = {}
         self._load_seconds = INITIAL_LOAD_SECONDS
-        self._plans: dict[str, RolloutPlan] = {}
+        self._plans: dict[str, WeightsLoadPlan] = {}
         slot = AcquireSlot(state, self._is_free, clock, rng)
         self._lease_renewer = LeaseRenewer(lease, slot, self._note_held)
 
@@ -142,8 +142,8 @@
                 for service in self._state.engine_services(model)
                 for runner in self._state.pool.of_service(service)
             ]
-            view = RolloutView(runners, self._loading, paused, self._load_seconds, now)
-            plan = self._plans.setdefault(model, RolloutPlan(model, self._state.versions))
+            view = WeightsLoadView(runners, self._loading, paused, self._load_seconds, now)
+            plan = self._plans.setdefault(model, WeightsLoadPlan(model, self._state.versions))
             for runner in plan.next_loads(view):
                 self._start_load(runner, model)
 
@@ -202,7 +202,7 @@
             wait = min(runner.prefill_wait(now), gives_up_at - now)
 
     def _may_continue(self, runner: Runner, limit: float) -> bool:
-        if runner.leaves or self._lease.fence() is None:
+        if runner.is_leaving or self._lease.fence() is None:
             return False
         return self._clock() < limit
 
--- a/src/hillstack/serving/backoff_waits.py
+++ b/src/hillstack/serving/backoff_waits.py
@@ -53,7 +53,7 @@
         """Return how many requests of this node may wait: one if a rate limit is exhausted."""
         if holds_back(runner.signals.limit, now):
             return 1
-        return max(1, runner.entry.slots // max(1, self._state.nodes.sharing_count(now)))
+        return max(1, runner.entry.slots // max(1, self._state.nodes.budget_node_count(now)))
 
     def begin(self, runner: Runner) -> None:
         """Count a request that begins to wait."""
--- a/src/hillstack/serving/cache_estimates.py
+++ b/src/hillstack/serving/cache_estimates.py
@@ -98,7 +98,9 @@
         if notice.save_to is not None:
             stored_at = self._stored_at(notice.save_to, notice.runner_id, parts, now)
             if not self._state.index.note_ready(notice.save_to, notice.salt, parts, stored_at):
-                self._state.index.note(notice.save_to, notice.salt, parts, ready_at=stored_at)
+                self._state.index.record_cached(
+                    notice.save_to, notice.salt, parts, ready_at=stored_at
+                )
 
     def _add_peer_parts(self, notice: PlacementNotice, ready_at: float, now: float) -> None:
         parts = notice.prompt_parts()
@@ -112,7 +114,7 @@
         runner = self._state.pool.get(runner_id)
         if runner is not None:
             reserved = runner.committed_tokens(now)
-            self._state.index.note(runner_id, salt, parts, reserved, ready_at)
+            self._state.index.record_cached(runner_id, salt, parts, reserved, ready_at)
 
     def _add_saved_parts(
         self,
@@ -124,7 +126,7 @@
     ) -> None:
         """Add parts to a store, available once its link has transferred the saves before them."""
         stored_at = self._stored_at(address, runner_id, parts, ready_at)
-        self._state.index.note(address, salt, parts, ready_at=stored_at)
+        self._state.index.record_cached(address, salt, parts, ready_at=stored_at)
 
     def _stored_at(
         self, address: str, runner_id: str, parts: Sequence[PromptPart], ready_at: float
@@ -161,7 +163,7 @@
     def _seconds_per_token(self, address: str, service: str) -> float:
         """Return the transfer time of a token to a store; 0 for an unknown store or service."""
         table = self._state.table
-        stores = table.kept_cache_stores() if table is not None else []
+        stores = table.kv_cache_stores() if table is not None else []
         store = next((store for store in stores if store.address == address), None)
         engine = self._state.engine_of(service)
         if engine is None or store is None:
--- a/src/hillstack/serving/fleet_state.py
+++ b/src/hillstack/serving/fleet_state.py
@@ -112,7 +112,7 @@
         self.budget = budget
         self.table: RoutingTable | None = None
         self.pool = RunnerPool()
-        self._doubtful_entries = UnconfirmedEntries(self.pool)
+        self._unconfirmed_entries = UnconfirmedEntries(self.pool)
         self.runner_ends = RunnerCrashRecord()
         self.crash_counts = CrashCounts()
         self.probations = Probations()
@@ -218,7 +218,7 @@
 
     def narrow_weights_bound(self, named: NamedVersion, source: str, now: float) -> None:
         """Narrow the interval in which a known version was named by what a peer has proved."""
-        self._log_bound_moves(self.versions.narrow(named, source), now)
+        self._log_bound_moves(self.versions.apply_proof(named, source), now)
 
     def retain_nodes(self, listed: set[str], now: float, revision: StoreRevision) -> None:
         """Remove the nodes that a complete list, as of a revision, no longer contains."""
@@ -228,7 +228,7 @@
 
     def retain_runners(self, listed: set[str], now: float, revision: StoreRevision) -> None:
         """Remove the runners that a complete list, as of a revision, no longer contains."""
-        self._doubtful_entries.retain(listed)
+        self._unconfirmed_entries.retain(listed)
         for runner in self.pool.all():
             if runner.entry.directory_name in listed or runner.entry.revision > revision:
                 continue
@@ -315,10 +315,10 @@
     def expire(self, now: float) -> None:
         """Drop outdated state, and apply held back directory entries that are due."""
         self._withdraw_missing_orders(now)
-        for entry in self._doubtful_entries.take_due(now):
+        for entry in self._unconfirmed_entries.take_due(now):
             self._apply_entry(entry, now)
         for runner in self.pool.expire_unlisted(now):
-            self.index.forget(runner.runner_id)
+            self.index.remove(runner.runner_id)
         self._update_budget_shares(now)
 
     def _withdraw_missing_orders(self, now: float) -> None:
@@ -333,12 +333,12 @@
                 self.rollouts.withdraw(service, order.revision)
                 logger.info("rollout order withdrawn", extra={"service": service})
 
-    def kept_cache_stores(self, now: float) -> list[KvCacheStore]:
+    def kv_cache_stores(self, now: float) -> list[KvCacheStore]:
         """Return the KV cache stores that answer."""
-        stores = self.table.kept_cache_stores() if self.table is not None else []
+        stores = self.table.kv_cache_stores() if self.table is not None else []
         return [s for s in stores if now >= self._unavailable_until.get(s.address, now)]
 
-    def kept_cache_store(self, zone: str, now: float) -> KvCacheStore | None:
+    def kv_cache_store_for(self, zone: str, now: float) -> KvCacheStore | None:
         """Return the KV cache store for runners of a zone: the nearest one in their region.
 
         None if no store of the region answers. A save to another region takes ten times as long,
@@ -346,7 +346,7 @@
         """
         nearest: KvCacheStore | None = None
         least = Distance.OTHER_REGION
-        for store in self.kept_cache_stores(now):
+        for store in self.kv_cache_stores(now):
             distance = self.topology.distance(store.zone, zone)
             if distance < least:
                 nearest, least = store, distance
@@ -370,7 +370,7 @@
             return self._holders
         holders = [
             CacheHolder(store.address, store.address, store.zone, is_store=True)
-            for store in self.table.kept_cache_stores()
+            for store in self.table.kv_cache_stores()
         ]
         for runner in self.pool.all():
             if self.engine_of(runner.entry.service) is not None and not runner.leaving:
@@ -409,7 +409,7 @@
         if self.table is not None and table.version <= self.table.version:
             return
         self.table = table
-        for store in table.kept_cache_stores():
+        for store in table.kv_cache_stores():
             self.index.set_capacity(store.address, store.capacity_tokens)
         for runner in self.pool.all():
             self._set_capacity(runner)
@@ -417,7 +417,7 @@
         logger.info("configuration in force", extra=fields)
 
     def _apply_rollout_order(self, order: RolloutOrder, not_before: float, now: float) -> None:
-        if not self.rollouts.take_order(order):
+        if not self.rollouts.apply_order(order):
             return
         self.exposure.open(order.service, order.identity, order.over_seconds, not_before, now)
         fields = {
@@ -451,7 +451,7 @@
             logger.info("node gone", extra={"listed_node": node_id, "nodes": len(self.nodes)})
 
     def _update_budget_shares(self, now: float) -> None:
-        count = self.nodes.sharing_count(now)
+        count = self.nodes.budget_node_count(now)
         self.budget.set_node_count(count if self.peers_known else MAX_NODES)
         self.exposure.set_node_count(count)
 
@@ -460,7 +460,7 @@
             # A runner process always writes its start time, so something else wrote this entry.
             self._apply_removal(entry.directory_name, entry.revision, now)
             return
-        if not self._doubtful_entries.withhold(entry, now):
+        if not self._unconfirmed_entries.withhold(entry, now):
             self._apply_entry(entry, now)
 
     def _apply_entry(self, entry: RunnerEntry, now: float) -> None:
@@ -506,7 +506,7 @@
             return
         runner.has_ended = True
         self.pool.unlist(runner.runner_id, now, 0.0)
-        self.index.forget(runner.runner_id)
+        self.index.remove(runner.runner_id)
         logger.info("runner started again", extra={"runner": runner.runner_id})
         self._on_restarted(runner)
 
@@ -516,7 +516,7 @@
             self.index.set_capacity(runner.runner_id, engine.kv_capacity_tokens)
 
     def _apply_removal(self, listed_as: str, revision: StoreRevision | None, now: float) -> None:
-        self._doubtful_entries.drop(listed_as)
+        self._unconfirmed_entries.drop(listed_as)
         runner = self.pool.listed_as(listed_as)
         if runner is None:
             return
--- a/src/hillstack/serving/pipeline.py
+++ b/src/hillstack/serving/pipeline.py
@@ -334,7 +334,7 @@
                 self._log_older_weights("began on older weights", job, placed)
                 self._count_older_weights(job, placed)
             job.watch.head(answer.status, answered_at, signed=answer.signed)
-            self._state.pool.heard(placed.runner, answered_at)
+            self._state.pool.record_contact(placed.runner, answered_at)
             self._placement.answered(job, placed, attempt_id, answered_at)
             done = await self._relay(job, placed, attempt_id, answer, sink)
             may_still_run = False
@@ -513,7 +513,7 @@
             if not piece:
                 break
             job.note_bytes(self._clock())
-            self._state.pool.heard(placed.runner, self._clock())
+            self._state.pool.record_contact(placed.runner, self._clock())
             events = job.framing.feed(piece, placed.runner.runner_id)
             if not events:
                 continue
--- a/src/hillstack/serving/placement.py
+++ b/src/hillstack/serving/placement.py
@@ -11,7 +11,7 @@
 
 from hillstack.core.answer_durations import AnswerDurations
 from hillstack.core.overload import MAX_RETRY_SECONDS, MIN_RETRY_SECONDS
-from hillstack.core.placement.cached_parts import Surroundings
+from hillstack.core.placement.cached_parts import PlacementInputs
 from hillstack.core.placement.expected_delay import (
     Candidate,
     Choice,
@@ -219,7 +219,7 @@
         counts = dict.fromkeys(CENSUS_REASONS, 0)
         runners = self._state.pool.of_service(job.service)
         for runner in runners:
-            if runner.leaves:
+            if runner.is_leaving:
                 counts["leaving"] += 1
             elif runner.signals.remaining_backoff(now) > 0:
                 counts["backing_off"] += 1
@@ -273,7 +273,7 @@
         """Return the runners that accept the request now or are expected to accept it later."""
         oldest = self._oldest_allowed(job, now)
         for runner in self._state.pool.of_service(job.service):
-            if not runner.stays(now) or not self.versions.may_use(job, runner, now):
+            if not runner.will_accept(now) or not self.versions.may_use(job, runner, now):
                 continue
             if runner.weights_after_load(job.request.model) >= oldest:
                 yield runner
@@ -401,7 +401,7 @@
         chosen = remote if borrowed else local
         if not chosen:
             return None
-        suited = self._state.probations.suited(chosen, job.suspect_rank, now)
+        suited = self._state.probations.select_runners(chosen, job.suspect_rank, now)
         return PlacedAttempt(min(suited, key=order), borrowed=borrowed)
 
     def _application_borrows(
@@ -467,12 +467,14 @@
                     version_terms.superseded_at,
                 )
             )
-        surroundings = self._surroundings(job, engine, now)
-        choice = self._choose_separated(job, shape, local, surroundings, accepting)
+        inputs = self._inputs(job, engine, now)
+        choice = self._choose_separated(job, shape, local, inputs, accepting)
         reason = self._borrow_reason(job, choice, now) if remote else None
         if reason is not None:
-            far_surroundings = _cross_region_surroundings(surroundings, job.request)
-            cross_region = self._choose_separated(job, shape, remote, far_surroundings, accepting)
+            cross_region_inputs = _cross_region_inputs(inputs, job.request)
+            cross_region = self._choose_separated(
+                job, shape, remote, cross_region_inputs, accepting
+            )
             if cross_region is not None and (choice is None or cross_region.cost < choice.cost):
                 return replace(self._placed(cross_region, shape, now), borrowed=reason)
         return self._placed(choice, shape, now) if choice is not None else None
@@ -482,19 +484,19 @@
         job: Job,
         shape: PromptShape,
         candidates: list[Candidate],
-        surroundings: Surroundings,
+        inputs: PlacementInputs,
         holders: list[Runner],
     ) -> Choice | None:
         """Return the best choice that keeps suspects apart from each other and from other requests.
 
         If that choice is late for a request that is no suspect, all candidates are considered.
         """
-        suited = self._separate_suspects(job, candidates, surroundings.now)
-        choice = self._policy.choose(shape, suited, surroundings, holders)
-        is_in_time = choice is not None and choice.delay <= surroundings.target_seconds
+        suited = self._separate_suspects(job, candidates, inputs.now)
+        choice = self._policy.choose(shape, suited, inputs, holders)
+        is_in_time = choice is not None and choice.delay <= inputs.target_seconds
         if is_in_time or len(suited) == len(candidates) or job.is_suspect:
             return choice
-        return self._policy.choose(shape, candidates, surroundings, holders)
+        return self._policy.choose(shape, candidates, inputs, holders)
 
     def _borrow_reason(self, job: Job, choice: Choice | None, now: float) -> BorrowReason | None:
         """Return why runners of another region are considered too; None if they are not."""
@@ -515,7 +517,7 @@
         if not job.is_suspect and not self._state.probations:
             return candidates
         runners = [candidate.runner for candidate in candidates]
-        suited = self._state.probations.suited(runners, job.suspect_rank, now)
+        suited = self._state.probations.select_runners(runners, job.suspect_rank, now)
         ids = {runner.runner_id for runner in suited}
         return [candidate for candidate in candidates if candidate.runner.runner_id in ids]
 
@@ -525,18 +527,18 @@
         superseded_at = self._state.versions.superseded_at(model, version)
         return _VersionTerms(self._salt(job, version), due, superseded_at)
 
-    def _surroundings(self, job: Job, engine: EngineProfile, now: float) -> Surroundings:
+    def _inputs(self, job: Job, engine: EngineProfile, now: float) -> PlacementInputs:
         table = self._state.table
         assert table is not None
-        return Surroundings(
+        return PlacementInputs(
             zone=self._zone,
             engine=engine,
             prefill_rate=self.prefill_rate(job.service),
-            stores=self._state.kept_cache_stores(now),
+            stores=self._state.kv_cache_stores(now),
             now=now,
             target_seconds=job.route.target_seconds,
             gap_seconds=table.shortest_gap(job.service),
-            resting=self._idle_until,
+            idle_until=self._idle_until,
             topology=self._state.topology,
             failed_zones=self._regions.failed_zones(job.excluded),
         )
@@ -544,7 +546,7 @@
     def _placed(self, choice: Choice, shape: PromptShape, now: float) -> PlacedAttempt:
         runner = choice.candidate.runner
         salt = choice.candidate.salt
-        store = self._state.kept_cache_store(runner.entry.zone, now)
+        store = self._state.kv_cache_store_for(runner.entry.zone, now)
         if store is not None and not self._cache_estimates.should_save(store, salt, shape, now):
             store = None
         return PlacedAttempt(
@@ -594,10 +596,10 @@
     return now >= runner.shed_until and runner.running(now) < runner.entry.slots
 
 
-def _cross_region_surroundings(surroundings: Surroundings, request: ServingRequest) -> Surroundings:
-    """Return the surroundings of candidates in another region, with the costs of the link."""
+def _cross_region_inputs(inputs: PlacementInputs, request: ServingRequest) -> PlacementInputs:
+    """Return the inputs of candidates in another region, with the costs of the link."""
     cost = SECONDS_PER_BYTE * exchange_bytes(request)
-    return replace(surroundings, round_trip_seconds=DETOUR_SECONDS, round_trip_cost=cost)
+    return replace(inputs, round_trip_seconds=DETOUR_SECONDS, round_trip_cost=cost)
 
 
 def _should_announce(placed: PlacedAttempt, shape: PromptShape) -> bool:
--- a/src/hillstack/serving/region_choice.py
+++ b/src/hillstack/serving/region_choice.py
@@ -95,7 +95,7 @@
         """Return how many nodes share the link: all except those known to be in another region."""
         nodes = self._state.nodes
         other = self.other_zones()
-        return nodes.sharing_count(now) - sum(node.zone in other for node in nodes.all())
+        return nodes.budget_node_count(now) - sum(node.zone in other for node in nodes.all())
 
 
 def is_late(delay: float, target_seconds: float) -> bool:
--- a/src/hillstack/serving/rollout_observer.py
+++ b/src/hillstack/serving/rollout_observer.py
@@ -73,7 +73,7 @@
         """Return the latest verdict and its reason."""
         ...
 
-    def look(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
+    def evaluate(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
         """Evaluate the evidence and return the verdict."""
         ...
 
@@ -157,8 +157,8 @@
         assert observed.judge is not None
         return opinion_of(
             observed.judge.opinion(),
-            peer_says_bad=observed.evidence.peer_says_bad(),
-            is_condemned=self._state.rollouts.stage(service) is RolloutStage.REVERTED,
+            is_reported_bad=observed.evidence.is_reported_bad(),
+            is_reverted=self._state.rollouts.stage(service) is RolloutStage.REVERTED,
         )
 
     def watch(self, job: Job, placed: PlacedAttempt, now: float) -> AttemptMonitor:
@@ -219,7 +219,7 @@
         observed = self._rollout_of_report((report.service, identity))
         if observed is None:
             return
-        observed.evidence.take(node_id, incarnation, report, now)
+        observed.evidence.merge_report(node_id, incarnation, report, now)
         if order is not None and is_current:
             self._evaluate(order, now)
 
@@ -296,7 +296,7 @@
         if self._state.rollouts.stage(order.service) not in EVALUATED_STAGES:
             return
         observed = self._rollout_of_order(order, now)
-        if observed.evidence.peer_says_bad():
+        if observed.evidence.is_reported_bad():
             self._close_version(order, observed, "a peer says so", now)
             return
         assert observed.judge is not None and observed.age is not None
@@ -304,14 +304,14 @@
             return
         self._add_local_evidence(order, observed, now)
         observed.judge.note_ordered_at(self._ordered_at(order, observed, now))
-        if observed.judge.look(observed.evidence.totals(), now) is Verdict.BAD:
+        if observed.judge.evaluate(observed.evidence.totals(), now) is Verdict.BAD:
             self._close_version(order, observed, "evidence", now)
 
     def _add_local_evidence(
         self, order: RolloutOrder, observed: _ObservedRollout, now: float
     ) -> None:
         own = self._make_report(order, observed, observed.outcomes.rows())
-        observed.evidence.take(self._state.node_id, LOCAL_INCARNATION, own, now)
+        observed.evidence.merge_report(self._state.node_id, LOCAL_INCARNATION, own, now)
 
     def _close_version(
         self, order: RolloutOrder, observed: _ObservedRollout, cause: str, now: float
--- a/src/hillstack/serving/runner_crashes.py
+++ b/src/hillstack/serving/runner_crashes.py
@@ -20,7 +20,7 @@
 from hillstack.core.rendezvous import owner, ranked
 from hillstack.core.request_fingerprint import content_name, request_fingerprint
 from hillstack.core.runner_crashes import (
-    END_SECONDS,
+    CRASH_RETENTION_SECONDS,
     FATAL_REFUSAL_SECONDS,
     FatalRequest,
     RunAtCrash,
@@ -379,17 +379,17 @@
             until = now + notice.probation_ms / 1000
             for request in notice.requests:
                 names = (request.fingerprint, request.content)
-                self._state.probations.told(notice.runner_id, until, names)
+                self._state.probations.note_peer_suspect(notice.runner_id, until, names)
                 for name in names:
                     self._counts.record_trial(name, now)
             return
         if notice.taken_back:
-            end = self._record.get(notice.runner_id)
-            if end is not None and ended_at > end.ended_at + MIN_RESTART_SECONDS:
+            crash = self._record.get(notice.runner_id)
+            if crash is not None and ended_at > crash.crashed_at + MIN_RESTART_SECONDS:
                 # The peer may have received bytes from the next process.
                 return
-            if self._record.take_back(notice.runner_id, ended_at):
-                self._counts.take_back(notice.runner_id)
+            if self._record.record_contact(notice.runner_id, ended_at):
+                self._counts.retract(notice.runner_id)
                 fields = {"runner": notice.runner_id, "by": peer}
                 logger.info("runner has not ended", extra=fields)
             return
@@ -441,10 +441,10 @@
         now = self._clock()
         notices = [
             notice
-            for end in self._record.ends()
-            if end.runner_id in self._locally_lost
-            or owner(end.runner_id, others) == self._state.node_id
-            for notice in self._notices(end, now)
+            for crash in self._record.crashes()
+            if crash.runner_id in self._locally_lost
+            or owner(crash.runner_id, others) == self._state.node_id
+            for notice in self._notices(crash, now)
         ]
         notices += self._earlier_crash_notices(others, now)
         self._peers.send_runner_ends(node_id, notices)
@@ -456,8 +456,8 @@
         for fingerprint, run in self._counts.repeated():
             if self._record.get(run.runner_id) is not None:
                 continue
-            ended_at[run.runner_id] = run.ended_at
-            age_ms = round((run.ended_at - run.began_at) * 1000)
+            ended_at[run.runner_id] = run.crashed_at
+            age_ms = round((run.crashed_at - run.began_at) * 1000)
             answering_ms = age_ms if run.is_settled else 0
             reported = requests.setdefault(run.runner_id, [])
             reported.append(RequestAtEnd(fingerprint, age_ms, run.is_settled, answering_ms))
@@ -486,13 +486,15 @@
         self._refresh()
         self._reset_survivor_counts()
         now = self._clock()
-        latest = [end for end in self._record.ends() if end.runner_id in self._locally_lost]
-        for end in latest[-MAX_REPEATED_CRASHES:]:
-            if now - end.ended_at < NOTICE_REPEAT_SECONDS:
-                self._send_crash_notices(end, now)
+        latest = [
+            crash for crash in self._record.crashes() if crash.runner_id in self._locally_lost
+        ]
+        for crash in latest[-MAX_REPEATED_CRASHES:]:
+            if now - crash.crashed_at < NOTICE_REPEAT_SECONDS:
+                self._send_crash_notices(crash, now)
 
-    def _send_crash_notices(self, end: RunnerCrash, now: float) -> None:
-        for notice in self._notices(end, now):
+    def _send_crash_notices(self, crash: RunnerCrash, now: float) -> None:
+        for notice in self._notices(crash, now):
             self._peers.runner_ended(notice)
 
     def _send_probation(
@@ -510,7 +512,9 @@
             "fingerprint": f"{fingerprint:016x}",
             "content": f"{self._content(job):016x}",
             "runner": runner.runner_id,
-            "ended": [end.runner_id for end in self._record.ends() if fingerprint in end.runs],
+            "ended": [
+                crash.runner_id for crash in self._record.crashes() if fingerprint in crash.runs
+            ],
             "ends": self._max_crash_count(job),
         }
         logger.info("suspect sent", extra=fields)
@@ -528,23 +532,23 @@
         now = self._clock()
         self._record.expire(now)
         self._counts.expire(now)
-        for end in self._record.ends():
-            runner = self._state.pool.get(end.runner_id)
-            if runner is None or not self._has_survived(runner, end.ended_at):
+        for crash in self._record.crashes():
+            runner = self._state.pool.get(crash.runner_id)
+            if runner is None or not self._has_survived(runner, crash.crashed_at):
                 continue
-            self._record.take_back(end.runner_id, runner.last_contact_at)
-            self._counts.take_back(end.runner_id)
-            self._locally_lost.pop(end.runner_id, None)
+            self._record.record_contact(crash.runner_id, runner.last_contact_at)
+            self._counts.retract(crash.runner_id)
+            self._locally_lost.pop(crash.runner_id, None)
             self._metrics.runner_ends.labels("taken_back").inc()
-            logger.info("runner has not ended", extra={"runner": end.runner_id})
+            logger.info("runner has not ended", extra={"runner": crash.runner_id})
             seen_ms_ago = max(0, int((now - runner.last_contact_at) * 1000))
             self._peers.runner_ended(
-                RunnerEndNotice(end.runner_id, seen_ms_ago, [], taken_back=True)
+                RunnerEndNotice(crash.runner_id, seen_ms_ago, [], taken_back=True)
             )
         self._locally_lost = {
             runner_id: ended_at
             for runner_id, ended_at in self._locally_lost.items()
-            if now - ended_at < END_SECONDS or self._record.get(runner_id) is not None
+            if now - ended_at < CRASH_RETENTION_SECONDS or self._record.get(runner_id) is not None
         }
 
     def _reset_counts(self, names: Iterable[int]) -> None:
@@ -601,9 +605,9 @@
         now = self._clock()
         untold, self._unreported = self._unreported, set()
         for runner_id in sorted(untold):
-            end = self._record.get(runner_id)
-            if end is not None:
-                self._send_crash_notices(end, now)
+            crash = self._record.get(runner_id)
+            if crash is not None:
+                self._send_crash_notices(crash, now)
 
     def _enforce_verdicts(self) -> None:
         """Abort running fatal requests, and log newly found ones."""
@@ -660,18 +664,18 @@
                 job.is_fatal = True
                 job.expire_now()
 
-    def _notices(self, end: RunnerCrash, now: float) -> list[RunnerEndNotice]:
+    def _notices(self, crash: RunnerCrash, now: float) -> list[RunnerEndNotice]:
         """Return the notices of a crash, one per datagram; usually a single one."""
-        parts = range(0, max(1, len(end.runs)), MAX_NOTICE_REQUESTS)
-        return [self._notice(end, now, first) for first in parts]
+        parts = range(0, max(1, len(crash.runs)), MAX_NOTICE_REQUESTS)
+        return [self._notice(crash, now, first) for first in parts]
 
-    def _notice(self, end: RunnerCrash, now: float, first: int = 0) -> RunnerEndNotice:
+    def _notice(self, crash: RunnerCrash, now: float, first: int = 0) -> RunnerEndNotice:
         """Return one notice of a crash with some of its runs, the most suspected first."""
-        runs = sorted(end.runs.items(), key=lambda item: (-item[1].weight, item[0]))
+        runs = sorted(crash.runs.items(), key=lambda item: (-item[1].weight, item[0]))
         reported = runs[first : first + MAX_NOTICE_REQUESTS]
         requests = [_request_at_end(fingerprint, run) for fingerprint, run in reported]
-        ended_ms_ago = max(0, round((now - end.ended_at) * 1000))
-        return RunnerEndNotice(end.runner_id, ended_ms_ago, requests, end.running)
+        ended_ms_ago = max(0, round((now - crash.crashed_at) * 1000))
+        return RunnerEndNotice(crash.runner_id, ended_ms_ago, requests, crash.running)
 
     def _names(self, job: Job) -> tuple[int, int]:
         return self._fingerprint(job), self._content(job)
@@ -704,7 +708,7 @@
     if runner.has_ended and not runner.entry.draining:
         # The runner did not leave: its next process was seen before its connections broke.
         return False
-    return not runner.stays(now) or now < runner.loading_until
+    return not runner.will_accept(now) or now < runner.loading_until
 
 
 def _request_at_end(fingerprint: int, run: RunAtCrash) -> RequestAtEnd:
--- a/src/hillstack/serving/signal_receiver.py
+++ b/src/hillstack/serving/signal_receiver.py
@@ -86,7 +86,7 @@
             self._metrics.runner_signals.labels(LEAVING).inc()
         if signals.backoff_seconds > 0:
             self._metrics.runner_signals.labels(BACKOFF).inc()
-        if not self._pool.hear(runner_id, signals, source, self._clock()):
+        if not self._pool.apply_signals(runner_id, signals, source, self._clock()):
             return
         fields = {
             "runner": runner_id,
@@ -113,7 +113,9 @@
         now: Time on the node's clock.
     """
     held_back = [
-        r for r in pool.held_back(chosen.entry.service, now) if _active_signals(r.signals, now)
+        r
+        for r in pool.restricted_runners(chosen.entry.service, now)
+        if _active_signals(r.signals, now)
     ]
     if not held_back:
         return
@@ -133,7 +135,7 @@
 
 def _active_signals(received: ReceivedSignals, now: float) -> list[str]:
     signals = []
-    if received.leaves:
+    if received.is_leaving:
         signals.append(LEAVING)
     if received.remaining_backoff(now) > 0:
         signals.append(BACKOFF)
@@ -146,9 +148,9 @@
     """Return the log fields of a runner's active signals, with their source and age."""
     received = runner.signals
     known: dict[str, object] = {"runner": runner.runner_id}
-    if received.left_at is not None:
-        known["leaving_since_seconds"] = rounded_seconds(now - received.left_at)
-        known["leaving_source"] = received.left_source
+    if received.leaving_since is not None:
+        known["leaving_since_seconds"] = rounded_seconds(now - received.leaving_since)
+        known["leaving_source"] = received.leaving_source
     if received.remaining_backoff(now) > 0:
         known["backoff_left_seconds"] = rounded_seconds(received.remaining_backoff(now))
         known["backoff_asked_since_seconds"] = rounded_seconds(now - received.backoff_asked_at)
--- a/src/hillstack/serving/version_choice.py
+++ b/src/hillstack/serving/version_choice.py
@@ -196,7 +196,7 @@
     def _sole_version(self, service: str, now: float) -> str | None:
         """Return the version that may serve because all listed runners have it, or None."""
         runners = self._state.pool.of_service(service)
-        versions = {runner.entry.software for runner in runners if runner.stays(now)}
+        versions = {runner.entry.software for runner in runners if runner.will_accept(now)}
         if len(versions) != 1:
             return None
         (version,) = versions
--- a/tests/fleet/builders.py
+++ b/tests/fleet/builders.py
@@ -83,7 +83,7 @@
 ) -> RoutingTable:
     services = [Service(APPLICATION), Service(ENGINES, engine=ENGINE)]
     if store is not None:
-        services.append(Service("kept", kept_cache=store))
+        services.append(Service("kept", kv_cache_store=store))
     tenants = keys if keys is not None else {KEY: TenantEntry("tenant-1")}
     return RoutingTable.build(version, routes, services, tenants, RequestLimits())
 
--- a/tests/fleet/fixed_interval_judge.py
+++ b/tests/fleet/fixed_interval_judge.py
@@ -34,7 +34,7 @@
         self._steps = OutcomeSteps(40)
         self._evaluations = 0
 
-    def look(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
+    def evaluate(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
         if self._steps.add_totals(totals, now) is None:
             return Verdict.UNDECIDED
         self._evaluations += 1
--- a/tests/fleet/node_network.py
+++ b/tests/fleet/node_network.py
@@ -189,7 +189,7 @@
         await asyncio.sleep(STORE_SECONDS)
         if self._store.is_down_for(self._node_id):
             raise PlatformUnavailableError("status 503", step="call", peer="store")
-        self._store_era.hear(self._store.era, STORE)
+        self._store_era.observe(self._store.era, STORE)
 
 
 @dataclass
@@ -332,7 +332,7 @@
         limits = LimitClient(state, leases, holders, holder, link, clock, rng)
         scope = runner_scope(state.pool, clock)
         runner_buckets = TokenBuckets(
-            RUNNER_TOLERANCE, LEASE_SECONDS, start_share=RUNNER_START_SHARE, is_whole=True
+            RUNNER_TOLERANCE, LEASE_SECONDS, start_share=RUNNER_START_SHARE, requires_full_cost=True
         )
         runner_holders = BucketHolders(node_id, state.nodes, choice, zone)
         runner_holder = LimitHolder(state, runner_buckets, runner_holders, link, clock, rng, scope)
--- a/tests/fleet/rollout_bench.py
+++ b/tests/fleet/rollout_bench.py
@@ -235,11 +235,11 @@
             age.note(record, now)
         judge.note_ordered_at(age.ordered_at)
         if judge.is_due(now):
-            judge.look(self.of(order).totals(), now)
+            judge.evaluate(self.of(order).totals(), now)
         return opinion_of(
             judge.opinion(),
-            peer_says_bad=self.of(order).peer_says_bad(),
-            is_condemned=self.state.rollouts.stage(service) is RolloutStage.REVERTED,
+            is_reported_bad=self.of(order).is_reported_bad(),
+            is_reverted=self.state.rollouts.stage(service) is RolloutStage.REVERTED,
         )
 
 
@@ -409,7 +409,9 @@
                 known = receiver.state.rollouts.order(APPLICATION)
                 if known is not None and known.revision == order.revision:
                     evidence = receiver.observed.of(known)
-                    evidence.take(sender.name, sender.incarnation, report, self.scheduler.now)
+                    evidence.merge_report(
+                        sender.name, sender.incarnation, report, self.scheduler.now
+                    )
 
     def _report(self, sender: Node, order: RolloutOrder) -> RolloutReport:
         outcomes = []
--- a/tests/fleet/rollout_draws.py
+++ b/tests/fleet/rollout_draws.py
@@ -27,7 +27,7 @@
 class Judge(Protocol):
     """Interface of a judge of the target version."""
 
-    def look(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict: ...
+    def evaluate(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict: ...
 
 
 @dataclass(frozen=True)
@@ -121,7 +121,7 @@
             seen = {
                 k: OutcomeTotals(c.answered, c.failed, tuple(c.delays)) for k, c in totals.items()
             }
-            verdict = judge.look(seen, now)
+            verdict = judge.evaluate(seen, now)
             if verdict is not Verdict.UNDECIDED:
                 return Played(verdict, now, sum(1 for at in self.spoiled if at <= now))
             now += LOOK_SECONDS
--- a/tests/fleet/rollout_traffic.py
+++ b/tests/fleet/rollout_traffic.py
@@ -74,7 +74,7 @@
     def opinion(self) -> RolloutOpinion:
         return RolloutOpinion(self._verdict, f"{self.looks} looks")
 
-    def look(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
+    def evaluate(self, totals: Mapping[OutcomeKey, OutcomeTotals], now: float) -> Verdict:
         self._evaluated_at = now
         self.looks += 1
         self._verdict = self._evaluate(totals)
--- a/tests/fleet/test_cache_follower.py
+++ b/tests/fleet/test_cache_follower.py
@@ -160,7 +160,7 @@
 
 def test_a_part_that_matches_the_estimate_is_not_reported(bench: Bench) -> None:
     bench.run(1.0)
-    bench.state.index.note("i-1", SALT, [PromptPart("a", 4_000)])
+    bench.state.index.record_cached("i-1", SALT, [PromptPart("a", 4_000)])
     bench.feed.holders["i-1"].put("a", 4_000)
     bench.run(1.0)
     assert bench.peers.reported == []
@@ -169,7 +169,7 @@
 def test_a_part_in_prefill_counts_as_cached_after_its_confirmation(bench: Bench) -> None:
     bench.run(1.0)
     part = PromptPart("a", 4_000)
-    bench.state.index.note("i-1", SALT, [part], ready_at=100.0)
+    bench.state.index.record_cached("i-1", SALT, [part], ready_at=100.0)
     assert bench.state.index.matched_tokens("i-1", SALT, [part], 2.0) == 0
     bench.feed.holders["i-1"].put("a", 4_000)
     bench.run(1.0)
@@ -189,7 +189,7 @@
 def test_a_gap_is_closed_by_a_list_at_a_bounded_rate(bench: Bench) -> None:
     holder = bench.feed.holders["i-1"]
     bench.run(1.0)
-    bench.state.index.note("i-1", SALT, [PromptPart("evicted", 900)])
+    bench.state.index.record_cached("i-1", SALT, [PromptPart("evicted", 900)])
     holder.gap = True
     bench.run(20.0)
     assert bench.estimated("i-1", "evicted") == 0
@@ -197,7 +197,7 @@
 
 
 def test_a_list_does_not_remove_a_part_that_was_just_sent(bench: Bench) -> None:
-    bench.state.index.note("i-1", SALT, [PromptPart("sent", 900)], ready_at=0.4)
+    bench.state.index.record_cached("i-1", SALT, [PromptPart("sent", 900)], ready_at=0.4)
     bench.run(0.3)
     assert bench.feed.holders["i-1"].lists == 1
     assert bench.estimated("i-1", "sent") == 900
@@ -208,18 +208,18 @@
     bench.run(1.0)
     bench.feed.holders[STORE.address].failure = BackendError("reset", step="ask", peer="store")
     bench.run(1.0)
-    assert bench.state.kept_cache_store("zone-a", bench.scheduler.now) is None
+    assert bench.state.kv_cache_store_for("zone-a", bench.scheduler.now) is None
     assert STORE.address in bench.peers.unavailable
     bench.feed.holders[STORE.address].failure = None
     bench.run(4.0)
-    assert bench.state.kept_cache_store("zone-b", bench.scheduler.now) == STORE
+    assert bench.state.kv_cache_store_for("zone-b", bench.scheduler.now) == STORE
 
 
 def test_a_store_that_refuses_the_list_call_is_still_used(bench: Bench) -> None:
     error = BackendRefusedError("status 429", step="ask", peer="store")
     bench.feed.holders[STORE.address].failure = error
     bench.run(2.0)
-    assert bench.state.kept_cache_store("zone-b", bench.scheduler.now) == STORE
+    assert bench.state.kv_cache_store_for("zone-b", bench.scheduler.now) == STORE
 
 
 def test_a_failed_holder_is_polled_at_a_bounded_rate(bench: Bench) -> None:
@@ -261,10 +261,10 @@
     directory.list_node(NodeEntry("node-2", "10.0.0.2:1", "zone-a"))
     liveness = NodeLiveness("node-1", directory, "zone-a", 10.0)
     assert liveness.is_alive("node-2", 11.0) and not liveness.is_alive("node-2", 12.5)
-    assert liveness.heard("node-2", 1, 13.0)
-    assert not liveness.heard("node-2", 1, 14.0)
+    assert liveness.record_contact("node-2", 1, 13.0)
+    assert not liveness.record_contact("node-2", 1, 14.0)
     assert liveness.is_alive("node-2", 16.0) and not liveness.is_alive("node-2", 18.0)
-    assert liveness.heard("node-2", 2, 20.0)
+    assert liveness.record_contact("node-2", 2, 20.0)
     assert liveness.is_alive("node-1", 99.0)
 
 
@@ -336,12 +336,12 @@
         directory.list_node(NodeEntry(name, "10.0.0.1:1", zone))
     liveness = NodeLiveness("node-1", directory, "a", 0.0)
     assert liveness.zones(1.0) == {"node-1": "a", "node-2": "a", "node-3": "b"}
-    liveness.heard_zone("b", 4.0)
-    liveness.heard("node-2", 1, 4.0)
+    liveness.record_zone_contact("b", 4.0)
+    liveness.record_contact("node-2", 1, 4.0)
     alive = liveness.zones(5.0)
     assert alive == {"node-1": "a", "node-2": "a", "node-3": "b"}
-    liveness.heard("node-2", 1, 5.5)
-    liveness.heard_zone("b", 5.5)
+    liveness.record_contact("node-2", 1, 5.5)
+    liveness.record_zone_contact("b", 5.5)
     assert liveness.zones(6.0) is alive
     assert liveness.zones(8.6) == {"node-1": "a"}
 
@@ -382,8 +382,8 @@
     # of the part missed (seen in zamudio-reg scale-1).
     bench.run(1.0)
     index, now = bench.state.index, bench.scheduler.now
-    index.note(STORE.address, SALT, [PromptPart("came", 600)], ready_at=now + 0.1)
-    index.note(STORE.address, SALT, [PromptPart("lost", 500)], ready_at=now + 0.1)
+    index.record_cached(STORE.address, SALT, [PromptPart("came", 600)], ready_at=now + 0.1)
+    index.record_cached(STORE.address, SALT, [PromptPart("lost", 500)], ready_at=now + 0.1)
     bench.feed.holders[STORE.address].pending = [CacheEntry(SALT, PromptPart("came", 600))]
     bench.run(3.0)
     assert bench.estimated(STORE.address, "came") == 600
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -129,7 +129,7 @@
     index = PartIndex()
     index.set_capacity("h", 1_000)
     a, b, c = PromptPart("a", 100), PromptPart("b", 50), PromptPart("c", 10)
-    index.note("h", "s", [a, c])
+    index.record_cached("h", "s", [a, c])
     assert index.matched_tokens("h", "s", [a, b, c]) == 100
     assert index.matched_tokens("h", "s", [b, a]) == 0
     assert index.matched_tokens("h", "other salt", [a]) == 0
@@ -140,9 +140,9 @@
     index = PartIndex()
     index.set_capacity("h", 250)
     parts = [PromptPart(name, 100) for name in "abc"]
-    index.note("h", "s", parts[:2])
-    index.note("h", "s", parts[:1])
-    index.note("h", "s", parts[2:])
+    index.record_cached("h", "s", parts[:2])
+    index.record_cached("h", "s", parts[:1])
+    index.record_cached("h", "s", parts[2:])
     assert index.matched_tokens("h", "s", parts[:1]) == 100
     assert index.matched_tokens("h", "s", parts[1:2]) == 0
 
@@ -150,7 +150,7 @@
 def test_running_requests_take_memory_from_parts() -> None:
     index = PartIndex()
     index.set_capacity("h", 250)
-    index.note("h", "s", [PromptPart("a", 100), PromptPart("b", 100)], reserved_tokens=100)
+    index.record_cached("h", "s", [PromptPart("a", 100), PromptPart("b", 100)], reserved_tokens=100)
     assert index.part_count() == 1
 
 
@@ -159,7 +159,7 @@
     index = PartIndex()
     index.set_capacity("h", 200)
     for name, tokens in notes:
-        index.note("h", "s", [PromptPart(name, tokens)])
+        index.record_cached("h", "s", [PromptPart(name, tokens)])
         total = sum(index.matched_tokens("h", "s", [PromptPart(n, 1_000)]) for n in "abcdef")
         assert total <= 200
 
@@ -168,10 +168,10 @@
     versions = WeightsVersions(7.6)
     versions.announce("m", Announcement(2, 1.0))
     versions.announce("m", Announcement(4, 5.0))
-    versions.narrow(NamedVersion("m", 4, 6.0))
-    versions.narrow(NamedVersion("m", 4, 3.0))
+    versions.apply_proof(NamedVersion("m", 4, 6.0))
+    versions.apply_proof(NamedVersion("m", 4, 3.0))
     assert [entry.not_before for entry in versions.announcements("m")] == [1.0, 6.0]
-    versions.narrow(NamedVersion("m", 2, 2.0))
+    versions.apply_proof(NamedVersion("m", 2, 2.0))
     assert [entry.not_before for entry in versions.announcements("m")] == [2.0, 6.0]
 
 
--- a/tests/fleet/test_crash_bound.py
+++ b/tests/fleet/test_crash_bound.py
@@ -158,7 +158,7 @@
     for number in range(6):
         world.send("node-0", b"short %d" % number)
     world.run(0.3)
-    (crash,) = record.ends()
+    (crash,) = record.crashes()
     assert len(crash.runs) == 1
 
 
@@ -172,7 +172,7 @@
     world.run(0.5)
     assert beside.task.done() and beside.error is not None
     for node in world.nodes.values():
-        (crash,) = node.state.runner_ends.ends()
+        (crash,) = node.state.runner_ends.crashes()
         assert len(crash.runs) == 2
 
 
@@ -185,7 +185,7 @@
     world.run(1.5)
     world.runners.by_id["i-0"].crash()
     world.run(0.01)
-    (crash,) = world.nodes["node-0"].state.runner_ends.ends()
+    (crash,) = world.nodes["node-0"].state.runner_ends.crashes()
     assert len(crash.runs) == 1
 
 
@@ -237,7 +237,7 @@
     world = World(3, 1)
     node = world.nodes["node-0"]
     world.try_until_done("node-0", b"fatal 1")
-    ends = [crash.runner_id for crash in node.state.runner_ends.ends()]
+    ends = [crash.runner_id for crash in node.state.runner_ends.crashes()]
     watch = node.pipeline.runner_ends
 
     def tell(runner_id: str) -> None:
@@ -249,7 +249,7 @@
     tell(ends[0])
     world.run(3.0)
     tell(ends[1])
-    assert [crash.runner_id for crash in node.state.runner_ends.ends()] == ends[1:]
+    assert [crash.runner_id for crash in node.state.runner_ends.crashes()] == ends[1:]
 
 
 def test_nodes_that_left_runs_at_one_end_answer_no_notice_with_a_notice() -> None:
--- a/tests/fleet/test_crash_counts.py
+++ b/tests/fleet/test_crash_counts.py
@@ -68,7 +68,7 @@
 
 def test_a_retracted_crash_does_not_count() -> None:
     counts = make_bounded_counts()
-    counts.take_back("i-1")
+    counts.retract("i-1")
     assert counts.count(NAME) == MAX_CRASHES - 1
 
 
--- a/tests/fleet/test_fatal_requests.py
+++ b/tests/fleet/test_fatal_requests.py
@@ -15,10 +15,10 @@
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.request_fingerprint import request_fingerprint
 from hillstack.core.runner_crashes import (
-    END_SECONDS,
+    CRASH_RETENTION_SECONDS,
     FATAL_CRASH_RETENTION_SECONDS,
     FATAL_REFUSAL_SECONDS,
-    MAX_ENDS,
+    MAX_RECORDED_CRASHES,
 )
 from hillstack.messages.runner_ends import RequestAtEnd, RunnerEndNotice
 from hillstack.serving.runner_crashes import NOTICE_INTERVAL_SECONDS
@@ -164,8 +164,8 @@
     world.partitioned_nodes = set()
     # A try through the other node is running when the notices of both crashes arrive.
     at = next(runner for runner in world.runners.by_id.values() if FATAL in runner.running_bodies)
-    ends = world.nodes["node-0"].state.runner_ends.ends()
-    for crash in ends:
+    crashes = world.nodes["node-0"].state.runner_ends.crashes()
+    for crash in crashes:
         notice = world.nodes["node-0"].pipeline.runner_ends._notice(crash, world.scheduler.now)
         world.deliver("node-0", world.nodes["node-1"], notice)
     world.run(0.02)
@@ -253,7 +253,7 @@
                 node.pipeline.runner_ends.welcome(name)
         world.run(0.3)
     for node in world.nodes.values():
-        assert len(node.state.runner_ends.ends()) == 2
+        assert len(node.state.runner_ends.crashes()) == 2
     for name in world.nodes:
         assert world.try_until_done(name, FATAL).verdict() is Verdict.FAILED
         assert world.try_until_done(name, b"short 1").is_served
@@ -277,7 +277,7 @@
     state = world.nodes["node-0"].state
     again = world.try_until_done("node-0", b"short 1")
     assert again.is_served
-    assert not state.runner_ends.ends()
+    assert not state.runner_ends.crashes()
     world.run(9.0)
     assert all(stream.is_served for stream in streams)
 
@@ -305,7 +305,7 @@
     outcomes = [world.send("node-0", b"short %d" % number) for number in range(6)]
     world.run(1.0)
     assert all(outcome.is_served for outcome in outcomes)
-    assert not state.runner_ends.ends()
+    assert not state.runner_ends.crashes()
 
 
 def test_a_runner_that_crashes_by_itself_makes_no_request_fatal() -> None:
@@ -417,7 +417,7 @@
     assert there > 1
     runner.cut_connection()
     world.run(0.001)
-    assert [len(crash.runs) for crash in record.ends()] == [there]
+    assert [len(crash.runs) for crash in record.crashes()] == [there]
 
 
 def test_an_unsafe_request_is_never_resent_and_is_fatal_after_its_second_try() -> None:
@@ -448,16 +448,16 @@
     record = node.state.runner_ends
 
     def tell() -> None:
-        for number in range(3 * MAX_ENDS):
+        for number in range(3 * MAX_RECORDED_CRASHES):
             requests = [RequestAtEnd(number * 1_000 + at, 100, False) for at in range(300)]
             notice = RunnerEndNotice(f"gone-{number}", number, requests)
             node.pipeline.runner_ends.observe("node-9", notice, world.scheduler.now)
 
     world.loop.call_soon(tell)
     world.run(0.1)
-    assert len(record.ends()) == MAX_ENDS
-    assert all(len(crash.runs) <= 128 for crash in record.ends())
-    world.run(END_SECONDS + 1.0)
+    assert len(record.crashes()) == MAX_RECORDED_CRASHES
+    assert all(len(crash.runs) <= 128 for crash in record.crashes())
+    world.run(CRASH_RETENTION_SECONDS + 1.0)
     assert world.try_until_done("node-0", b"short 1").is_served
     assert not record
 
--- a/tests/fleet/test_idle_connections.py
+++ b/tests/fleet/test_idle_connections.py
@@ -15,7 +15,7 @@
 import pytest
 
 from hillstack.core.part_index import PartIndex, PromptPart
-from hillstack.core.placement.cached_parts import Surroundings
+from hillstack.core.placement.cached_parts import PlacementInputs
 from hillstack.core.placement.expected_delay import Candidate, ExpectedDelayPlacement
 from hillstack.core.prompt_shape import PromptShape
 from hillstack.core.runner_pool import Runner
@@ -110,9 +110,9 @@
 
 def choose(shape: PromptShape, index: PartIndex, idle: dict[str, float]) -> str:
     near, other = (Runner(make_entry(name, ENGINES, weights=1)) for name in ("i-1", "i-22"))
-    surroundings = Surroundings("zone-a", SLOW_LINK_ENGINE, RATE, (), 10.0, 0.6, 0.5, idle)
+    inputs = PlacementInputs("zone-a", SLOW_LINK_ENGINE, RATE, (), 10.0, 0.6, 0.5, idle)
     candidates = [Candidate(runner, SALT, 1) for runner in (near, other)]
-    choice = ExpectedDelayPlacement(index).choose(shape, candidates, surroundings, [near, other])
+    choice = ExpectedDelayPlacement(index).choose(shape, candidates, inputs, [near, other])
     assert choice is not None
     return choice.candidate.runner.runner_id
 
@@ -133,5 +133,5 @@
 def test_a_long_cached_part_outweighs_an_idle_connection() -> None:
     index = PartIndex()
     index.set_capacity("i-22", 100_000)
-    index.note("i-22", SALT, LONG.shared)
+    index.record_cached("i-22", SALT, LONG.shared)
     assert choose(LONG, index, {make_entry("i-1", ENGINES).address: 11.0}) == "i-22"
--- a/tests/fleet/test_limit_network.py
+++ b/tests/fleet/test_limit_network.py
@@ -347,7 +347,7 @@
     network.store.down_for = None
     network.run(3.0)
     now = network.scheduler.now
-    counts = [node.state.nodes.sharing_count(now) for node in network.nodes.values()]
+    counts = [node.state.nodes.budget_node_count(now) for node in network.nodes.values()]
     network.close()
     assert counts == [3, 3, 3]
 
@@ -364,7 +364,7 @@
     network.run(3.0)
     now = network.scheduler.now
     sharing = [node.state for node in network.nodes.values() if node.state.peers_known]
-    parts = [1 / state.nodes.sharing_count(now) for state in sharing]
+    parts = [1 / state.nodes.budget_node_count(now) for state in sharing]
     traffic = make_traffic(network, homes=5)
     for tenant in traffic:
         tenant.send(4.0, OVERLOAD)
--- a/tests/fleet/test_peer_exchange.py
+++ b/tests/fleet/test_peer_exchange.py
@@ -156,7 +156,7 @@
     _, exchange, transport = make_node()
     other_state, other, _ = make_node()
     index = other_state.index
-    index.note("i-1", "salt", [PromptPart("stale", 900)])
+    index.record_cached("i-1", "salt", [PromptPart("stale", 900)])
     report_cached(exchange, PromptPart("kept", 800), PromptPart("stale", 0))
     deliver(transport, other)
     assert index.matched_tokens("i-1", "salt", [PromptPart("kept", 800)]) == 800
@@ -167,7 +167,7 @@
     _, exchange, transport = make_node()
     other_state, other, _ = make_node()
     index = other_state.index
-    index.note("i-1", "salt", [PromptPart("before", 900)])
+    index.record_cached("i-1", "salt", [PromptPart("before", 900)])
     report_cached(exchange, PromptPart("before", 900))
     exchange.cache_lost("i-1")
     report_cached(exchange, PromptPart("since", 700))
@@ -206,11 +206,11 @@
     _, exchange, transport = make_node()
     other_state, other, _ = make_node()
     other_state.table = make_table(make_route(), store=store)
-    assert other_state.kept_cache_store("zone-a", 100.0) == store
+    assert other_state.kv_cache_store_for("zone-a", 100.0) == store
     exchange.store_unavailable(store.address)
     deliver(transport, other)
-    assert other_state.kept_cache_store("zone-a", 100.0) is None
-    assert other_state.kept_cache_store("zone-a", 103.0) == store
+    assert other_state.kv_cache_store_for("zone-a", 100.0) is None
+    assert other_state.kv_cache_store_for("zone-a", 103.0) == store
 
 
 def test_invalid_datagrams_and_unknown_runners_change_nothing() -> None:
--- a/tests/fleet/test_pipeline.py
+++ b/tests/fleet/test_pipeline.py
@@ -372,7 +372,7 @@
         for _ in range(int(seconds / 0.1)):
             now = bench.scheduler.now
             for runner in bench.state.pool.all():
-                bench.state.pool.heard(runner, now)
+                bench.state.pool.record_contact(runner, now)
             await asyncio.sleep(0.1)
 
     bench.scheduler.spawn(bench.scheduler.new_loop(), receive())
@@ -946,7 +946,7 @@
     sink, error = bench.serve(stream_request(), within=0.5)
     assert error is None and len(first) == 1
     # The crash is recorded with this request, which may be its cause.
-    ended = [end.runner_id for end in bench.state.runner_ends.ends()]
+    ended = [end.runner_id for end in bench.state.runner_ends.crashes()]
     assert ended == [first[0].runner_id]
     assert (sink.body, sink.heads, sink.finished) == (b"".join(EVENTS), 1, True)
     assert bench.client.answers[0].closed
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -14,7 +14,7 @@
 
 from hillstack.core.part_index import PartIndex, PromptPart
 from hillstack.core.placement import cached_parts
-from hillstack.core.placement.cached_parts import Surroundings, find_cached_parts, move_seconds
+from hillstack.core.placement.cached_parts import PlacementInputs, find_cached_parts, move_seconds
 from hillstack.core.placement.expected_delay import (
     Candidate,
     Choice,
@@ -48,7 +48,7 @@
     begin_before: float = math.inf,
     shared: PromptPart = SHARED,
 ) -> Choice | None:
-    inputs = Surroundings("zone-a", ENGINE, RATE, stores, 0.0, 0.6, 0.5)
+    inputs = PlacementInputs("zone-a", ENGINE, RATE, stores, 0.0, 0.6, 0.5)
     candidates = [Candidate(runner, SALT, 1, begin_before) for runner in runners]
     shape = PromptShape((shared, OWN), output)
     return ExpectedDelayPlacement(index).choose(shape, candidates, inputs, runners)
@@ -63,7 +63,7 @@
 
 def test_a_prompt_is_placed_on_the_runner_that_caches_its_shared_part() -> None:
     index = make_index("i-1", "i-2")
-    index.note("i-2", SALT, [SHARED])
+    index.record_cached("i-2", SALT, [SHARED])
     choice = choose(index, [make_runner("i-1"), make_runner("i-2")])
     assert choice is not None
     assert choice.candidate.runner.runner_id == "i-2"
@@ -72,7 +72,7 @@
 
 def test_a_busy_warm_runner_is_the_source_of_a_transfer() -> None:
     index = make_index("i-1", "i-2")
-    index.note("i-2", SALT, [SHARED])
+    index.record_cached("i-2", SALT, [SHARED])
     warm, cold = make_runner("i-2"), make_runner("i-1")
     warm.prefill_done_at = 2.0
     choice = choose(index, [cold, warm])
@@ -84,7 +84,7 @@
 def test_a_kv_cache_store_is_a_source() -> None:
     store = KvCacheStore("10.9.9.9:1", "zone-a", 1_000_000, 200_000.0)
     index = make_index("i-1", store.address)
-    index.note(store.address, SALT, [SHARED])
+    index.record_cached(store.address, SALT, [SHARED])
     choice = choose(index, [make_runner("i-1")], stores=[store])
     assert choice is not None and choice.fetch_from == store.address
 
@@ -94,14 +94,14 @@
     near = KvCacheStore("10.9.9.9:1", "zone-a", 1_000_000, 200_000.0)
     index = make_index("i-1", far.address, near.address)
     for store in (far, near):
-        index.note(store.address, SALT, [SHARED])
+        index.record_cached(store.address, SALT, [SHARED])
     choice = choose(index, [make_runner("i-1")], stores=[far, near])
     assert choice is not None and choice.fetch_from == near.address
 
 
 def test_nothing_is_fetched_under_another_salt() -> None:
     index = make_index("i-1", "i-2")
-    index.note("i-2", "shared|m|0", [SHARED])
+    index.record_cached("i-2", "shared|m|0", [SHARED])
     choice = choose(index, [make_runner("i-1"), make_runner("i-2")])
     assert choice is not None and choice.fetch_from is None
 
@@ -117,7 +117,7 @@
 
 
 def choose_stream(runners: list[Runner], own: str = "o") -> Runner:
-    inputs = Surroundings("zone-a", ENGINE, RATE, (), 0.0, 0.6, 0.5)
+    inputs = PlacementInputs("zone-a", ENGINE, RATE, (), 0.0, 0.6, 0.5)
     shape = PromptShape((PromptPart("s", 100), PromptPart(own, 600)), 800)
     candidates = [Candidate(runner, SALT) for runner in runners]
     index = make_index(*(runner.runner_id for runner in runners))
@@ -190,7 +190,7 @@
 def test_a_prompt_waits_for_a_part_that_is_being_prefilled() -> None:
     index = make_index("i-1", "i-2")
     prefilling, idle = make_runner("i-1"), make_runner("i-2")
-    index.note("i-1", SALT, [SHARED], ready_at=0.4)
+    index.record_cached("i-1", SALT, [SHARED], ready_at=0.4)
     prefilling.prefill_done_at = 0.35
     choice = choose(index, [prefilling, idle])
     assert choice is not None and choice.candidate.runner is prefilling
@@ -200,7 +200,7 @@
 def test_a_part_is_prefilled_again_if_the_wait_is_too_long() -> None:
     index = make_index("i-1", "i-2")
     prefilling, idle = make_runner("i-1"), make_runner("i-2")
-    index.note("i-1", SALT, [SHARED], ready_at=9.0)
+    index.record_cached("i-1", SALT, [SHARED], ready_at=9.0)
     prefilling.prefill_done_at = 9.0
     choice = choose(index, [prefilling, idle])
     assert choice is not None and choice.candidate.runner is idle
@@ -218,7 +218,7 @@
 def test_newer_weights_are_preferred_some_time_after_their_announcement() -> None:
     index = make_index("i-1", "i-2")
     old, new = make_runner("i-1"), make_runner("i-2")
-    inputs = Surroundings("zone-a", ENGINE, RATE, (), 10.0, 0.6, 0.5)
+    inputs = PlacementInputs("zone-a", ENGINE, RATE, (), 10.0, 0.6, 0.5)
     new.prefill_done_at = 10.15
     shape = PromptShape((SHARED, OWN), 50)
     chosen = []
@@ -249,13 +249,13 @@
         runner.peer_loads.report("zone", load, now)
         runner.shed_until = now + rng.choice([-1.0, 1.0])
         known = parts[: rng.randint(0, 3)]
-        index.note(runner.runner_id, "salt", known, ready_at=now + rng.choice([-1.0, 1.0]))
+        index.record_cached(runner.runner_id, "salt", known, ready_at=now + rng.choice([-1.0, 1.0]))
     shape = PromptShape(tuple(parts), rng.choice([5, 600]))
     candidates = [
         Candidate(runner, "salt", 1, rng.choice([math.inf, now + 0.9]), rng.choice([math.inf, 8.0]))
         for runner in rng.sample(runners, rng.randint(1, 12))
     ]
-    inputs = Surroundings("zone-0", ENGINE, 38_000.0, (), now, 0.5, 0.5)
+    inputs = PlacementInputs("zone-0", ENGINE, 38_000.0, (), now, 0.5, 0.5)
     policy = ExpectedDelayPlacement(index)
     chosen = policy.choose(shape, candidates, inputs, runners)
     costs = _full_costs(index, shape, candidates, inputs, runners)
@@ -273,7 +273,7 @@
     index: PartIndex,
     shape: PromptShape,
     candidates: Sequence[Candidate],
-    inputs: Surroundings,
+    inputs: PlacementInputs,
     runners: Sequence[Runner],
 ) -> dict[str, float]:
     """Return the cost of each candidate that begins in time, each computed independently."""
@@ -302,8 +302,8 @@
     index = make_index(*(runner.runner_id for runner in runners))
     parts = (PromptPart("common", 1_000), PromptPart("subject", 2_000), PromptPart("own", 500))
     for number, runner in enumerate(runners):
-        index.note(runner.runner_id, "salt", parts[: 1 + number % 2])
+        index.record_cached(runner.runner_id, "salt", parts[: 1 + number % 2])
     candidates = [Candidate(runner, "salt") for runner in runners]
-    inputs = Surroundings("zone-a", ENGINE, 38_000.0, (), 0.0, 0.5, 0.5)
+    inputs = PlacementInputs("zone-a", ENGINE, 38_000.0, (), 0.0, 0.5, 0.5)
     ExpectedDelayPlacement(index).choose(PromptShape(parts, 5), candidates, inputs, runners)
     assert len(computed) <= 2 * len(runners)
--- a/tests/fleet/test_probations.py
+++ b/tests/fleet/test_probations.py
@@ -27,35 +27,35 @@
 
 def test_without_suspects_all_runners_are_returned() -> None:
     runners = make_runners(0, 5)
-    assert Probations().suited(runners, None, 1.0) is runners
+    assert Probations().select_runners(runners, None, 1.0) is runners
 
 
 def test_suspects_are_assigned_to_runners_in_order_of_load() -> None:
     runners = make_runners(20, 3 * LOAD_STEP_REQUESTS, 9 * LOAD_STEP_REQUESTS, 0)
-    chosen = [names(Probations().suited(runners, rank, 1.0)) for rank in range(4)]
+    chosen = [names(Probations().select_runners(runners, rank, 1.0)) for rank in range(4)]
     assert chosen == [["i-3"], ["i-1"], ["i-0"], ["i-2"]]
 
 
 def test_small_differences_of_load_do_not_change_the_order() -> None:
     for loads in ((0, 1, 2), (2, 1, 0), (3, 0, 3)):
-        assert names(Probations().suited(make_runners(*loads), 1, 1.0)) == ["i-1"]
+        assert names(Probations().select_runners(make_runners(*loads), 1, 1.0)) == ["i-1"]
 
 
 def test_a_suspect_avoids_runners_with_another_suspect() -> None:
     probations = Probations()
     runners = make_runners(0, 0, 0)
     probations.begin("a", "i-0")
-    probations.told("i-1", 2.0)
-    assert names(probations.suited(runners, 0, 1.0)) == ["i-2"]
-    assert names(probations.suited(runners, 0, 2.0)) == ["i-1"]
+    probations.note_peer_suspect("i-1", 2.0)
+    assert names(probations.select_runners(runners, 0, 1.0)) == ["i-2"]
+    assert names(probations.select_runners(runners, 0, 2.0)) == ["i-1"]
 
 
 def test_other_requests_avoid_runners_with_a_suspect_if_possible() -> None:
     probations = Probations()
     runners = make_runners(0, 0)
     probations.begin("a", "i-0")
-    assert names(probations.suited(runners, None, 1.0)) == ["i-1"]
-    assert names(probations.suited(runners[:1], None, 1.0)) == ["i-0"]
+    assert names(probations.select_runners(runners, None, 1.0)) == ["i-1"]
+    assert names(probations.select_runners(runners[:1], None, 1.0)) == ["i-0"]
 
 
 def test_a_probation_ends_with_its_run_or_once_the_run_is_settled() -> None:
--- a/tests/fleet/test_regions_placement.py
+++ b/tests/fleet/test_regions_placement.py
@@ -85,7 +85,7 @@
         routes = [make_route(kind), replace(streams, target_seconds=0.6)]
         services = [Service(APPLICATION), Service(ENGINES, engine=ENGINE)]
         if store is not None:
-            services.append(Service("kept", kept_cache=store))
+            services.append(Service("kept", kv_cache_store=store))
         tenants = {KEY: TenantEntry("tenant-1")}
         table = RoutingTable.build(1, routes, services, tenants, RequestLimits())
         versions = WeightsVersions(VERSION_GRACE_SECONDS)
@@ -157,7 +157,7 @@
             self.regions.sent(remote_runner, request)
 
     def cache_part(self, holder: str, part: PromptPart = SUBJECT) -> None:
-        self.state.index.note(holder, SALT, [part])
+        self.state.index.record_cached(holder, SALT, [part])
 
 
 def region_of(placed: PlacedAttempt | None) -> str | None:
@@ -194,7 +194,7 @@
 
 def test_a_small_cached_part_attracts_no_request_to_the_other_region() -> None:
     region = Region()
-    region.state.index.note("engine-b-1-0", SALT, [PromptPart("small", 200)])
+    region.state.index.record_cached("engine-b-1-0", SALT, [PromptPart("small", 200)])
     shape = PromptShape((PromptPart("small", 200), OWN), 9)
     job = region.prompt()
     job.request.shape = shape
--- a/tests/fleet/test_relays.py
+++ b/tests/fleet/test_relays.py
@@ -501,9 +501,9 @@
     assert "hillstack/nodes/" + stopped.node_id not in network.store.items
     listed = {node.node_id for node in paused.state.nodes.all()}
     assert listed == set(network.nodes) and replacement.node_id in listed
-    assert paused.state.nodes.sharing_count(network.scheduler.now) == 24 + 1
+    assert paused.state.nodes.budget_node_count(network.scheduler.now) == 24 + 1
     network.run(25.0)
-    assert paused.state.nodes.sharing_count(network.scheduler.now) == 24
+    assert paused.state.nodes.budget_node_count(network.scheduler.now) == 24
     # A node paused for that long is removed too, and writes its entry again once it is resumed.
     paused.loop.frozen = True
     network.run(40.0)
--- a/tests/fleet/test_restored_beliefs.py
+++ b/tests/fleet/test_restored_beliefs.py
@@ -127,7 +127,7 @@
 @pytest.fixture
 def rollouts() -> SoftwareRollouts:
     known = SoftwareRollouts()
-    known.take_order(ORDER)
+    known.apply_order(ORDER)
     return known
 
 
@@ -136,7 +136,7 @@
     rollouts: SoftwareRollouts,
 ) -> None:
     rollouts.condemn(SERVICE, ORDER.identity)
-    assert not rollouts.take_order(replace(ORDER, revision=rev(81, era=4)))
+    assert not rollouts.apply_order(replace(ORDER, revision=rev(81, era=4)))
     assert rollouts.access(SERVICE, "v2") is VersionAccess.CLOSED
 
 
@@ -144,7 +144,7 @@
     rollouts.apply_record(REVERTED)
     rollouts.retain_records(set(), rev(70, era=4))
     again = replace(ORDER, revision=rev(81, era=4))
-    rollouts.take_order(again)
+    rollouts.apply_order(again)
     assert rollouts.stage(SERVICE) is RolloutStage.REVERTED
     assert rollouts.has_lost_record(SERVICE)
     lost = rollouts.record(SERVICE)
@@ -155,7 +155,7 @@
 
 def test_an_earlier_stage_in_the_copy_does_not_undo_a_revert(rollouts: SoftwareRollouts) -> None:
     rollouts.apply_record(REVERTED)
-    rollouts.take_order(replace(ORDER, revision=rev(83, era=4)))
+    rollouts.apply_order(replace(ORDER, revision=rev(83, era=4)))
     canary = replace(
         REVERTED,
         order_revision=rev(83, era=4),
@@ -173,7 +173,7 @@
 def test_another_order_after_a_restore_is_another_rollout(rollouts: SoftwareRollouts) -> None:
     rollouts.condemn(SERVICE, ORDER.identity)
     rollouts.apply_record(REVERTED)
-    assert rollouts.take_order(replace(ORDER, target="v3", revision=rev(80, era=4)))
+    assert rollouts.apply_order(replace(ORDER, target="v3", revision=rev(80, era=4)))
     started = replace(
         REVERTED,
         target="v3",
@@ -199,7 +199,7 @@
 
 def test_an_order_that_is_not_written_again_ends(state: FleetState) -> None:
     state.apply(RolloutOrdered(ORDER), 0.0)
-    state.store_era.hear(4, "store")
+    state.store_era.observe(4, "store")
     state.retain_rollouts(NOTHING_LISTED, 0.0, rev(70, era=4))
     state.expire(REWRITE_WAIT_SECONDS - 0.1)
     assert state.rollouts.order(SERVICE) is not None
--- a/tests/fleet/test_restored_store.py
+++ b/tests/fleet/test_restored_store.py
@@ -63,7 +63,9 @@
 def nodes_unaware_of_leave(network: NodeNetwork, runner_id: str) -> list[str]:
     """Return the nodes that don't know that a runner leaves."""
     runners = {name: node.state.pool.get(runner_id) for name, node in network.nodes.items()}
-    return [name for name, runner in runners.items() if runner is not None and not runner.leaves]
+    return [
+        name for name, runner in runners.items() if runner is not None and not runner.is_leaving
+    ]
 
 
 def nodes_without_weights(network: NodeNetwork, version: int) -> list[str]:
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -9,7 +9,7 @@
 
 from hillstack.core.runner_load import OwnAttempt
 from hillstack.core.runner_pool import Runner
-from hillstack.core.weights_rollout import START_DELAY_SECONDS, RolloutPlan, RolloutView
+from hillstack.core.weights_rollout import START_DELAY_SECONDS, WeightsLoadPlan, WeightsLoadView
 from hillstack.core.weights_versions import Announcement, WeightsVersions
 from tests.fleet.builders import ENGINES, MODEL, make_entry
 
@@ -22,11 +22,11 @@
     return [Runner(entry, dict(entry.weights)) for entry in entries]
 
 
-def make_plan() -> tuple[RolloutPlan, WeightsVersions]:
+def make_plan() -> tuple[WeightsLoadPlan, WeightsVersions]:
     versions = WeightsVersions(GRACE)
     versions.announce(MODEL, Announcement(1, -100.0))
     versions.announce(MODEL, Announcement(2, 0.0))
-    return RolloutPlan(MODEL, versions), versions
+    return WeightsLoadPlan(MODEL, versions), versions
 
 
 def add_long_stream(runner: Runner) -> None:
@@ -35,8 +35,8 @@
 
 def view(
     runners: list[Runner], now: float, loading: Collection[str] = (), resting: Collection[str] = ()
-) -> RolloutView:
-    return RolloutView(runners, loading, resting, LOAD, now)
+) -> WeightsLoadView:
+    return WeightsLoadView(runners, loading, resting, LOAD, now)
 
 
 def test_no_runner_loads_while_all_are_up_to_date() -> None:
--- a/tests/fleet/test_rollout_judge.py
+++ b/tests/fleet/test_rollout_judge.py
@@ -64,7 +64,7 @@
             key: steady(key, rate, now, 1.0 if key.version == failing else 0.0)
             for key, rate in rates.items()
         }
-        verdict = judge.look(totals, now)
+        verdict = judge.evaluate(totals, now)
         now += 0.25
     return verdict
 
@@ -180,7 +180,7 @@
         failed = answered - 60
         totals = {OLD_CELL: steady(OLD_CELL, 54.0, trusted_at)}
         totals[NEW_CELL] = OutcomeTotals(answered, failed, (0, 0, 0, 0, 60, 0, 0, 0, 0, 0))
-        verdict = judge.look(totals, now)
+        verdict = judge.evaluate(totals, now)
     assert verdict is Verdict.BAD
 
 
@@ -196,7 +196,7 @@
             OLD_CELL: steady(OLD_CELL, 54.0, shifted_at + remaining / 54.0),
             NEW_CELL: OutcomeTotals(50 + slow, 0, (0, 0, 0, 0, 50, 0, 0, 0, slow, 0)),
         }
-        assert judge.look(totals, shifted_at + 0.25 * look) is not Verdict.BAD
+        assert judge.evaluate(totals, shifted_at + 0.25 * look) is not Verdict.BAD
 
 
 def test_a_bad_verdict_is_final() -> None:
@@ -204,14 +204,14 @@
     rates = {OLD_CELL: 54.0, NEW_CELL: 6.0}
     assert look_until(judge, 8.0, rates, failing=NEW) is Verdict.BAD
     good = {OLD_CELL: steady(OLD_CELL, 54.0, 20.0), NEW_CELL: steady(NEW_CELL, 60.0, 20.0)}
-    assert judge.look(good, 20.0) is Verdict.BAD
+    assert judge.evaluate(good, 20.0) is Verdict.BAD
 
 
 def test_the_reason_contains_the_problem_and_the_figures() -> None:
     judge = make_judge()
     look_until(judge, 8.0, {OLD_CELL: 54.0, NEW_CELL: 6.0}, failing=NEW)
     finding = judge.findings()[0]
-    assert finding.trouble == "failed" and finding.bad == finding.answered
+    assert finding.problem == "failed" and finding.bad == finding.answered
     assert "failed" in judge.opinion().reason and "expected" in judge.opinion().reason
 
 
@@ -223,7 +223,7 @@
             OLD_CELL: steady(OLD_CELL, 54.0, now, 0.3),
             NEW_CELL: steady(NEW_CELL, 6.0, now, 0.3),
         }
-        assert judge.look(totals, now) is not Verdict.BAD
+        assert judge.evaluate(totals, now) is not Verdict.BAD
         now += 0.25
 
 
@@ -280,5 +280,5 @@
         now = tenth / 10
         if judge.is_due(now):
             asked.append(now)
-            judge.look({OLD_CELL: steady(OLD_CELL, 54.0, now)}, now)
+            judge.evaluate({OLD_CELL: steady(OLD_CELL, 54.0, now)}, now)
     assert len(asked) == 10
--- a/tests/fleet/test_rollout_observer.py
+++ b/tests/fleet/test_rollout_observer.py
@@ -82,8 +82,8 @@
 
 def test_counts_of_all_processes_add_up() -> None:
     evidence = RolloutEvidence()
-    evidence.take("a", 1, report(counts(10, 2)), 0.0)
-    evidence.take("b", 1, report(counts(5, 1)), 0.0)
+    evidence.merge_report("a", 1, report(counts(10, 2)), 0.0)
+    evidence.merge_report("b", 1, report(counts(5, 1)), 0.0)
     total = evidence.totals()[KEY]
     assert (total.answered, total.failed, total.delays[4]) == (15, 3, 12)
 
@@ -91,69 +91,69 @@
 def test_a_repeated_and_a_late_report_change_nothing() -> None:
     evidence = RolloutEvidence()
     for answered in (10, 10, 4, 10):
-        evidence.take("a", 1, report(counts(answered)), 0.0)
+        evidence.merge_report("a", 1, report(counts(answered)), 0.0)
     assert evidence.totals()[KEY].answered == 10
 
 
 def test_the_next_report_replaces_lost_ones() -> None:
     evidence = RolloutEvidence()
-    evidence.take("a", 1, report(counts(3)), 0.0)
-    evidence.take("a", 1, report(counts(30, 7)), 0.0)
+    evidence.merge_report("a", 1, report(counts(3)), 0.0)
+    evidence.merge_report("a", 1, report(counts(30, 7)), 0.0)
     assert evidence.totals()[KEY].failed == 7
 
 
 def test_counts_of_a_node_before_its_restart_are_kept() -> None:
     evidence = RolloutEvidence()
-    evidence.take("a", 1, report(counts(10)), 0.0)
-    evidence.take("a", 2, report(counts(3)), 0.0)
+    evidence.merge_report("a", 1, report(counts(10)), 0.0)
+    evidence.merge_report("a", 2, report(counts(3)), 0.0)
     assert evidence.totals()[KEY].answered == 13
 
 
 def test_a_late_report_of_an_earlier_process_is_not_the_nodes_state() -> None:
     evidence = RolloutEvidence()
-    evidence.take("a", 1, report(old_running=5, stage="shifting"), 0.0)
-    evidence.take("a", 2, report(old_running=0, stage="shifting"), 0.1)
-    evidence.take("a", 1, report(old_running=5, stage="shifting"), 0.2)
+    evidence.merge_report("a", 1, report(old_running=5, stage="shifting"), 0.0)
+    evidence.merge_report("a", 2, report(old_running=0, stage="shifting"), 0.1)
+    evidence.merge_report("a", 1, report(old_running=5, stage="shifting"), 0.2)
     assert evidence.reporters(0.2)["a"].old_running == 0
 
 
 def test_a_late_first_report_of_an_earlier_process_is_soon_replaced() -> None:
     evidence = RolloutEvidence()
-    evidence.take("a", 2, report(old_running=3, stage="shifting"), 0.0)
-    evidence.take("a", 1, report(old_running=0, stage="shifting"), 0.1)
+    evidence.merge_report("a", 2, report(old_running=3, stage="shifting"), 0.0)
+    evidence.merge_report("a", 1, report(old_running=0, stage="shifting"), 0.1)
     for number in range(1, 7):
-        evidence.take("a", 2, report(old_running=3, stage="shifting"), 0.5 * number)
+        evidence.merge_report("a", 2, report(old_running=3, stage="shifting"), 0.5 * number)
     assert evidence.reporters(3.0)["a"].old_running == 3
-    assert evidence.reporters(3.0)["a"].heard_at == 3.0
+    assert evidence.reporters(3.0)["a"].received_at == 3.0
 
 
 def test_a_stage_does_not_go_back_with_a_late_report() -> None:
     evidence = RolloutEvidence()
-    evidence.take("a", 1, report(stage="shifting", old_running=3), 0.0)
-    evidence.take("a", 1, report(stage="canary"), 0.1)
+    evidence.merge_report("a", 1, report(stage="shifting", old_running=3), 0.0)
+    evidence.merge_report("a", 1, report(stage="canary"), 0.1)
     assert evidence.reporters(0.1)["a"].stage == "shifting"
 
 
 def test_a_silent_node_is_no_reporter() -> None:
     evidence = RolloutEvidence()
-    evidence.take("a", 1, report(), 0.0)
+    evidence.merge_report("a", 1, report(), 0.0)
     assert list(evidence.reporters(REPORTER_SECONDS - 0.1)) == ["a"]
     assert not evidence.reporters(REPORTER_SECONDS)
 
 
 def test_one_bad_report_of_a_peer_is_enough() -> None:
     evidence = RolloutEvidence()
-    evidence.take("a", 1, report(bad=True), 0.0)
-    evidence.take("a", 1, report(), 0.0)
-    assert evidence.peer_says_bad()
+    evidence.merge_report("a", 1, report(bad=True), 0.0)
+    evidence.merge_report("a", 1, report(), 0.0)
+    assert evidence.is_reported_bad()
 
 
 def test_evidence_is_bounded() -> None:
     evidence = RolloutEvidence()
     for number in range(MAX_OUTCOME_KEYS + 10):
-        evidence.take("a", 1, report(counts(1, route=f"r-{number}")), 0.0)
+        evidence.merge_report("a", 1, report(counts(1, route=f"r-{number}")), 0.0)
     for number in range(MOST_PROCESSES + 10):
-        evidence.take("b", number, report(counts(1)), 0.0)
+        evidence.merge_report("b", number, report(counts(1)), 0.0)
     assert len(evidence.totals()) == MAX_OUTCOME_KEYS
     # Outcomes and processes beyond the limits are ignored; one of the processes is "a".
     assert sum(total.answered for total in evidence.totals().values()) <= MAX_OUTCOME_KEYS
@@ -161,8 +161,8 @@
 
 def test_a_report_with_too_many_or_too_few_delays_is_cut_or_padded() -> None:
     evidence = RolloutEvidence()
-    evidence.take("a", 1, report(OutcomeCounts(NEW, ROUTE, False, 2, 0, [1] * 30)), 0.0)
-    evidence.take("b", 1, report(OutcomeCounts(NEW, ROUTE, False, 2, 0, [1])), 0.0)
+    evidence.merge_report("a", 1, report(OutcomeCounts(NEW, ROUTE, False, 2, 0, [1] * 30)), 0.0)
+    evidence.merge_report("b", 1, report(OutcomeCounts(NEW, ROUTE, False, 2, 0, [1])), 0.0)
     assert evidence.totals()[KEY].delays == (2, *[1] * (DELAY_BUCKETS - 1))
 
 
--- a/tests/fleet/test_rollout_placement.py
+++ b/tests/fleet/test_rollout_placement.py
@@ -272,7 +272,7 @@
     for _ in range(60):
         # The shared part is cached only at the old runner.
         bench.state.index.clear("n-0")
-        bench.state.index.note("o-0", f"shared|{MODEL}|1", [PromptPart("shared", 20_000)])
+        bench.state.index.record_cached("o-0", f"shared|{MODEL}|1", [PromptPart("shared", 20_000)])
         bench.serve(stream_request(parts=(("shared", 20_000), ("own", 500))), 1.0)
         dispatch = bench.client.dispatches[-1]
         if dispatch.runner_id == "n-0":
@@ -284,7 +284,7 @@
     bench = make_bench(old=1, new=1, service=ENGINES)
     for _ in range(30):
         bench.state.index.clear("o-0")
-        bench.state.index.note("n-0", f"shared|{MODEL}|1", [PromptPart("shared", 20_000)])
+        bench.state.index.record_cached("n-0", f"shared|{MODEL}|1", [PromptPart("shared", 20_000)])
         bench.serve(stream_request(parts=(("shared", 20_000), ("own", 500))), 1.0)
     to_old = [d for d in bench.client.dispatches if d.runner_id == "o-0"]
     assert to_old and all(dispatch.fetch_from is None for dispatch in to_old)
@@ -326,7 +326,7 @@
 def test_while_shifting_parts_are_fetched_from_the_old_runners() -> None:
     bench = make_bench(old=1, new=1, service=ENGINES)
     record(bench, RolloutStage.SHIFTING, ENGINES)
-    bench.state.index.note("o-0", f"shared|{MODEL}|1", [PromptPart("shared", 20_000)])
+    bench.state.index.record_cached("o-0", f"shared|{MODEL}|1", [PromptPart("shared", 20_000)])
     bench.serve(stream_request(parts=(("shared", 20_000), ("own", 500))), 1.0)
     (dispatch,) = bench.client.dispatches
     old = bench.state.pool.get("o-0")
--- a/tests/fleet/test_rollout_plan.py
+++ b/tests/fleet/test_rollout_plan.py
@@ -59,7 +59,7 @@
 
 def test_an_order_without_a_record_begins_with_the_canary() -> None:
     step = next_step(replace(VIEW, record=None))
-    assert step is not None and step.news
+    assert step is not None and step.notifies_operator
     assert step.record.stage is RolloutStage.CANARY and step.record.revision == NO_REVISION
 
 
@@ -77,14 +77,14 @@
 
 def test_a_bad_version_is_reverted_and_rejected() -> None:
     step = next_step(replace(VIEW, verdict=Verdict.BAD, finding="9 of 12 failed"))
-    assert step is not None and step.news
+    assert step is not None and step.notifies_operator
     assert step.record.stage is RolloutStage.REVERTED
     assert step.record.rejected == ("v2",) and step.record.reason == "9 of 12 failed"
 
 
 def test_a_good_version_gets_the_traffic_without_notifying_the_operator() -> None:
     step = next_step(replace(VIEW, verdict=Verdict.GOOD))
-    assert step is not None and not step.news
+    assert step is not None and not step.notifies_operator
     assert step.record.stage is RolloutStage.SHIFTING
 
 
@@ -120,7 +120,7 @@
 
 def test_a_rollout_is_complete_once_all_nodes_have_shifted() -> None:
     step = next_step(SHIFTING_VIEW)
-    assert step is not None and step.news
+    assert step is not None and step.notifies_operator
     assert step.record.stage is RolloutStage.COMPLETE
 
 
@@ -188,14 +188,14 @@
 
 def test_the_age_of_an_order_is_updated_in_the_record() -> None:
     step = next_step(replace(VIEW, age_seconds=CANARY.elapsed_seconds + AGE_UPDATE_SECONDS))
-    assert step is not None and not step.news
+    assert step is not None and not step.notifies_operator
     assert step.record.stage is RolloutStage.CANARY
     assert step.record.elapsed_seconds == CANARY.elapsed_seconds + AGE_UPDATE_SECONDS
 
 
 def test_an_undecided_target_is_rejected_with_all_earlier_rejected_versions() -> None:
     before = replace(CANARY, order_revision=rev(3), target="v1a", rejected=("v0",))
-    step = next_step(replace(VIEW, record=before, passed_over=frozenset({"v1b"})))
+    step = next_step(replace(VIEW, record=before, untrusted_targets=frozenset({"v1b"})))
     assert step is not None
     assert step.record.rejected == ("v0", "v1a", "v1b")
 
@@ -208,13 +208,13 @@
 
 def test_a_version_that_is_ordered_again_is_tried_again() -> None:
     before = replace(CANARY, order_revision=rev(3), stage=RolloutStage.REVERTED, rejected=("v2",))
-    step = next_step(replace(VIEW, record=before, passed_over=frozenset({"v2"})))
+    step = next_step(replace(VIEW, record=before, untrusted_targets=frozenset({"v2"})))
     assert step is not None and step.record.rejected == ()
 
 
 def test_a_late_report_does_not_close_the_target_of_a_complete_rollout() -> None:
     rollouts = SoftwareRollouts()
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     rollouts.apply_record(replace(CANARY, stage=RolloutStage.COMPLETE))
     rollouts.condemn("app", ORDER.revision)
     assert rollouts.stage("app") is RolloutStage.COMPLETE
@@ -222,7 +222,7 @@
 
 def test_a_condemned_version_is_closed_although_its_record_trusts_it() -> None:
     rollouts = SoftwareRollouts()
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     rollouts.apply_record(SHIFTING)
     rollouts.condemn("app", ORDER.revision)
     assert rollouts.stage("app") is RolloutStage.REVERTED
@@ -231,26 +231,26 @@
 def test_a_version_that_already_has_the_traffic_skips_the_canary_stage() -> None:
     before = replace(SHIFTING, order_revision=rev(3), stage=RolloutStage.COMPLETE)
     step = next_step(replace(VIEW, record=before))
-    assert step is not None and step.news
+    assert step is not None and step.notifies_operator
     assert step.record.stage is RolloutStage.SHIFTING
     rollouts = SoftwareRollouts()
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     rollouts.apply_record(before)
     assert rollouts.access("app", "v2") is VersionAccess.OPEN
 
 
 def test_a_reverted_version_is_a_canary_again_under_the_next_order() -> None:
     rollouts = SoftwareRollouts()
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     rollouts.apply_record(replace(CANARY, order_revision=rev(3), stage=RolloutStage.REVERTED))
     assert rollouts.access("app", "v2") is VersionAccess.CANARY
 
 
 def test_a_condemnation_does_not_apply_to_a_later_order() -> None:
     rollouts = SoftwareRollouts()
-    rollouts.take_order(replace(ORDER, revision=rev(3)))
+    rollouts.apply_order(replace(ORDER, revision=rev(3)))
     rollouts.condemn("app", rev(3))
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     assert rollouts.stage("app") is RolloutStage.CANARY
 
 
@@ -265,7 +265,7 @@
     before: RolloutStage, stage: RolloutStage
 ) -> None:
     rollouts = SoftwareRollouts()
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     rollouts.apply_record(replace(CANARY, order_revision=rev(3), stage=before))
     rollouts.condemn("app", ORDER.revision)
     assert rollouts.stage("app") is stage
@@ -273,7 +273,7 @@
 
 def test_the_target_of_a_withdrawn_order_without_a_record_stays_closed() -> None:
     rollouts = SoftwareRollouts()
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     rollouts.withdraw("app", rev(6))
     assert rollouts.concerns("app")
     assert rollouts.access("app", "v2") is VersionAccess.CLOSED
@@ -282,8 +282,8 @@
 
 def test_the_target_of_a_replaced_order_without_a_record_stays_closed() -> None:
     rollouts = SoftwareRollouts()
-    rollouts.take_order(ORDER)
-    rollouts.take_order(replace(ORDER, target="v3", revision=rev(7)))
+    rollouts.apply_order(ORDER)
+    rollouts.apply_order(replace(ORDER, target="v3", revision=rev(7)))
     assert rollouts.access("app", "v2") is VersionAccess.CLOSED
     assert rollouts.access("app", "v3") is VersionAccess.CANARY
     assert not rollouts.may_serve_during_shift("app", "v2")
@@ -291,7 +291,7 @@
 
 def test_a_target_condemned_while_shifting_stays_closed_when_its_order_is_withdrawn() -> None:
     rollouts = SoftwareRollouts()
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     rollouts.apply_record(SHIFTING)
     rollouts.condemn("app", ORDER.revision)
     rollouts.withdraw("app", rev(7))
@@ -300,7 +300,7 @@
 
 def test_a_trusted_target_is_open_when_its_order_is_withdrawn() -> None:
     rollouts = SoftwareRollouts()
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     rollouts.apply_record(SHIFTING)
     rollouts.withdraw("app", rev(7))
     assert rollouts.access("app", "v2") is VersionAccess.OPEN
@@ -308,10 +308,10 @@
 
 def test_an_untrusted_target_is_a_canary_when_ordered_again_and_open_once_trusted() -> None:
     rollouts = SoftwareRollouts()
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     rollouts.withdraw("app", rev(6))
     again = replace(ORDER, revision=rev(8))
-    rollouts.take_order(again)
+    rollouts.apply_order(again)
     assert rollouts.access("app", "v2") is VersionAccess.CANARY
     rollouts.apply_record(replace(SHIFTING, order_revision=rev(8), revision=rev(9)))
     rollouts.withdraw("app", rev(10))
@@ -321,12 +321,12 @@
 def test_the_number_of_stored_untrusted_targets_is_bounded() -> None:
     rollouts = SoftwareRollouts()
     for number in range(MAX_UNTRUSTED_VERSIONS + 2):
-        rollouts.take_order(replace(ORDER, target=f"v{number}", revision=rev(2 * number + 1)))
+        rollouts.apply_order(replace(ORDER, target=f"v{number}", revision=rev(2 * number + 1)))
         rollouts.withdraw("app", rev(2 * number + 2))
     left = rollouts.untrusted_targets("app")
     assert len(left) == MAX_UNTRUSTED_VERSIONS
     assert "v0" not in left and f"v{MAX_UNTRUSTED_VERSIONS + 1}" in left
     for number in range(MAX_UNTRUSTED_VERSIONS + 2):
-        rollouts.take_order(replace(ORDER, service=f"app-{number}"))
+        rollouts.apply_order(replace(ORDER, service=f"app-{number}"))
         rollouts.withdraw(f"app-{number}", rev(6))
     assert not rollouts.untrusted_targets("app")
--- a/tests/fleet/test_runner_crashes.py
+++ b/tests/fleet/test_runner_crashes.py
@@ -25,7 +25,7 @@
 from hypothesis import strategies as st
 
 from hillstack.core.runner_crashes import (
-    END_SECONDS,
+    CRASH_RETENTION_SECONDS,
     FATAL_CRASH_RETENTION_SECONDS,
     FATAL_REFUSAL_SECONDS,
     RunAtCrash,
@@ -193,14 +193,14 @@
 @settings(max_examples=60, deadline=None)
 def test_fewer_requests_are_blamed_than_runners_crashed_in_sequence(kind: str, seed: int) -> None:
     fleet = simulate_fleet(kind, seed)
-    ends = {end.runner_id: end for end in fleet.record.ends()}
+    crashes = {crash.runner_id: crash for crash in fleet.record.crashes()}
     for result in fleet.record.fatal().values():
         assert len(result.runner_ids) >= 2
-        first, second = (ends[runner_id] for runner_id in result.runner_ids[:2])
-        assert second.began_at(result.fingerprint) > first.ended_at
+        first, second = (crashes[runner_id] for runner_id in result.runner_ids[:2])
+        assert second.began_at(result.fingerprint) > first.crashed_at
         assert result.fingerprint not in fleet.record.suspects()
-        assert fleet.record.suspicion(result.fingerprint, second.ended_at) is Suspicion.FATAL
-    assert len(fleet.record.fatal()) <= max(0, len(ends) - 1)
+        assert fleet.record.suspicion(result.fingerprint, second.crashed_at) is Suspicion.FATAL
+    assert len(fleet.record.fatal()) <= max(0, len(crashes) - 1)
 
 
 @pytest.mark.parametrize(("kind", "most"), zip(KINDS, MAX_BLAMED_SHARES, strict=True))
@@ -249,7 +249,7 @@
     record.record_crash("i-1", 1.0, {7: RunAtCrash(0.1)}, 1.0)
     record.record_crash("i-2", 1.2, {7: RunAtCrash(0.1)}, 1.2)
     assert record.suspicion(7, NOW) is Suspicion.FATAL
-    assert record.take_back("i-2", 1.3)
+    assert record.record_contact("i-2", 1.3)
     assert record.suspicion(7, NOW) is Suspicion.SUSPECT
     record.record_crash("i-2", 1.2, {7: RunAtCrash(0.1)}, 1.4)
     assert record.suspicion(7, NOW) is Suspicion.SUSPECT
@@ -261,7 +261,7 @@
     record = RunnerCrashRecord()
     record.record_crash("i-1", 1.000, {7: RunAtCrash(0.1)}, 1.0)
     record.record_crash("i-1", 1.003, {8: RunAtCrash(0.2)}, 1.0)
-    assert [set(end.runs) for end in record.ends()] == [{7, 8}]
+    assert [set(crash.runs) for crash in record.crashes()] == [{7, 8}]
 
 
 def test_a_settled_stream_is_no_suspect() -> None:
@@ -297,8 +297,8 @@
     record.record_crash("i-1", 1.0, {7: RunAtCrash(0.1)}, 1.0)
     record.record_crash("i-2", 1.2, {7: RunAtCrash(0.1)}, 1.2)
     record.record_crash("i-3", 1.3, {8: RunAtCrash(0.1)}, 1.3)
-    record.expire(1.4 + END_SECONDS)
-    assert [end.runner_id for end in record.ends()] == ["i-1", "i-2"]
+    record.expire(1.4 + CRASH_RETENTION_SECONDS)
+    assert [crash.runner_id for crash in record.crashes()] == ["i-1", "i-2"]
     assert record.suspicion(7, 1.1 + FATAL_REFUSAL_SECONDS) is Suspicion.FATAL
     # After FATAL_REFUSAL_SECONDS the request is tried once more; one further crash makes it fatal
     # again.
@@ -313,7 +313,7 @@
 
 def test_an_older_contact_does_not_replace_a_later_one() -> None:
     record = RunnerCrashRecord()
-    record.take_back("i-1", 2.0)
-    record.take_back("i-1", 1.0)
+    record.record_contact("i-1", 2.0)
+    record.record_contact("i-1", 1.0)
     record.record_crash("i-1", 1.5, {1: RunAtCrash(0.1)}, 2.1)
-    assert not record.ends()
+    assert not record.crashes()
--- a/tests/fleet/test_runner_limits.py
+++ b/tests/fleet/test_runner_limits.py
@@ -111,7 +111,7 @@
 
 def test_a_runner_with_limit_zero_is_probed_seldom() -> None:
     limit = RunnerLimit()
-    limit.take(0.0, REQUEST, NOW)
+    limit.apply(0.0, REQUEST, NOW)
     assert limit.in_force(NOW) == 0.0
     assert limit.rate_to_use(NOW) == MIN_PROBE_RATE
 
@@ -121,50 +121,50 @@
 
 def test_an_answer_without_a_limit_ends_the_limit() -> None:
     limit = RunnerLimit()
-    assert limit.take(2.0, answer(), NOW)
-    assert not limit.take(2.0, answer(), NOW + 1)
-    assert limit.take(0.5, answer(), NOW + 2)
-    assert limit.take(None, answer(), NOW + 3)
+    assert limit.apply(2.0, answer(), NOW)
+    assert not limit.apply(2.0, answer(), NOW + 1)
+    assert limit.apply(0.5, answer(), NOW + 2)
+    assert limit.apply(None, answer(), NOW + 3)
     assert limit.in_force(NOW + 3) is None
 
 
 def test_an_answer_requested_before_the_limit_was_named_does_not_end_it() -> None:
     limit = RunnerLimit()
-    limit.take(2.0, answer(0.1), NOW)
-    assert not limit.take(None, answer(0.3), NOW + 0.1)
-    assert not limit.take(None, answer(0.15), NOW + 0.1)
-    assert limit.take(None, answer(0.05), NOW + 0.1)
+    limit.apply(2.0, answer(0.1), NOW)
+    assert not limit.apply(None, answer(0.3), NOW + 0.1)
+    assert not limit.apply(None, answer(0.15), NOW + 0.1)
+    assert limit.apply(None, answer(0.05), NOW + 0.1)
 
 
 def test_a_late_answer_does_not_restore_an_ended_limit() -> None:
     limit = RunnerLimit()
-    limit.take(2.0, answer(), NOW)
-    limit.take(None, answer(0.1), NOW + 1)
-    assert not limit.take(2.0, answer(0.5), NOW + 1.1)
+    limit.apply(2.0, answer(), NOW)
+    limit.apply(None, answer(0.1), NOW + 1)
+    assert not limit.apply(2.0, answer(0.5), NOW + 1.1)
     assert limit.in_force(NOW + 1.1) is None
-    assert limit.take(2.0, answer(0.1), NOW + 1.2)
+    assert limit.apply(2.0, answer(0.1), NOW + 1.2)
 
 
 def test_of_two_limits_the_one_requested_later_is_in_effect() -> None:
     limit = RunnerLimit()
-    limit.take(0.5, answer(0.1), NOW)
-    assert not limit.take(8.0, answer(0.5), NOW + 0.1)
+    limit.apply(0.5, answer(0.1), NOW)
+    assert not limit.apply(8.0, answer(0.5), NOW + 0.1)
     assert limit.in_force(NOW + 0.1) == 0.5
 
 
 def test_a_failure_or_a_refusal_without_a_limit_does_not_end_the_limit() -> None:
     limit = RunnerLimit()
-    limit.take(2.0, answer(), NOW)
-    assert not limit.take(None, answer(is_whole=False), NOW + 1)
+    limit.apply(2.0, answer(), NOW)
+    assert not limit.apply(None, answer(is_whole=False), NOW + 1)
     assert limit.in_force(NOW + 1) == 2.0
 
 
 def test_answers_of_another_kind_end_a_limit_only_if_that_kind_has_named_it() -> None:
     limit = RunnerLimit()
-    limit.take(2.0, answer(), NOW)
-    assert not limit.take(None, answer(kind=AnswerKind.CACHE), NOW + 1)
-    limit.take(2.0, answer(kind=AnswerKind.CACHE), NOW + 2)
-    assert limit.take(None, answer(kind=AnswerKind.CACHE), NOW + 3)
+    limit.apply(2.0, answer(), NOW)
+    assert not limit.apply(None, answer(kind=AnswerKind.CACHE), NOW + 1)
+    limit.apply(2.0, answer(kind=AnswerKind.CACHE), NOW + 2)
+    assert limit.apply(None, answer(kind=AnswerKind.CACHE), NOW + 3)
 
 
 def test_the_next_process_has_no_limit() -> None:
@@ -175,9 +175,9 @@
     pool.unlist("i-1", NOW, 0.0)
     pool.update(make_entry("i-2"))
     assert pool.limit_of("i-2", NOW) is None
-    assert list(pool.limited(NOW)) == ["i-1"]
+    assert list(pool.active_limits(NOW)) == ["i-1"]
     pool.expire_unlisted(NOW + 60.0)
-    assert not pool.limited(NOW + 60.0)
+    assert not pool.active_limits(NOW + 60.0)
 
 
 def test_a_limit_stays_in_effect_for_a_process_that_is_unlisted_and_listed_again() -> None:
@@ -196,51 +196,51 @@
 
 def test_a_limit_reported_by_a_peer_lapses() -> None:
     limit = RunnerLimit()
-    assert not limit.hint(2.0, 0.1, NOW)
+    assert not limit.apply_hint(2.0, 0.1, NOW)
     assert limit.in_force(NOW) == 2.0
     assert limit.in_force(NOW + HINT_SECONDS) is None
 
 
 def test_a_peer_lowers_a_limit_at_once_and_raises_it_only_if_its_report_is_surely_later() -> None:
     limit = RunnerLimit()
-    limit.take(2.0, REQUEST, NOW)
-    limit.hint(8.0, 1.0, NOW + 1)
+    limit.apply(2.0, REQUEST, NOW)
+    limit.apply_hint(8.0, 1.0, NOW + 1)
     assert limit.in_force(NOW + 1) == 2.0
-    limit.hint(0.5, 0.9, NOW + 1)
+    limit.apply_hint(0.5, 0.9, NOW + 1)
     assert limit.in_force(NOW + 1) == 0.5
-    limit.hint(8.0, 1.0, NOW + 2)
+    limit.apply_hint(8.0, 1.0, NOW + 2)
     assert limit.in_force(NOW + 2) == 8.0
 
 
 def test_a_peers_report_older_than_the_end_of_a_limit_is_rejected_as_outdated() -> None:
     limit = RunnerLimit()
-    limit.take(2.0, REQUEST, NOW)
-    limit.take(None, answer(0.1), NOW + 1)
-    assert limit.hint(2.0, 0.5, NOW + 1.2)
+    limit.apply(2.0, REQUEST, NOW)
+    limit.apply(None, answer(0.1), NOW + 1)
+    assert limit.apply_hint(2.0, 0.5, NOW + 1.2)
     assert limit.in_force(NOW + 1.2) is None
-    assert not limit.hint(2.0, 0.1, NOW + 1.2)
+    assert not limit.apply_hint(2.0, 0.1, NOW + 1.2)
 
 
 def test_a_peers_report_of_an_end_lets_one_request_probe_the_limit() -> None:
     limit = RunnerLimit()
-    limit.take(2.0, REQUEST, NOW)
-    limit.hint_end(0.1, NOW + 1)
+    limit.apply(2.0, REQUEST, NOW)
+    limit.apply_end_hint(0.1, NOW + 1)
     assert limit.in_force(NOW + 1) == 2.0
     assert [limit.take_probe() for _ in range(3)] == [True, False, False]
-    assert limit.take(None, REQUEST, NOW + 1.1)
+    assert limit.apply(None, REQUEST, NOW + 1.1)
 
 
 def test_a_peers_report_of_an_end_before_the_latest_answer_is_ignored() -> None:
     limit = RunnerLimit()
-    limit.take(2.0, REQUEST, NOW)
-    limit.hint_end(1.0, NOW + 0.5)
+    limit.apply(2.0, REQUEST, NOW)
+    limit.apply_end_hint(1.0, NOW + 0.5)
     assert not limit.take_probe()
 
 
 def test_a_peers_report_of_an_end_ends_a_limit_known_from_peers_alone() -> None:
     limit = RunnerLimit()
-    limit.hint(2.0, 0.0, NOW)
-    limit.hint_end(0.0, NOW + 1)
+    limit.apply_hint(2.0, 0.0, NOW)
+    limit.apply_end_hint(0.0, NOW + 1)
     assert limit.in_force(NOW + 1) is None
 
 
@@ -561,10 +561,12 @@
     limit, holders = TenantLimit(1.0, burst=0.0), 12
     taken = 0
     for number in range(holders):
-        buckets = TokenBuckets(RUNNER_TOLERANCE, 1.0, start_share=RUNNER_START_SHARE, is_whole=True)
+        buckets = TokenBuckets(
+            RUNNER_TOLERANCE, 1.0, start_share=RUNNER_START_SHARE, requires_full_cost=True
+        )
         for message in range(20):
             buckets.contribute(f"node-{number}", 1, message, 0.6, holders, NOW)
-        taken += sum(buckets.take("i-1", limit, 1.0, 0, NOW) for _ in range(10))
+        taken += sum(buckets.take_tokens("i-1", limit, 1.0, 0, NOW) for _ in range(10))
     assert taken <= RUNNER_TOLERANCE.margin(limit)
 
 
@@ -718,7 +720,7 @@
     pool = sender.state.pool
     leaving, limited = pool.get("i-1"), pool.get("i-2")
     assert leaving is not None and limited is not None
-    pool.hear("i-1", RunnerSignals(leaving=True), "request r-0: status 200", 0.0)
+    pool.apply_signals("i-1", RunnerSignals(leaving=True), "request r-0: status 200", 0.0)
     pool.apply_limit("i-2", 1.0, REQUEST, network.scheduler.now)
     network.at_node(sender, lambda: sender.exchange.leaving(leaving))
     network.at_node(sender, lambda: sender.exchange.limit_changed("i-2", limited.signals.limit))
--- a/tests/fleet/test_runner_pool.py
+++ b/tests/fleet/test_runner_pool.py
@@ -42,7 +42,7 @@
     assert runner.accepts(SUSPECT_SECONDS)
     pool.failed(runner, 1.0)
     assert not runner.accepts(1.0 + 2 * SUSPECT_SECONDS - 0.01)
-    pool.heard(runner, 1.5)
+    pool.record_contact(runner, 1.5)
     assert runner.accepts(1.5)
     pool.failed(runner, 2.0)
     assert runner.accepts(2.0 + SUSPECT_SECONDS)
@@ -60,7 +60,7 @@
     pool.sent(runner, "a", OwnAttempt(0, 0, 0.0, due_at=1.0), 1.0)
     assert not runner.is_silent(0.9)
     assert runner.is_silent(1.1)
-    pool.heard(runner, 1.2)
+    pool.record_contact(runner, 1.2)
     assert not runner.is_silent(1.2 + SILENCE_SECONDS / 2)
     assert runner.is_silent(1.3 + SILENCE_SECONDS)
     pool.finished(runner, "a")
@@ -70,14 +70,14 @@
 def test_a_runner_is_silent_if_a_started_stream_gets_no_bytes() -> None:
     pool, runner = make_pool()
     pool.sent(runner, "a", OwnAttempt(0, 0, 0.0, due_at=100.0), 1.0)
-    pool.heard(runner, 0.5)
+    pool.record_contact(runner, 0.5)
     pool.started(runner, "a", 0.5)
     assert runner.is_silent(0.6 + SILENCE_SECONDS)
 
 
 def test_a_suspicion_of_a_peer_is_ignored_after_recent_contact() -> None:
     pool, runner = make_pool()
-    pool.heard(runner, 1.0)
+    pool.record_contact(runner, 1.0)
     pool.apply_peer_suspicion(runner, 1.1)
     assert runner.accepts(1.1)
     pool.apply_peer_suspicion(runner, 1.1 + SILENCE_SECONDS)
--- a/tests/fleet/test_runner_restarts.py
+++ b/tests/fleet/test_runner_restarts.py
@@ -78,11 +78,11 @@
     pool.sent(previous, "r-1/1", OwnAttempt(5_000, 6_000, 9.0, 9.5), 1_000.0)
     pool.note_peer_load(previous, "node-2", RunnerLoad(3, 1, 900), 9.0)
     pool.failed(previous, 9.9)
-    state.index.note(FIRST, "salt", [PART])
+    state.index.record_cached(FIRST, "salt", [PART])
     write(state, 2_000, 11, weights=3)
     after = runner_of(state, SECOND)
     assert usable(state) == [SECOND]
-    assert previous.has_ended and not previous.stays(10.0)
+    assert previous.has_ended and not previous.will_accept(10.0)
     assert (after.weights_after_load(MODEL), after.running(10.0)) == (3, 0)
     assert (after.prefill_wait(10.0), after.failures) == (0.0, 0)
     for runner_id in (FIRST, SECOND):
@@ -109,7 +109,7 @@
     state = make_fleet()
     write(state, 2_000, 12)
     after = runner_of(state, SECOND)
-    state.index.note(SECOND, "salt", [PART])
+    state.index.record_cached(SECOND, "salt", [PART])
     write(state, 1_000, 13)
     assert usable(state) == [FIRST]
     # The second process is alive and may be at work, so its requests are not given up.
--- a/tests/fleet/test_runner_signals.py
+++ b/tests/fleet/test_runner_signals.py
@@ -23,7 +23,7 @@
     RunnerPool,
 )
 from hillstack.core.runner_signals import MAX_PROCESSES, ReceivedSignals, RunnerSignals
-from hillstack.core.weights_rollout import RolloutPlan, RolloutView
+from hillstack.core.weights_rollout import WeightsLoadPlan, WeightsLoadView
 from hillstack.daemon.notice_reader import NoticeReader
 from hillstack.daemon.weights_orders import WeightsOrder
 from hillstack.emulator.fleet_runner import FleetRunner
@@ -248,29 +248,29 @@
 def test_the_directory_does_not_undo_that_a_runner_leaves() -> None:
     """Neither old or new entries with state ready nor a reload after an outage undo the signal."""
     state = make_state(make_table(make_route()), make_entry("i-1"))
-    assert state.pool.hear("i-1", LEAVING, SOURCE, NOW)
+    assert state.pool.apply_signals("i-1", LEAVING, SOURCE, NOW)
     for revision in (0, 1, 2, 3):
         state.apply(RunnerListed(make_entry("i-1", revision=revision)), NOW)
-        assert not listed(state.pool, "i-1").stays(NOW)
+        assert not listed(state.pool, "i-1").will_accept(NOW)
     state.apply(RunnerUnlisted("i-1", rev(4)), NOW)
     state.apply(RunnerListed(make_entry("i-1", revision=5)), NOW + 1.0)
-    assert not listed(state.pool, "i-1").stays(NOW + 1.0)
+    assert not listed(state.pool, "i-1").will_accept(NOW + 1.0)
     state.retain_runners(set(), NOW + 2.0, rev(6))
     forgotten_at = NOW + 2.0 + UNLISTED_GRACE_SECONDS + 2 * UNLISTED_MEMORY_SECONDS
     state.expire(forgotten_at)
     state.expire(forgotten_at + UNLISTED_MEMORY_SECONDS)
     state.apply(RunnerListed(make_entry("i-1", revision=7)), forgotten_at)
-    assert not listed(state.pool, "i-1").stays(forgotten_at)
+    assert not listed(state.pool, "i-1").will_accept(forgotten_at)
 
 
 def test_a_signal_received_while_its_runner_is_unlisted_applies_once_it_is_listed() -> None:
     pool = RunnerPool()
-    pool.hear("i-1", LEAVING, SOURCE, NOW)
+    pool.apply_signals("i-1", LEAVING, SOURCE, NOW)
     pool.update(make_entry("i-1"))
-    assert not listed(pool, "i-1").stays(NOW)
-    assert [runner.runner_id for runner in pool.held_back(APPLICATION, NOW)] == ["i-1"]
+    assert not listed(pool, "i-1").will_accept(NOW)
+    assert [runner.runner_id for runner in pool.restricted_runners(APPLICATION, NOW)] == ["i-1"]
     pool.unlist("i-1", NOW, 0.0)
-    pool.hear("i-1", BACKOFF, SOURCE, NOW)
+    pool.apply_signals("i-1", BACKOFF, SOURCE, NOW)
     pool.update(make_entry("i-1", revision=2))
     assert listed(pool, "i-1").signals.backoff_until == NOW + 3.0
 
@@ -279,21 +279,21 @@
     pool = RunnerPool()
     pool.update(make_entry("i-1#1000"))
     for signals in (LEAVING, BACKOFF):
-        pool.hear("i-1#1000", signals, SOURCE, NOW)
+        pool.apply_signals("i-1#1000", signals, SOURCE, NOW)
     pool.update(make_entry("i-1#2000", revision=2))
     assert listed(pool, "i-1#2000").accepts(NOW)
     # An answer of the previous process arrives late.
-    pool.hear("i-1#1000", LEAVING, SOURCE, NOW)
+    pool.apply_signals("i-1#1000", LEAVING, SOURCE, NOW)
     assert listed(pool, "i-1#2000").accepts(NOW)
 
 
 def test_the_latest_end_of_several_backoffs_is_in_effect() -> None:
     received = ReceivedSignals()
-    assert received.take(BACKOFF, SOURCE, NOW)
-    assert not received.take(RunnerSignals(backoff_seconds=1.0), SOURCE, NOW + 0.1)
-    assert not received.take(RunnerSignals(), SOURCE, NOW + 0.2)
+    assert received.apply(BACKOFF, SOURCE, NOW)
+    assert not received.apply(RunnerSignals(backoff_seconds=1.0), SOURCE, NOW + 0.1)
+    assert not received.apply(RunnerSignals(), SOURCE, NOW + 0.2)
     assert received.remaining_backoff(NOW + 0.2) == pytest.approx(2.8)
-    assert received.take(BACKOFF, "later", NOW + 1.0)
+    assert received.apply(BACKOFF, "later", NOW + 1.0)
     assert received.remaining_backoff(NOW + 1.0) == pytest.approx(3.0)
     assert received.backoff_source == "later"
     assert not received.restricts_requests(NOW + 4.0)
@@ -302,9 +302,9 @@
 def test_an_answer_that_was_under_way_does_not_end_a_backoff() -> None:
     pool = RunnerPool()
     pool.update(make_entry("i-1"))
-    pool.hear("i-1", BACKOFF, SOURCE, NOW)
+    pool.apply_signals("i-1", BACKOFF, SOURCE, NOW)
     runner = listed(pool, "i-1")
-    pool.heard(runner, NOW + 0.1)
+    pool.record_contact(runner, NOW + 0.1)
     pool.succeeded(runner)
     pool.shed(runner, NOW + 0.2)
     assert not runner.accepts(NOW + 2.9)
@@ -314,7 +314,7 @@
 def test_the_number_of_unlisted_runners_with_stored_signals_is_bounded() -> None:
     pool = RunnerPool()
     for number in range(MAX_PROCESSES + 10):
-        pool.hear(f"i-{number}", LEAVING, SOURCE, NOW)
+        pool.apply_signals(f"i-{number}", LEAVING, SOURCE, NOW)
     pool.update(make_entry("i-0"))
     assert listed(pool, "i-0").accepts(NOW)
     pool.update(make_entry("i-10"))
@@ -324,9 +324,9 @@
 def test_no_weights_are_ordered_at_a_runner_that_leaves() -> None:
     entries = [make_entry(name, ENGINES, weights=1) for name in ("i-1", "i-2")]
     state = make_state(make_table(make_route()), *entries, weights=2)
-    state.pool.hear("i-1", LEAVING, SOURCE, NOW)
-    plan = RolloutPlan(MODEL, state.versions)
-    view = RolloutView(state.pool.of_service(ENGINES), {}, set(), 1.0, NOW)
+    state.pool.apply_signals("i-1", LEAVING, SOURCE, NOW)
+    plan = WeightsLoadPlan(MODEL, state.versions)
+    view = WeightsLoadView(state.pool.of_service(ENGINES), {}, set(), 1.0, NOW)
     assert [runner.runner_id for runner in plan.next_loads(view)] == ["i-2"]
 
 
@@ -403,7 +403,7 @@
 def test_where_all_runners_leave_a_request_is_refused_at_once_with_a_retry_time() -> None:
     bench = make_signal_bench("i-1", "i-22")
     for name in ("i-1", "i-22"):
-        bench.state.pool.hear(name, LEAVING, SOURCE, 0.0)
+        bench.state.pool.apply_signals(name, LEAVING, SOURCE, 0.0)
     _, error = bench.serve(make_request())
     assert isinstance(error, RejectedError)
     assert (error.verdict, bench.sent_to()) == (Verdict.UNAVAILABLE, [])
@@ -413,7 +413,7 @@
 def test_where_the_only_runner_with_the_weights_leaves_a_request_is_refused_at_once() -> None:
     bench = make_signal_bench("i-1", kind=RouteKind.STREAM)
     bench.state.apply(RunnerListed(make_entry("i-22", ENGINES, weights=0, revision=2)), 0.0)
-    bench.state.pool.hear("i-1", LEAVING, SOURCE, 0.0)
+    bench.state.pool.apply_signals("i-1", LEAVING, SOURCE, 0.0)
     started_at = bench.scheduler.now
     _, error = bench.serve(make_request(parts=PARTS), within=0.01)
     assert isinstance(error, RejectedError)
@@ -429,7 +429,7 @@
     (cache_holder,) = bench.sent_to()
     bench.serve(make_request(parts=PARTS))
     assert bench.sent_to() == [cache_holder, cache_holder]
-    bench.state.pool.hear(cache_holder, LEAVING, SOURCE, bench.scheduler.now)
+    bench.state.pool.apply_signals(cache_holder, LEAVING, SOURCE, bench.scheduler.now)
     bench.serve(make_request(parts=PARTS))
     assert bench.sent_to()[-1] != cache_holder
 
@@ -452,7 +452,7 @@
     """Return a bench whose only runner has asked for a backoff."""
     bench = make_signal_bench("i-1")
     signals = RunnerSignals(backoff_seconds=seconds)
-    bench.state.pool.hear("i-1", signals, SOURCE, bench.scheduler.now)
+    bench.state.pool.apply_signals("i-1", signals, SOURCE, bench.scheduler.now)
     return bench
 
 
@@ -487,7 +487,7 @@
 ) -> None:
     bench = backoff_bench(0.2)
     count = 20
-    bench.state.nodes.sharing_count = lambda now: nodes  # type: ignore[method-assign]
+    bench.state.nodes.budget_node_count = lambda now: nodes  # type: ignore[method-assign]
     bench.state.freshness.prove(0.0)
     loop = bench.scheduler.new_loop()
     tasks = [
@@ -512,7 +512,7 @@
     bench = make_signal_bench("i-1", "i-22", kind=RouteKind.STREAM)
     bench.client.behaviours[first] = broken
     bench.client.behaviours[other] = answers(*EVENTS[1:])
-    bench.state.pool.hear(other, RunnerSignals(backoff_seconds=1.0), SOURCE, 0.0)
+    bench.state.pool.apply_signals(other, RunnerSignals(backoff_seconds=1.0), SOURCE, 0.0)
     sink, error = bench.serve(make_request(parts=PARTS))
     assert error is None
     assert sink.body == b"".join(EVENTS)
@@ -525,7 +525,7 @@
 def test_peers_are_notified_of_a_leaving_runner_until_the_directory_lists_it_as_draining() -> None:
     pool = RunnerPool()
     pool.update(make_entry("i-1"))
-    pool.hear("i-1", LEAVING, SOURCE, NOW)
+    pool.apply_signals("i-1", LEAVING, SOURCE, NOW)
     runner = listed(pool, "i-1")
     assert pool.leaving_hints_due(NOW) == [runner]
     pool.apply_leaving_hint(runner, NOW)
--- a/tests/fleet/test_software_rollout_duty.py
+++ b/tests/fleet/test_software_rollout_duty.py
@@ -397,7 +397,7 @@
             )
             for node in bench.nodes:
                 if node.alive:
-                    node.observed.of(order).take("witness", 1, told, bench.scheduler.now)
+                    node.observed.of(order).merge_report("witness", 1, told, bench.scheduler.now)
     assert bench.states() == STATES_BAD
     # The next holder acquires the duty after the lease of the previous holder has expired.
     assert bench.store.told[-1][0] <= ordered_at + OVER_SECONDS + 2 * TTL + MARGIN_SECONDS
--- a/tests/fleet/test_store_era.py
+++ b/tests/fleet/test_store_era.py
@@ -70,15 +70,15 @@
     assert eras.era.era_of_answer(7, 0, allow_stale=False) == 7
     assert eras.told_by == []
     assert eras.era.era_of_answer(9, 7, allow_stale=False) == 9
-    eras.era.hear(10, "node-2")
+    eras.era.observe(10, "node-2")
     assert eras.told_by == [STORE, "node-2"]
 
 
 # Guards against accepting an answer from before a restore that arrives after the notice of it.
 def test_an_answer_from_before_a_restore_is_outdated() -> None:
     eras = NewEras()
-    eras.era.hear(3, STORE)
-    eras.era.hear(4, "node-2")
+    eras.era.observe(3, STORE)
+    eras.era.observe(4, "node-2")
     assert eras.era.era_of_answer(3, 3, allow_stale=False) is None
     assert eras.era.era_of_answer(None, 3, allow_stale=False) is None
     assert eras.fallen == 0
@@ -86,7 +86,7 @@
 
 def test_a_list_that_may_be_old_does_not_show_a_decreased_era() -> None:
     eras = NewEras()
-    eras.era.hear(4, STORE)
+    eras.era.observe(4, STORE)
     assert eras.era.era_of_answer(3, 4, allow_stale=True) is None
     assert eras.fallen == 0
 
@@ -94,7 +94,7 @@
 # Guards against rejecting all answers of a store whose era decreases.
 def test_a_store_with_a_decreased_era_is_reloaded_once_and_followed() -> None:
     eras = NewEras()
-    eras.era.hear(4, STORE)
+    eras.era.observe(4, STORE)
     for _ in range(3):
         assert eras.era.era_of_answer(2, 4, allow_stale=False) == 4
     assert eras.fallen == 1
@@ -188,7 +188,7 @@
     order = next(iter(network.nodes.values())).state.nodes.relay_order(None)
     first, second = (network.nodes[node_id] for node_id in order)
     network.store.down_for = None
-    second.state.store_era.hear(1, "node-9")
+    second.state.store_era.observe(1, "node-9")
     proved_at = second.state.freshness.proved_at()
     network.run(1.5)
     assert first.log.revision.era == second.log.revision.era == 0
@@ -208,11 +208,11 @@
     network.store.restore(copy)
     network.store.down_for = {first}
     write_runner(network, "i-3", state="draining", seq=9)
-    network.nodes[first].state.store_era.hear(network.store.era, STORE)
+    network.nodes[first].state.store_era.observe(network.store.era, STORE)
     network.run(2.0)
     runner = network.nodes[first].state.pool.get("i-3")
     network.close()
-    assert runner is not None and runner.leaves
+    assert runner is not None and runner.is_leaving
 
 
 def test_an_answer_of_an_earlier_build_counts_as_incomplete() -> None:
