--- a/tests/fleet/test_tenant_limits.py
+++ b/tests/fleet/test_tenant_limits.py
@@ -50,21 +50,21 @@
 
 def test_buckets_without_contributed_time_grant_nothing() -> None:
     buckets = make_buckets()
-    assert not buckets.take(TENANT, LIMIT, 1.0, 0, 100.0)
+    assert not buckets.take_tokens(TENANT, LIMIT, 1.0, 0, 100.0)
     assert buckets.lease(TENANT, LIMIT, "node-1", 1.0, 100.0) == 0
-    assert buckets.give(TENANT, LIMIT, 1.0, 100.0) == 0
+    assert buckets.transfer_out(TENANT, LIMIT, 1.0, 100.0) == 0
 
 
 def test_a_full_bucket_holds_the_burst_and_then_follows_the_rate() -> None:
     buckets = full_buckets()
     taken = 0
-    while buckets.take(TENANT, LIMIT, 100.0, 0, 20.0):
+    while buckets.take_tokens(TENANT, LIMIT, 100.0, 0, 20.0):
         taken += 100
     assert LIMIT.burst <= taken <= LIMIT.burst + TOLERANCE.margin(LIMIT)
     for node in range(NODES):
         buckets.contribute(f"node-{node}", 1, 2, 0.5, NODES, 20.5)
     refilled = 0
-    while buckets.take(TENANT, LIMIT, 100.0, 0, 20.5):
+    while buckets.take_tokens(TENANT, LIMIT, 100.0, 0, 20.5):
         refilled += 100
     assert 400 <= refilled <= 500
 
@@ -73,11 +73,11 @@
     buckets = make_buckets()
     for number in range(20):
         buckets.contribute("node-1", 1, number, 0.5, NODES, number / 2)
-    while buckets.take(TENANT, LIMIT, 10.0, 0, 10.0):
+    while buckets.take_tokens(TENANT, LIMIT, 10.0, 0, 10.0):
         pass
     buckets.contribute("node-1", 1, 99, 0.5, NODES, 10.5)
     refilled = 0
-    while buckets.take(TENANT, LIMIT, 10.0, 0, 10.5):
+    while buckets.take_tokens(TENANT, LIMIT, 10.0, 0, 10.5):
         refilled += 10
     # An eighth of the refill of one second, plus a remainder smaller than one request.
     assert 110 <= refilled <= 135
@@ -85,25 +85,25 @@
 
 def test_a_holder_without_contributors_retains_no_tokens() -> None:
     buckets = full_buckets(now=20.0)
-    assert not buckets.take(TENANT, LIMIT, 100.0, 0, 25.0)
-    assert buckets.give(TENANT, LIMIT, 100.0, 25.0) == 0
+    assert not buckets.take_tokens(TENANT, LIMIT, 100.0, 0, 25.0)
+    assert buckets.transfer_out(TENANT, LIMIT, 100.0, 25.0) == 0
 
 
 def test_a_request_that_exceeds_the_capacity_empties_a_full_bucket_and_uses_later_refills() -> None:
     buckets = full_buckets()
-    assert buckets.take(TENANT, LIMIT, 4_000.0, 0, 20.0)
+    assert buckets.take_tokens(TENANT, LIMIT, 4_000.0, 0, 20.0)
     contribute(buckets, 0.5, 20.5, number=2)
-    assert not buckets.take(TENANT, LIMIT, 1.0, 0, 20.5)
+    assert not buckets.take_tokens(TENANT, LIMIT, 1.0, 0, 20.5)
 
 
 def test_the_last_tokens_are_reserved_for_urgent_and_small_requests() -> None:
     buckets = full_buckets()
-    while buckets.take(TENANT, LIMIT, 200.0, 1, 20.0):
+    while buckets.take_tokens(TENANT, LIMIT, 200.0, 1, 20.0):
         pass
-    assert buckets.take(TENANT, LIMIT, 40.0, 1, 20.0)
-    while buckets.take(TENANT, LIMIT, 40.0, 1, 20.0):
+    assert buckets.take_tokens(TENANT, LIMIT, 40.0, 1, 20.0)
+    while buckets.take_tokens(TENANT, LIMIT, 40.0, 1, 20.0):
         pass
-    assert buckets.take(TENANT, LIMIT, 20.0, 0, 20.0)
+    assert buckets.take_tokens(TENANT, LIMIT, 20.0, 0, 20.0)
 
 
 def test_each_start_of_a_node_contributes_its_initial_tokens_once() -> None:
@@ -111,29 +111,29 @@
     for node in range(NODES):
         buckets.contribute(f"node-{node}", 1, 1, 0.0, NODES, 20.0, is_first=True)
     taken = 0
-    while buckets.take(TENANT, LIMIT, 10.0, 0, 20.0):
+    while buckets.take_tokens(TENANT, LIMIT, 10.0, 0, 20.0):
         taken += 10
     assert 0.4 * TOLERANCE.margin(LIMIT) <= taken <= 0.45 * TOLERANCE.margin(LIMIT)
     contribute(buckets, 0.0, 20.1, number=2)
-    assert not buckets.take(TENANT, LIMIT, 10.0, 0, 20.1)
+    assert not buckets.take_tokens(TENANT, LIMIT, 10.0, 0, 20.1)
 
 
 def test_a_removed_bucket_gets_no_initial_tokens_again() -> None:
     buckets = make_buckets()
     for node in range(NODES):
         buckets.contribute(f"node-{node}", 1, 1, 9.0, NODES, 20.0, is_first=True)
-    assert buckets.take(TENANT, LIMIT, 500.0, 0, 20.0)
+    assert buckets.take_tokens(TENANT, LIMIT, 500.0, 0, 20.0)
     contribute(buckets, 0.5, 40.0, number=2)
     buckets.expire(lambda tenant: LIMIT, 40.0)
     taken = 0
-    while buckets.take(TENANT, LIMIT, 10.0, 0, 40.0):
+    while buckets.take_tokens(TENANT, LIMIT, 10.0, 0, 40.0):
         taken += 10
     assert taken <= LIMIT.burst + OVERFILL_SHARE * TOLERANCE.margin(LIMIT)
 
 
 def test_requests_refused_together_are_not_retried_together() -> None:
     buckets = full_buckets()
-    while buckets.take(TENANT, LIMIT, 100.0, 0, 20.0):
+    while buckets.take_tokens(TENANT, LIMIT, 100.0, 0, 20.0):
         pass
     waits = [buckets.wait_seconds(TENANT, LIMIT, 100.0, 0, 20.0) for _ in range(5)]
     gaps = [later - earlier for earlier, later in pairwise(waits)]
@@ -153,7 +153,7 @@
     assert leased > 0
     contribute(buckets, 5.0, 20.5, number=2)
     taken = leased
-    while buckets.take(TENANT, LIMIT, 10.0, 0, 20.5):
+    while buckets.take_tokens(TENANT, LIMIT, 10.0, 0, 20.5):
         taken += 10
     assert taken <= LIMIT.burst + OVERFILL_SHARE * TOLERANCE.margin(LIMIT)
 
@@ -170,10 +170,10 @@
     tolerance = LimitTolerance(8.0, 0.1, 0.0)
     buckets = make_buckets(tolerance)
     contribute(buckets, 10.0, 20.0)
-    assert buckets.take(TENANT, LIMIT, 100.0, 0, 20.0)
+    assert buckets.take_tokens(TENANT, LIMIT, 100.0, 0, 20.0)
     lower = TenantLimit(100.0, 100.0, LimitUnit.TOKENS)
     taken = 0
-    while buckets.take(TENANT, lower, 10.0, 0, 20.0):
+    while buckets.take_tokens(TENANT, lower, 10.0, 0, 20.0):
         taken += 10
     assert taken <= lower.burst + tolerance.margin(lower)
 
@@ -189,7 +189,7 @@
 
 def test_idle_buckets_are_removed() -> None:
     buckets = full_buckets()
-    assert buckets.take(TENANT, LIMIT, 100.0, 0, 20.0)
+    assert buckets.take_tokens(TENANT, LIMIT, 100.0, 0, 20.0)
     contribute(buckets, 0.5, 40.0, number=2)
     buckets.expire(lambda tenant: LIMIT, 40.0)
     assert buckets.levels() == {}
@@ -197,9 +197,9 @@
 
 def test_a_node_does_not_contribute_the_time_of_a_pause() -> None:
     leases = TokenLeases(0.0)
-    assert leases.hand_over(0.4) == 0.4
-    assert leases.hand_over(9.0) == MAX_CONTRIBUTED_SECONDS
-    assert leases.hand_over(9.0) == 0
+    assert leases.take_contribution(0.4) == 0.4
+    assert leases.take_contribution(9.0) == MAX_CONTRIBUTED_SECONDS
+    assert leases.take_contribution(9.0) == 0
 
 
 def test_leased_tokens_expire() -> None:
@@ -253,7 +253,7 @@
 
     @rule(node=st.integers(0, NODES - 1), holder=st.integers(0, 2), is_lost=st.booleans())
     def hand_over(self, node: int, holder: int, is_lost: bool) -> None:
-        seconds = self.nodes[node].hand_over(self.now)
+        seconds = self.nodes[node].take_contribution(self.now)
         returned = self.nodes[node].withdraw_tokens(TENANT, self.now)
         self.numbers[node] += 1
         is_first, self.is_first[node] = self.is_first[node], False
@@ -281,13 +281,13 @@
 
     @rule(source=st.integers(0, 2), receiver=st.integers(0, 2), is_lost=st.booleans())
     def transfer(self, source: int, receiver: int, is_lost: bool) -> None:
-        given = self.holders[source].give(TENANT, LIMIT, 1e9, self.now)
+        given = self.holders[source].transfer_out(TENANT, LIMIT, 1e9, self.now)
         if not is_lost:
-            self.holders[receiver].receive(TENANT, LIMIT, given, self.now)
+            self.holders[receiver].transfer_in(TENANT, LIMIT, given, self.now)
 
     @rule(holder=st.integers(0, 2), cost=st.floats(10.0, 500.0), rank=st.integers(0, 2))
     def drain(self, holder: int, cost: float, rank: int) -> None:
-        while self.holders[holder].take(TENANT, LIMIT, cost, rank, self.now):
+        while self.holders[holder].take_tokens(TENANT, LIMIT, cost, rank, self.now):
             self.record_use(cost)
 
     @rule(node=st.integers(0, NODES - 1), cost=st.floats(1.0, 300.0))
--- a/tests/stateful/test_crash_counts.py
+++ b/tests/stateful/test_crash_counts.py
@@ -82,17 +82,17 @@
     def few_sends_after_the_bound(self) -> None:
         if len(self.crashes) < MAX_CRASHES:
             return
-        ended = sorted(crash.ended_at for crash in self.crashes)
+        ended = sorted(crash.crashed_at for crash in self.crashes)
         known_at = ended[MAX_CRASHES - 1] + CONTACT_SECONDS
         sends = [*self.crashes, *(crash for _, crash in self.pending)]
         assert sum(send.began_at > known_at for send in sends) <= MAX_LATE_SENDS
 
     def _due(self) -> list[float]:
-        ends = [crash.ended_at for _, crash in self.pending]
+        ends = [crash.crashed_at for _, crash in self.pending]
         return ends + [message.sent_at + MESSAGE_SECONDS for message in self.messages]
 
     def _crash_now(self) -> None:
-        for node, crash in [each for each in self.pending if each[1].ended_at <= self.now]:
+        for node, crash in [each for each in self.pending if each[1].crashed_at <= self.now]:
             self.pending.remove((node, crash))
             self.crashes.append(crash)
             self.counts[node].note(NAME, crash)
--- a/tests/stateful/test_runner_limit.py
+++ b/tests/stateful/test_runner_limit.py
@@ -95,7 +95,7 @@
         self.answers.remove(answer)
         limit = self.nodes[answer.node].limit
         source = AnswerSource(AnswerKind.REQUEST, 200, self.now - answer.asked_at, is_whole=True)
-        if limit.take(answer.limit, source, self.now):
+        if limit.apply(answer.limit, source, self.now):
             self.messages.append(Message(limit.rate, limit.asked_at, self.now))
 
     @rule(node=NODE, which=st.integers(0, 100))
@@ -108,9 +108,9 @@
         node_state = self.nodes[node]
         age = message.sent_at - message.asked_at
         if message.rate is None:
-            node_state.limit.hint_end(age, self.now)
+            node_state.limit.apply_end_hint(age, self.now)
         else:
-            node_state.limit.hint(message.rate, age, self.now)
+            node_state.limit.apply_hint(message.rate, age, self.now)
         node_state.last_hint_at = self.now
 
     @rule(node=NODE)
@@ -119,7 +119,7 @@
         self.now += 2 * HINT_TRANSIT_SECONDS
         node_state = self.nodes[node]
         source = AnswerSource(AnswerKind.REQUEST, 200, 0.0, is_whole=True)
-        node_state.limit.take(self.limit, source, self.now)
+        node_state.limit.apply(self.limit, source, self.now)
         known = node_state.limit.in_force(self.now)
         if self.limit is None:
             assert known is None
--- a/tests/stateful/test_runner_restarts.py
+++ b/tests/stateful/test_runner_restarts.py
@@ -101,7 +101,7 @@
             return
         runner_id, process = runner.runner_id, runner.entry.started_ms
         part = (f"part-{process}", 900)
-        self.states[node].index.note(runner_id, "salt", [PromptPart(*part)])
+        self.states[node].index.record_cached(runner_id, "salt", [PromptPart(*part)])
         version = WEIGHTS_OF_PROCESS * process + 1
         self.notices.append(
             NodeNotice(
--- a/tests/stateful/test_runner_signals.py
+++ b/tests/stateful/test_runner_signals.py
@@ -99,21 +99,23 @@
         """Receive the signal from the latest process, or late from the previous one."""
         runner_id = runner_id_of(name, max(1, self.process[name] - back))
         self.left.add(runner_id)
-        self.state.pool.hear(runner_id, RunnerSignals(leaving=True), SOURCE, self.now)
+        self.state.pool.apply_signals(runner_id, RunnerSignals(leaving=True), SOURCE, self.now)
 
     @rule(name=NAMES, back=st.integers(0, 1), seconds=st.floats(0.05, 30.0))
     def refusal_asks_for_a_backoff(self, name: str, back: int, seconds: float) -> None:
         runner_id = runner_id_of(name, max(1, self.process[name] - back))
         until = max(self.backoff_until.get(runner_id, 0.0), self.now + seconds)
         self.backoff_until[runner_id] = until
-        self.state.pool.hear(runner_id, RunnerSignals(backoff_seconds=seconds), SOURCE, self.now)
+        self.state.pool.apply_signals(
+            runner_id, RunnerSignals(backoff_seconds=seconds), SOURCE, self.now
+        )
 
     @rule(name=NAMES)
     def answer_without_a_signal(self, name: str) -> None:
         """Receive a success and a refusal without a backoff for attempts that were under way."""
         runner = self.state.pool.get(self.latest(name))
         if runner is not None:
-            self.state.pool.heard(runner, self.now)
+            self.state.pool.record_contact(runner, self.now)
             self.state.pool.succeeded(runner)
             self.state.pool.shed(runner, self.now)
 
@@ -144,7 +146,7 @@
 
     @invariant()
     def no_other_runner_is_held_back(self) -> None:
-        held_back = {r.runner_id for r in self.state.pool.held_back(ENGINES, self.now)}
+        held_back = {r.runner_id for r in self.state.pool.restricted_runners(ENGINES, self.now)}
         signalled = self.left | {r for r, until in self.backoff_until.items() if self.now < until}
         listed = {runner.runner_id for runner in self.state.pool.all()}
         assert held_back == signalled & listed
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -25,7 +25,7 @@
 
 from hillstack.core.cache_watch import CacheHolder, WatchAssignment
 from hillstack.core.part_index import PartIndex, PromptPart
-from hillstack.core.placement.cached_parts import Surroundings
+from hillstack.core.placement.cached_parts import PlacementInputs
 from hillstack.core.placement.expected_delay import (
     Candidate,
     ExpectedDelayPlacement,
@@ -118,7 +118,7 @@
     for number in range(in_zone):
         buckets.contribute(f"node-{number}", 1, 0, 5.0, nodes, 0.0)
     for tenant in range(tenants):
-        buckets.take(f"tenant-{tenant}", LIMIT, 1.0, 0, 0.0)
+        buckets.take_tokens(f"tenant-{tenant}", LIMIT, 1.0, 0, 0.0)
     call_numbers = iter(range(1, 10**9))
 
     def ask_holder() -> object:
@@ -200,17 +200,17 @@
         )
         shapes.append(PromptShape((*shared, PromptPart(f"own-{subject}", UNIQUE_TOKENS)), 10))
         for runner in rng.sample(runners, min(HOLDERS_PER_SUBJECT, len(runners))):
-            index.note(runner.runner_id, SALT, shared)
-        index.note(store.address, SALT, shared)
+            index.record_cached(runner.runner_id, SALT, shared)
+        index.record_cached(store.address, SALT, shared)
     policy = ExpectedDelayPlacement(index)
-    surroundings = Surroundings("zone-0", ENGINE, 38_400.0, (store,), 0.1, 0.8, 0.6, {}, topology)
+    inputs = PlacementInputs("zone-0", ENGINE, 38_400.0, (store,), 0.1, 0.8, 0.6, {}, topology)
     local_runners = [runner for runner in runners if topology.is_own_region(runner.entry.zone)]
     call_numbers = iter(range(10**9))
 
     def choose() -> object:
         candidates = [Candidate(runner, SALT, 1) for runner in local_runners]
         shape = shapes[next(call_numbers) % SUBJECTS]
-        return policy.choose(shape, candidates, surroundings, runners)
+        return policy.choose(shape, candidates, inputs, runners)
 
     return choose
 
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -99,7 +99,7 @@
     Mutation(
         "draining runners get work",
         "core/runner_pool.py",
-        "return self.leaving or self.entry.draining or self.signals.leaves",
+        "return self.leaving or self.entry.draining or self.signals.is_leaving",
         "return False",
     ),
     Mutation(
@@ -669,7 +669,7 @@
     Mutation(
         "a runner's own word that it leaves is passed over",
         "core/runner_pool.py",
-        "return self.leaving or self.entry.draining or self.signals.leaves",
+        "return self.leaving or self.entry.draining or self.signals.is_leaving",
         "return self.leaving or self.entry.draining",
     ),
     Mutation(
@@ -748,7 +748,7 @@
     Mutation(
         "weights are ordered at runners that leave",
         "core/weights_rollout.py",
-        "return not runner.leaves and runner.runner_id",
+        "return not runner.is_leaving and runner.runner_id",
         "return not runner.entry.draining and runner.runner_id",
     ),
     Mutation(
@@ -778,7 +778,7 @@
     Mutation(
         "buckets of runners overdraw",
         "core/token_buckets.py",
-        "return max(cost, needed) if self.is_whole else needed",
+        "return max(cost, needed) if self.requires_full_cost else needed",
         "return needed",
     ),
     Mutation(
@@ -814,7 +814,7 @@
     Mutation(
         "nobody tells peers of limits",
         "daemon/peer_exchange.py",
-        "        self._outbox.add_limit(_limit_notice(runner_id, limit, limit.told_at))\n",
+        "        self._outbox.add_limit(_limit_notice(runner_id, limit, limit.last_hint_at))\n",
         "",
     ),
     Mutation(
--- a/tools/notice_cost.py
+++ b/tools/notice_cost.py
@@ -90,7 +90,7 @@
 def _state() -> FleetState:
     versions = WeightsVersions(7.6)
     state = FleetState("node-0", Freshness(4.5), versions, SharedRetryBudget(0.2, 198.0, 10.0))
-    services = [Service("engines", engine=ENGINE), Service("kept", kept_cache=STORE)]
+    services = [Service("engines", engine=ENGINE), Service("kept", kv_cache_store=STORE)]
     table = RoutingTable.build(1, [], services, {}, RequestLimits())
     state.apply(ConfigurationChanged(table), 0.0)
     for number in range(NODES):
