--- a/src/hillstack/core/claims.py
+++ b/src/hillstack/core/claims.py
@@ -235,7 +235,7 @@
             return ClaimVerdict.NO_MAJORITY
         return None
 
-    def is_settled(self) -> bool:
+    def can_end_early(self) -> bool:
         """Return whether the round can end before all replies have arrived.
 
         A held claim is not settled until a reply contains the answer: a replica that stores the
--- a/src/hillstack/core/crash_counts.py
+++ b/src/hillstack/core/crash_counts.py
@@ -30,7 +30,7 @@
 # If all crashes are late, the sixth one reaches the bound. The request has no trials left then,
 # since the fourth to sixth run, if sent after the third crash was known, count as sends beyond the
 # bound.
-SETTLED_WEIGHT = 0.5
+LATE_CRASH_WEIGHT = 0.5
 # A run has survived once its age exceeds this multiple of the shortest age of the request's crashed
 # runs, plus the slack: a request crashes its runners at about the same age each time, apart from
 # its time in the queue.
@@ -119,8 +119,8 @@
                 found.append(run)
         return found
 
-    def is_bounded(self) -> bool:
-        weights = (SETTLED_WEIGHT if run.is_settled else 1.0 for run in self.sequential_runs())
+    def has_reached_bound(self) -> bool:
+        weights = (LATE_CRASH_WEIGHT if run.is_settled else 1.0 for run in self.sequential_runs())
         return sum(weights) >= MAX_CRASHES
 
     def sends_beyond_bound(self) -> int:
@@ -170,10 +170,10 @@
             return True
         return len(crashes.runs) >= MAX_CRASHES and now > crashes.third_crash_known_at
 
-    def is_bounded(self, name: int) -> bool:
+    def has_reached_bound(self, name: int) -> bool:
         """Return whether a request has reached the bound of crashes."""
         crashes = self._get(name)
-        return crashes is not None and crashes.is_bounded()
+        return crashes is not None and crashes.has_reached_bound()
 
     def has_survived(self, name: int, age: float) -> bool:
         """Return whether a run has survived the age at which its request crashes runners.
@@ -198,7 +198,7 @@
             min_pause: Minimum seconds between the latest crash and a trial.
         """
         crashes = self._get(name)
-        if crashes is None or not crashes.is_bounded():
+        if crashes is None or not crashes.has_reached_bound():
             return True
         spent = max(crashes.sends_beyond_bound(), crashes.trials)
         if spent >= len(TRIAL_PAUSES_SECONDS):
@@ -213,7 +213,7 @@
         Other nodes wait for the next pause, so that only one node sends the request.
         """
         crashes = self._get(name)
-        if crashes is None or not crashes.is_bounded():
+        if crashes is None or not crashes.has_reached_bound():
             return
         if now >= crashes.last_trial_at + TRIAL_INTERVAL_SECONDS:
             crashes.trials += 1
--- a/src/hillstack/core/part_index.py
+++ b/src/hillstack/core/part_index.py
@@ -190,7 +190,7 @@
             holder.remove(key)
         return estimated
 
-    def retain(
+    def remove_unlisted(
         self, holder_id: str, listed: Collection[PartKey], read_by: float
     ) -> list[tuple[str, PromptPart]]:
         """Remove the parts that a full listing of a holder lacks; return them with their salts.
--- a/src/hillstack/core/rollout_evidence.py
+++ b/src/hillstack/core/rollout_evidence.py
@@ -32,7 +32,7 @@
 PROCESS_SILENT_SECONDS = 2.0
 # Progress of the stages in reports of one process. Unlike ``software_rollouts.STAGE_ORDER``, both
 # final stages are equal, so that a later report of either is applied.
-STAGE_ORDER = {
+STAGE_PROGRESS = {
     RolloutStage.CANARY.value: 0,
     RolloutStage.SHIFTING.value: 1,
     RolloutStage.COMPLETE.value: 2,
@@ -180,7 +180,9 @@
             is_silent = now - state.received_at >= PROCESS_SILENT_SECONDS
             if incarnation != latest and not is_new and not is_silent:
                 return
-            is_earlier_stage = STAGE_ORDER.get(report.stage, 0) < STAGE_ORDER.get(state.stage, 0)
+            is_earlier_stage = STAGE_PROGRESS.get(report.stage, 0) < STAGE_PROGRESS.get(
+                state.stage, 0
+            )
             if incarnation == latest and is_earlier_stage:
                 return
         state = ReporterState(report.stage, report.old_running, now)
--- a/src/hillstack/core/runner_crashes.py
+++ b/src/hillstack/core/runner_crashes.py
@@ -43,7 +43,7 @@
 # Weight of a run that has just settled; a run that has not settled has weight 1. The weight falls
 # with the age of the answer to MIN_WEIGHT, so that a request which crashes runners late is still
 # detected eventually.
-SETTLED_WEIGHT = 0.2
+JUST_SETTLED_WEIGHT = 0.2
 MIN_WEIGHT = 0.02
 # Weight of each request that is counted but not identified, since its node has not reported it yet.
 UNIDENTIFIED_WEIGHT = 0.3
@@ -102,7 +102,7 @@
         if not self.is_settled:
             return 1.0
         assert self.answering is not None
-        return max(MIN_WEIGHT, SETTLED_WEIGHT * SETTLED_SECONDS / self.answering)
+        return max(MIN_WEIGHT, JUST_SETTLED_WEIGHT * SETTLED_SECONDS / self.answering)
 
     @property
     def is_settled(self) -> bool:
--- a/src/hillstack/core/runner_limit.py
+++ b/src/hillstack/core/runner_limit.py
@@ -50,14 +50,14 @@
         status: Status code of the answer.
         seconds_since_request: Seconds from the sending of the request to the answer.
         request_id: Identifier of a caller's request; empty for other kinds.
-        is_whole: Whether the answer shows that the runner has carried out the request.
+        was_carried_out: Whether the answer shows that the runner has carried out the request.
     """
 
     kind: AnswerKind
     status: int
     seconds_since_request: float = 0.0
     request_id: str = ""
-    is_whole: bool = False
+    was_carried_out: bool = False
 
     def __str__(self) -> str:
         asked = f"{self.kind.value} {self.request_id}".strip()
@@ -73,11 +73,11 @@
         last_reported_at: When the latest answer with the limit arrived.
         first_reported_at: When the first answer with a limit arrived since the runner had none.
         source: The first answer with the limit, for the log.
-        asked_at: When the request of the latest applied answer was sent.
+        request_sent_at: When the request of the latest applied answer was sent.
         kinds: The kinds of answers that contain the limit.
         hinted_rate: The rate that peers report.
         hinted_until: When the hint of peers expires.
-        hinted_asked_at: When the request was sent whose answer the hint reports, or later.
+        hinted_request_sent_at: When the request was sent whose answer the hint reports, or later.
         last_hint_at: When a peer or this node last sent a hint of the limit.
         may_probe: Whether one request may be sent to find out whether the limit has ended, since a
             peer reported its end.
@@ -88,11 +88,11 @@
     last_reported_at: float = float("-inf")
     first_reported_at: float = float("-inf")
     source: str = ""
-    asked_at: float = float("-inf")
+    request_sent_at: float = float("-inf")
     kinds: frozenset[AnswerKind] = frozenset()
     hinted_rate: float = 0.0
     hinted_until: float = float("-inf")
-    hinted_asked_at: float = float("-inf")
+    hinted_request_sent_at: float = float("-inf")
     last_hint_at: float = float("-inf")
     may_probe: bool = False
     exhausted_until: float = float("-inf")
@@ -103,7 +103,7 @@
             return self.rate
         if (
             self.rate is None
-            or self.hinted_asked_at - HINT_TRANSIT_SECONDS >= self.last_reported_at
+            or self.hinted_request_sent_at - HINT_TRANSIT_SECONDS >= self.last_reported_at
         ):
             return self.hinted_rate
         return min(self.rate, self.hinted_rate)
@@ -121,16 +121,16 @@
             source: The answer.
             now: When the answer arrived, on the node's clock.
         """
-        asked_at = now - source.seconds_since_request
+        request_sent_at = now - source.seconds_since_request
         if rate is None:
-            return self._apply_missing_limit(source, asked_at, now)
-        if asked_at < self.asked_at:
+            return self._apply_missing_limit(source, request_sent_at, now)
+        if request_sent_at < self.request_sent_at:
             return False
         is_news = rate != self.rate
         self.may_probe = False
         if self.rate is None:
             self.first_reported_at, self.source = now, str(source)
-        self.rate, self.last_reported_at, self.asked_at = rate, now, asked_at
+        self.rate, self.last_reported_at, self.request_sent_at = rate, now, request_sent_at
         self.kinds |= {source.kind}
         return is_news
 
@@ -143,25 +143,28 @@
                 the sending of the hint.
             now: When the hint arrived, on the node's clock.
         """
-        asked_at = now - age_seconds
-        if self.rate is None and asked_at <= self.asked_at:
+        request_sent_at = now - age_seconds
+        if self.rate is None and request_sent_at <= self.request_sent_at:
             return True
         self.last_hint_at = now
-        if asked_at >= self.hinted_asked_at - HINT_TRANSIT_SECONDS or now >= self.hinted_until:
-            self._apply_hint(rate, asked_at, now)
+        if (
+            request_sent_at >= self.hinted_request_sent_at - HINT_TRANSIT_SECONDS
+            or now >= self.hinted_until
+        ):
+            self._apply_hint(rate, request_sent_at, now)
         return False
 
-    def _apply_hint(self, rate: float, asked_at: float, now: float) -> None:
+    def _apply_hint(self, rate: float, request_sent_at: float, now: float) -> None:
         """Apply a hint that is not older than the current hint, within the transit delay.
 
         The same hint arrives repeatedly, with times that differ by some ten milliseconds. Of two
         hints that may be from the same time, the lower rate is applied.
         """
-        is_same_time = asked_at < self.hinted_asked_at + HINT_TRANSIT_SECONDS
+        is_same_time = request_sent_at < self.hinted_request_sent_at + HINT_TRANSIT_SECONDS
         if is_same_time and now < self.hinted_until:
             rate = min(rate, self.hinted_rate)
-            asked_at = max(asked_at, self.hinted_asked_at)
-        self.hinted_rate, self.hinted_asked_at = rate, asked_at
+            request_sent_at = max(request_sent_at, self.hinted_request_sent_at)
+        self.hinted_rate, self.hinted_request_sent_at = rate, request_sent_at
         self.hinted_until = now + HINT_SECONDS
 
     def apply_end_hint(self, age_seconds: float, now: float) -> None:
@@ -172,10 +175,10 @@
                 sending of the hint.
             now: When the hint arrived, on the node's clock.
         """
-        asked_at = now - age_seconds - HINT_TRANSIT_SECONDS
-        if asked_at >= self.hinted_asked_at:
+        request_sent_at = now - age_seconds - HINT_TRANSIT_SECONDS
+        if request_sent_at >= self.hinted_request_sent_at:
             self.hinted_until = float("-inf")
-        if self.rate is not None and asked_at >= self.last_reported_at:
+        if self.rate is not None and request_sent_at >= self.last_reported_at:
             self.may_probe = True
             self.exhausted_until = float("-inf")
 
@@ -184,20 +187,22 @@
         may_probe, self.may_probe = self.may_probe, False
         return may_probe
 
-    def _apply_missing_limit(self, source: AnswerSource, asked_at: float, now: float) -> bool:
+    def _apply_missing_limit(
+        self, source: AnswerSource, request_sent_at: float, now: float
+    ) -> bool:
         """Apply an answer without a limit; return whether this ended the limit.
 
         The answer is certainly newer only if its request was sent after the latest answer with the
         limit had arrived. An answer of a kind that never contained the limit does not end it,
         unless it answers a caller's request.
         """
-        if self.in_force(now) is None or not source.is_whole:
+        if self.in_force(now) is None or not source.was_carried_out:
             return False
-        if asked_at < max(self.last_reported_at, self.hinted_asked_at):
+        if request_sent_at < max(self.last_reported_at, self.hinted_request_sent_at):
             return False
         if source.kind is not AnswerKind.REQUEST and source.kind not in self.kinds:
             return False
-        self.rate, self.asked_at, self.may_probe = None, asked_at, False
+        self.rate, self.request_sent_at, self.may_probe = None, request_sent_at, False
         self.hinted_until = self.exhausted_until = float("-inf")
         self.kinds = frozenset()
         return True
--- a/src/hillstack/core/runner_signals.py
+++ b/src/hillstack/core/runner_signals.py
@@ -47,7 +47,7 @@
             without one.
         leaving_source: That answer, for the log.
         backoff_until: This node sends no requests before this time: the latest end of all backoffs.
-        backoff_asked_at: When that backoff arrived.
+        backoff_received_at: When that backoff arrived.
         backoff_source: The answer with that backoff, for the log.
         limit: The limit on the requests of all nodes together.
     """
@@ -55,7 +55,7 @@
     leaving_since: float | None = None
     leaving_source: str = ""
     backoff_until: float = float("-inf")
-    backoff_asked_at: float = float("-inf")
+    backoff_received_at: float = float("-inf")
     backoff_source: str = ""
     limit: RunnerLimit = field(default_factory=RunnerLimit)
 
@@ -89,7 +89,7 @@
             is_news = True
         until = now + signals.backoff_seconds
         if signals.backoff_seconds > 0 and until > self.backoff_until:
-            self.backoff_until, self.backoff_asked_at, self.backoff_source = until, now, source
+            self.backoff_until, self.backoff_received_at, self.backoff_source = until, now, source
             is_news = True
         return is_news
 
--- a/src/hillstack/core/software_rollouts.py
+++ b/src/hillstack/core/software_rollouts.py
@@ -205,7 +205,7 @@
             return False
         return record.revision.era > known.revision.era and _is_behind(record, known)
 
-    def retain_records(self, listed: set[str], revision: StoreRevision) -> None:
+    def mark_unlisted_records_lost(self, listed: set[str], revision: StoreRevision) -> None:
         """Mark the records that are missing in a full list of a restored store."""
         for service, record in list(self._records.items()):
             if service not in listed and record.revision.era < revision.era:
--- a/src/hillstack/core/unconfirmed_entries.py
+++ b/src/hillstack/core/unconfirmed_entries.py
@@ -48,7 +48,7 @@
         """Forget an entry that the directory has removed."""
         self._withheld.pop(name, None)
 
-    def retain(self, listed: Collection[str]) -> None:
+    def remove_unlisted(self, listed: Collection[str]) -> None:
         """Remove the entries that are not in a full list of the directory."""
         for name in self._withheld.keys() - listed:
             del self._withheld[name]
--- a/src/hillstack/daemon/cache_follower.py
+++ b/src/hillstack/daemon/cache_follower.py
@@ -233,7 +233,7 @@
         listing = await self._feed.listing(holder)
         listed = {(entry.salt, entry.part.part_id) for entry in listing.entries}
         read_by = asked_at - SETTLING_SECONDS
-        evicted = self._state.index.retain(holder.holder_id, listed, read_by)
+        evicted = self._state.index.remove_unlisted(holder.holder_id, listed, read_by)
         for salt, part in evicted:
             dropped = CacheEntry(salt, PromptPart(part.part_id, 0))
             self._report(holder, dropped, estimated=part.tokens)
--- a/src/hillstack/daemon/claim_coordinator.py
+++ b/src/hillstack/daemon/claim_coordinator.py
@@ -72,7 +72,7 @@
             asyncio.create_task(self._ask(zone, node_id, request))
             for zone, node_id in asked.items()
         }
-        while pending and not claim_round.is_settled():
+        while pending and not claim_round.can_end_early():
             done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
             for zone, reply in sorted((task.result() for task in done), key=lambda pair: pair[0]):
                 claim_round.on_reply(zone, reply)
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -466,7 +466,7 @@
 
 def _limit_notice(runner_id: str, limit: RunnerLimit, now: float) -> LimitNotice:
     rate = NO_LIMIT if limit.rate is None else limit.rate
-    return LimitNotice(runner_id, rate, round((now - limit.asked_at) * MILLISECONDS))
+    return LimitNotice(runner_id, rate, round((now - limit.request_sent_at) * MILLISECONDS))
 
 
 def _is_urgent(notices: list[NodeNotice]) -> bool:
--- a/src/hillstack/serving/fleet_state.py
+++ b/src/hillstack/serving/fleet_state.py
@@ -228,7 +228,7 @@
 
     def retain_runners(self, listed: set[str], now: float, revision: StoreRevision) -> None:
         """Remove the runners that a complete list, as of a revision, no longer contains."""
-        self._unconfirmed_entries.retain(listed)
+        self._unconfirmed_entries.remove_unlisted(listed)
         for runner in self.pool.all():
             if runner.entry.directory_name in listed or runner.entry.revision > revision:
                 continue
@@ -249,7 +249,7 @@
                 self._missing_orders[order.service] = now + REWRITE_WAIT_SECONDS
             else:
                 self.rollouts.withdraw(order.service, revision)
-        self.rollouts.retain_records(listed.recorded, revision)
+        self.rollouts.mark_unlisted_records_lost(listed.recorded, revision)
         for service in self.rollout_deciders.keys() - listed.held:
             self.rollout_deciders[service] = None
 
--- a/src/hillstack/serving/runner_crashes.py
+++ b/src/hillstack/serving/runner_crashes.py
@@ -258,9 +258,9 @@
 
     def _is_within_bound(self, job: Job) -> bool:
         """Return whether a request is below the crash limit or may be sent as a trial."""
-        if any(map(self._counts.is_bounded, self._names(job))):
+        if any(map(self._counts.has_reached_bound, self._names(job))):
             self._reset_survivor_counts()
-        bounded = [name for name in self._names(job) if self._counts.is_bounded(name)]
+        bounded = [name for name in self._names(job) if self._counts.has_reached_bound(name)]
         if not bounded:
             return True
         now = self._clock()
@@ -283,7 +283,9 @@
         There is none if only the content has reached the crash limit, because another request with
         the same content may be the fatal one.
         """
-        is_likely = fingerprint in self._record.fatal() or self._counts.is_bounded(fingerprint)
+        is_likely = fingerprint in self._record.fatal() or self._counts.has_reached_bound(
+            fingerprint
+        )
         return FATAL_REFUSAL_SECONDS if is_likely else 0.0
 
     def _node_rank(self, name: int) -> int:
@@ -654,7 +656,7 @@
                 continue
             if self._run(job, now).is_settled:
                 continue
-            if any(map(self._counts.is_bounded, self._names(job))):
+            if any(map(self._counts.has_reached_bound, self._names(job))):
                 job.is_fatal = True
                 job.expire_now()
 
--- a/src/hillstack/serving/signal_receiver.py
+++ b/src/hillstack/serving/signal_receiver.py
@@ -153,7 +153,7 @@
         known["leaving_source"] = received.leaving_source
     if received.remaining_backoff(now) > 0:
         known["backoff_left_seconds"] = rounded_seconds(received.remaining_backoff(now))
-        known["backoff_asked_since_seconds"] = rounded_seconds(now - received.backoff_asked_at)
+        known["backoff_asked_since_seconds"] = rounded_seconds(now - received.backoff_received_at)
         known["backoff_source"] = received.backoff_source
     limit = received.limit
     if limit.in_force(now) is not None:
--- a/tests/fleet/runner_limit_traffic.py
+++ b/tests/fleet/runner_limit_traffic.py
@@ -150,7 +150,7 @@
         now = self.network.scheduler.now
         if signals.limit is not None and side.informed_at is None:
             side.informed_at = now
-        source = AnswerSource(AnswerKind.REQUEST, 200, now - asked_at, is_whole=True)
+        source = AnswerSource(AnswerKind.REQUEST, 200, now - asked_at, was_carried_out=True)
 
         def take() -> None:
             side.intake.heard(self.runner_id, signals, source)
--- a/tests/fleet/test_crash_counts.py
+++ b/tests/fleet/test_crash_counts.py
@@ -37,10 +37,10 @@
 def test_sequential_crashes_bound_a_request() -> None:
     counts = CrashCounts()
     for number in range(MAX_CRASHES):
-        assert not counts.is_bounded(NAME)
+        assert not counts.has_reached_bound(NAME)
         crash(counts, number, 1.0 + number)
         crash(counts, number, 1.0 + number)
-    assert counts.is_bounded(NAME)
+    assert counts.has_reached_bound(NAME)
 
 
 def test_simultaneous_crashes_count_once() -> None:
@@ -54,7 +54,7 @@
     counts = CrashCounts()
     for number in (2, 0, 1):
         crash(counts, number, 1.0 + number)
-    assert counts.is_bounded(NAME)
+    assert counts.has_reached_bound(NAME)
 
 
 def test_success_resets_the_count_also_for_crashes_reported_later() -> None:
@@ -113,11 +113,11 @@
 def test_settled_streams_are_bounded_after_more_crashes() -> None:
     counts = CrashCounts()
     for number in range(2 * MAX_CRASHES):
-        assert not counts.is_bounded(NAME)
+        assert not counts.has_reached_bound(NAME)
         ended_at = 10.0 * (1 + number)
         run = CrashedRun(f"i-{number}", ended_at - 4.0, ended_at, is_settled=True)
         counts.note(NAME, run)
-    assert counts.is_bounded(NAME)
+    assert counts.has_reached_bound(NAME)
     assert not counts.may_try(NAME, 0, 1_000_000.0)
 
 
@@ -132,7 +132,7 @@
     counts = make_bounded_counts()
     for other in range(2 * MAX_NAMES):
         counts.note(1_000 + other, CrashedRun("i-9", 4.0, 5.0))
-    assert counts.is_bounded(NAME)
+    assert counts.has_reached_bound(NAME)
     assert counts.count(1_000) == 0
 
 
@@ -141,7 +141,7 @@
     counts.note(8, CrashedRun("i-9", 1.0, 2.0))
     counts.expire(SINGLE_RETENTION_SECONDS + 10.0)
     assert counts.count(8) == 0
-    assert counts.is_bounded(NAME)
+    assert counts.has_reached_bound(NAME)
     counts.expire(REPEATED_RETENTION_SECONDS + 10.0)
     assert not counts
 
--- a/tests/fleet/test_restored_beliefs.py
+++ b/tests/fleet/test_restored_beliefs.py
@@ -142,7 +142,7 @@
 
 def test_a_verdict_that_the_store_has_lost_is_written_again(rollouts: SoftwareRollouts) -> None:
     rollouts.apply_record(REVERTED)
-    rollouts.retain_records(set(), rev(70, era=4))
+    rollouts.mark_unlisted_records_lost(set(), rev(70, era=4))
     again = replace(ORDER, revision=rev(81, era=4))
     rollouts.apply_order(again)
     assert rollouts.stage(SERVICE) is RolloutStage.REVERTED
--- a/tests/fleet/test_runner_limits.py
+++ b/tests/fleet/test_runner_limits.py
@@ -62,7 +62,7 @@
 from tests.fleet.test_pipeline import EVENTS, PARTS, RESET, Bench, make_bench, make_stream_bench
 
 NOW = 100.0
-REQUEST = AnswerSource(AnswerKind.REQUEST, 200, request_id="r-0", is_whole=True)
+REQUEST = AnswerSource(AnswerKind.REQUEST, 200, request_id="r-0", was_carried_out=True)
 
 
 def answer(
@@ -72,7 +72,7 @@
     is_whole: bool = True,
 ) -> AnswerSource:
     """Return the source of an answer with status 200."""
-    return AnswerSource(kind, 200, seconds_since_request, is_whole=is_whole)
+    return AnswerSource(kind, 200, seconds_since_request, was_carried_out=is_whole)
 
 
 # Reading a limit from an answer.
--- a/tests/stateful/test_crash_counts.py
+++ b/tests/stateful/test_crash_counts.py
@@ -50,7 +50,7 @@
             # Suspects run one at a time: nodes decide some ms apart and notify the others of a run
             # (``Probations``).
             return
-        if counts.is_bounded(NAME):
+        if counts.has_reached_bound(NAME):
             if not counts.may_try(NAME, node, self.now):
                 return
             counts.record_trial(NAME, self.now)
--- a/tests/stateful/test_runner_limit.py
+++ b/tests/stateful/test_runner_limit.py
@@ -94,9 +94,11 @@
         answer = generated[which % len(generated)]
         self.answers.remove(answer)
         limit = self.nodes[answer.node].limit
-        source = AnswerSource(AnswerKind.REQUEST, 200, self.now - answer.asked_at, is_whole=True)
+        source = AnswerSource(
+            AnswerKind.REQUEST, 200, self.now - answer.asked_at, was_carried_out=True
+        )
         if limit.apply(answer.limit, source, self.now):
-            self.messages.append(Message(limit.rate, limit.asked_at, self.now))
+            self.messages.append(Message(limit.rate, limit.request_sent_at, self.now))
 
     @rule(node=NODE, which=st.integers(0, 100))
     def deliver_a_message(self, node: int, which: int) -> None:
@@ -118,7 +120,7 @@
         """An answer to a request sent now is the newest, whatever messages are still in flight."""
         self.now += 2 * HINT_TRANSIT_SECONDS
         node_state = self.nodes[node]
-        source = AnswerSource(AnswerKind.REQUEST, 200, 0.0, is_whole=True)
+        source = AnswerSource(AnswerKind.REQUEST, 200, 0.0, was_carried_out=True)
         node_state.limit.apply(self.limit, source, self.now)
         known = node_state.limit.in_force(self.now)
         if self.limit is None:
@@ -147,7 +149,7 @@
             if own is None or known is None or known <= own:
                 continue
             since = [at for at, limit in self.history if limit == known]
-            assert max(since) + HINT_TRANSIT_SECONDS >= node_state.limit.asked_at
+            assert max(since) + HINT_TRANSIT_SECONDS >= node_state.limit.request_sent_at
 
 
 TestLimitsInAnyOrder = LimitsInAnyOrder.TestCase
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -784,19 +784,19 @@
     Mutation(
         "any answer without a limit ends it",
         "core/runner_limit.py",
-        "        if asked_at < max(self.last_reported_at, self.hinted_asked_at):",
+        "        if request_sent_at < max(self.last_reported_at, self.hinted_request_sent_at):",
         "        if False:",
     ),
     Mutation(
         "a failure without a limit ends it",
         "core/runner_limit.py",
-        "if self.in_force(now) is None or not source.is_whole:",
+        "if self.in_force(now) is None or not source.was_carried_out:",
         "if self.in_force(now) is None:",
     ),
     Mutation(
         "an old answer that comes late brings a limit back",
         "core/runner_limit.py",
-        "        if asked_at < self.asked_at:\n            return False\n",
+        "        if request_sent_at < self.request_sent_at:\n            return False\n",
         "",
     ),
     Mutation(
@@ -910,8 +910,8 @@
     Mutation(
         "streams that are moved along count in full",
         "core/crash_counts.py",
-        "SETTLED_WEIGHT = 0.5",
-        "SETTLED_WEIGHT = 1.0",
+        "LATE_CRASH_WEIGHT = 0.5",
+        "LATE_CRASH_WEIGHT = 1.0",
     ),
     Mutation(
         "trials beyond the bound are not counted",
