--- a/src/hillstack/core/runner_pool.py
+++ b/src/hillstack/core/runner_pool.py
@@ -415,8 +415,8 @@
 
     def directly_reported_limits(self, now: float) -> dict[str, RunnerLimit]:
         """Return the limits that processes have reported to this node directly."""
-        limited = self.active_limits(now).items()
-        return {runner_id: limit for runner_id, limit in limited if limit.rate is not None}
+        active_limits = self.active_limits(now).items()
+        return {runner_id: limit for runner_id, limit in active_limits if limit.rate is not None}
 
     def limit_hints_due(self, now: float) -> dict[str, RunnerLimit]:
         """Return the directly reported limits of which no hint was sent lately."""
--- a/src/hillstack/serving/placement.py
+++ b/src/hillstack/serving/placement.py
@@ -401,8 +401,8 @@
         chosen = remote if borrowed else local
         if not chosen:
             return None
-        suited = self._state.probations.select_runners(chosen, job.suspect_rank, now)
-        return PlacedAttempt(min(suited, key=order), borrowed=borrowed)
+        selected = self._state.probations.select_runners(chosen, job.suspect_rank, now)
+        return PlacedAttempt(min(selected, key=order), borrowed=borrowed)
 
     def _application_borrows(
         self, job: Job, local: list[Runner], remote: list[Runner], now: float
@@ -491,10 +491,10 @@
 
         If that choice is late for a request that is no suspect, all candidates are considered.
         """
-        suited = self._separate_suspects(job, candidates, inputs.now)
-        choice = self._policy.choose(shape, suited, inputs, holders)
+        selected = self._separate_suspects(job, candidates, inputs.now)
+        choice = self._policy.choose(shape, selected, inputs, holders)
         is_in_time = choice is not None and choice.delay <= inputs.target_seconds
-        if is_in_time or len(suited) == len(candidates) or job.is_suspect:
+        if is_in_time or len(selected) == len(candidates) or job.is_suspect:
             return choice
         return self._policy.choose(shape, candidates, inputs, holders)
 
@@ -517,8 +517,8 @@
         if not job.is_suspect and not self._state.probations:
             return candidates
         runners = [candidate.runner for candidate in candidates]
-        suited = self._state.probations.select_runners(runners, job.suspect_rank, now)
-        ids = {runner.runner_id for runner in suited}
+        selected = self._state.probations.select_runners(runners, job.suspect_rank, now)
+        ids = {runner.runner_id for runner in selected}
         return [candidate for candidate in candidates if candidate.runner.runner_id in ids]
 
     def _version_terms(self, job: Job, version: int) -> _VersionTerms:
--- a/src/hillstack/serving/runner_crashes.py
+++ b/src/hillstack/serving/runner_crashes.py
@@ -453,12 +453,12 @@
 
     def _earlier_crash_notices(self, others: list[str], now: float) -> list[RunnerEndNotice]:
         """Return notices of crashes that are no longer in the record but still counted."""
-        ended_at: dict[str, float] = {}
+        crashed_at: dict[str, float] = {}
         requests: dict[str, list[RequestAtEnd]] = {}
         for fingerprint, run in self._counts.repeated():
             if self._record.get(run.runner_id) is not None:
                 continue
-            ended_at[run.runner_id] = run.crashed_at
+            crashed_at[run.runner_id] = run.crashed_at
             age_ms = round((run.crashed_at - run.began_at) * 1000)
             answering_ms = age_ms if run.is_settled else 0
             reported = requests.setdefault(run.runner_id, [])
@@ -466,7 +466,7 @@
         return [
             RunnerEndNotice(
                 runner_id,
-                round((now - ended_at[runner_id]) * 1000),
+                round((now - crashed_at[runner_id]) * 1000),
                 reported[first : first + MAX_NOTICE_REQUESTS],
             )
             for runner_id, reported in requests.items()
