--- a/src/hillstack/core/cache_watch.py
+++ b/src/hillstack/core/cache_watch.py
@@ -20,8 +20,8 @@
 
 # A node sends every 0.8 s (``peer_exchange.REFRESH_SECONDS``): two of its datagrams may be lost.
 LIVENESS_TIMEOUT_SECONDS = 3.0
-# Two heartbeats. A node that has just started has received nothing yet, so all listed nodes count
-# as alive.
+# More than two intervals of 0.8 s. A node that has just started has received nothing yet, so all
+# listed nodes count as alive.
 STARTUP_GRACE_SECONDS = 2.0
 
 
@@ -69,7 +69,7 @@
         self._known: tuple[object, ...] = ()
         self._zones: dict[str, str] = {}
 
-    def heard(self, node_id: str, incarnation: int, now: float) -> bool:
+    def record_contact(self, node_id: str, incarnation: int, now: float) -> bool:
         """Record a message from a node; return whether its incarnation is new to this node."""
         if not self._is_covered_by_zone(node_id, now):
             if node_id not in self._last_seen:
@@ -87,7 +87,7 @@
         self._expire(now)
         return node_id == self._node_id or node_id in self._last_seen
 
-    def heard_zone(self, zone: str, now: float) -> None:
+    def record_zone_contact(self, zone: str, now: float) -> None:
         """Record a message from a zone."""
         self._zones_last_seen[zone] = now
 
@@ -117,11 +117,13 @@
             self._zones = self._zones if zones == self._zones else zones
         return self._zones
 
-    def silent_for(self, seconds: float, zone: str | None, now: float) -> list[NodeEntry]:
+    def silent_nodes(self, seconds: float, zone: str | None, now: float) -> list[NodeEntry]:
         """Return the listed nodes of a zone from which nothing was received for some seconds.
 
         Without a zone the nodes of all zones are returned. Nodes of another zone are left out while
-        messages arrive from that zone, since their liveness is not tracked individually.
+        messages arrive from that zone, since their liveness is not tracked individually. A node is
+        returned only after ``LIVENESS_TIMEOUT_SECONDS``, however short ``seconds`` is; for a node
+        from which nothing was ever received, the time counts from the first call of this method.
         """
         silent: list[NodeEntry] = []
         self._expire(now)
--- a/src/hillstack/core/crash_counts.py
+++ b/src/hillstack/core/crash_counts.py
@@ -2,9 +2,12 @@
 
 ``RunnerCrashRecord`` estimates which request caused a crash, and can be wrong when many requests
 run on many crashed runners. This count ignores other possible causes: it bounds the number of
-runners that any single request can crash. Only a successful answer resets it. A request is counted
-under both names of ``request_fingerprint``: where an innocent request shares the content name and
-resets that count, the count of the fingerprint remains.
+runners that any single request can crash. It is reset by a successful answer, or by a run that
+continues beyond the age at which the earlier runs crashed (``CrashCounts.has_survived``). A crash
+is removed if its runner proves to be running still, and a count expires 1 hour after a single crash
+or 6 hours after the latest of several. A request is counted under both names of
+``request_fingerprint``: where an innocent request shares the content name and resets that count,
+the count of the fingerprint remains.
 """
 
 from __future__ import annotations
@@ -20,12 +23,14 @@
 # is recorded for its fingerprint. With 1, all requests with the same short body would become
 # suspects.
 MIN_SUSPECT_CRASHES = 2
-# Crashes from which a request is refused, except for single trials.
+# Sum of the weights of a request's crashes from which it is refused, except for single trials.
 MAX_CRASHES = 3
 # Weight of a crash long after the answer had begun. A request that crashes runners usually does so
 # at its start, while long streams that are moved between runners are present at unrelated crashes.
-# A request that crashes runners late has no trials left once it is refused.
-SETTLED_WEIGHT = 0.5
+# If all crashes are late, the sixth one reaches the bound. The request has no trials left then,
+# since the fourth to sixth run, if sent after the third crash was known, count as sends beyond the
+# bound.
+LATE_CRASH_WEIGHT = 0.5
 # A run has survived once its age exceeds this multiple of the shortest age of the request's crashed
 # runs, plus the slack: a request crashes its runners at about the same age each time, apart from
 # its time in the queue.
@@ -34,9 +39,11 @@
 # Time after which all nodes have been notified of a crash. Only sends after that time count as
 # sends beyond the bound.
 PROPAGATION_SECONDS = 2.0
-# Pauses between the latest crash and the next trial, by the number of crashes beyond
-# ``MAX_CRASHES``. A request gets three sends after its third crash and none after them. The first
-# trial is early, for requests that share only a short body with the request that crashes runners.
+# Pauses before the first, second and third trial of a request that has reached the bound, counted
+# from the latest crash or trial. The index is the number of sends beyond the bound so far: the
+# trials, or the crashed runs that were sent after the third crash was known, if these are more.
+# There is no fourth trial. The first trial is early, for requests that share only a short body with
+# the request that crashes runners.
 TRIAL_PAUSES_SECONDS = (10.0, 120.0, 1_800.0)
 # Interval between the trials of successive nodes, so that each node is notified of the trial of the
 # node before it.
@@ -46,7 +53,7 @@
 SINGLE_RETENTION_SECONDS = 3_600.0
 # Retention of requests with several crashes.
 REPEATED_RETENTION_SECONDS = 6 * 3_600.0
-# Two names for each of the requests on the largest runners (64 requests), for a rack of runners.
+# Two names for each of the requests on the largest runners (64 requests), for a rack of 32 runners.
 MAX_NAMES = 4_096
 # Crashes stored for a name. The first ones are retained, since they show when the bound was
 # reached; later crashes are few, since the request is then refused.
@@ -59,13 +66,13 @@
 
     Attributes:
         began_at: When the request was sent to the runner.
-        ended_at: When the runner crashed.
+        crashed_at: When the runner crashed.
         is_settled: Whether the answer had been under way for long.
     """
 
     runner_id: str
     began_at: float
-    ended_at: float
+    crashed_at: float
     is_settled: bool = False
 
 
@@ -89,16 +96,16 @@
         if len(self.runs) >= MAX_RUNS_PER_NAME:
             self.runs.pop()
         self.runs.append(run)
-        self.runs.sort(key=lambda known: known.ended_at)
+        self.runs.sort(key=lambda known: known.crashed_at)
 
     @property
     def last_crash_at(self) -> float:
-        return self.runs[-1].ended_at
+        return self.runs[-1].crashed_at
 
     @property
     def third_crash_known_at(self) -> float:
-        """When all nodes know of the third crash, whether or not it had a cause in common."""
-        return self.runs[MAX_CRASHES - 1].ended_at + PROPAGATION_SECONDS
+        """When all nodes know of the third crash, counting simultaneous crashes separately."""
+        return self.runs[MAX_CRASHES - 1].crashed_at + PROPAGATION_SECONDS
 
     def sequential_runs(self) -> list[CrashedRun]:
         """Return the crashed runs that began after the crash of the run before them.
@@ -108,12 +115,12 @@
         """
         found: list[CrashedRun] = []
         for run in self.runs:
-            if not found or run.began_at >= found[-1].ended_at - ORDER_SLACK_SECONDS:
+            if not found or run.began_at >= found[-1].crashed_at - ORDER_SLACK_SECONDS:
                 found.append(run)
         return found
 
-    def is_bounded(self) -> bool:
-        weights = (SETTLED_WEIGHT if run.is_settled else 1.0 for run in self.sequential_runs())
+    def has_reached_bound(self) -> bool:
+        weights = (LATE_CRASH_WEIGHT if run.is_settled else 1.0 for run in self.sequential_runs())
         return sum(weights) >= MAX_CRASHES
 
     def sends_beyond_bound(self) -> int:
@@ -137,7 +144,7 @@
 
     def note(self, name: int, run: CrashedRun) -> None:
         """Record that a request was running on a runner that crashed."""
-        if run.ended_at <= self._cleared.get(name, -math.inf):
+        if run.crashed_at <= self._cleared.get(name, -math.inf):
             return
         known = self._get(name)
         crashes = known if known is not None else _Crashes()
@@ -163,10 +170,10 @@
             return True
         return len(crashes.runs) >= MAX_CRASHES and now > crashes.third_crash_known_at
 
-    def is_bounded(self, name: int) -> bool:
+    def has_reached_bound(self, name: int) -> bool:
         """Return whether a request has reached the bound of crashes."""
         crashes = self._get(name)
-        return crashes is not None and crashes.is_bounded()
+        return crashes is not None and crashes.has_reached_bound()
 
     def has_survived(self, name: int, age: float) -> bool:
         """Return whether a run has survived the age at which its request crashes runners.
@@ -178,7 +185,7 @@
         crashes = self._get(name)
         if crashes is None:
             return False
-        shortest = min(run.ended_at - run.began_at for run in crashes.runs)
+        shortest = min(run.crashed_at - run.began_at for run in crashes.runs)
         return age > SURVIVED_AGE_FACTOR * shortest + SURVIVED_SLACK_SECONDS
 
     def may_try(self, name: int, rank: int, now: float, min_pause: float = 0.0) -> bool:
@@ -191,7 +198,7 @@
             min_pause: Minimum seconds between the latest crash and a trial.
         """
         crashes = self._get(name)
-        if crashes is None or not crashes.is_bounded():
+        if crashes is None or not crashes.has_reached_bound():
             return True
         spent = max(crashes.sends_beyond_bound(), crashes.trials)
         if spent >= len(TRIAL_PAUSES_SECONDS):
@@ -206,7 +213,7 @@
         Other nodes wait for the next pause, so that only one node sends the request.
         """
         crashes = self._get(name)
-        if crashes is None or not crashes.is_bounded():
+        if crashes is None or not crashes.has_reached_bound():
             return
         if now >= crashes.last_trial_at + TRIAL_INTERVAL_SECONDS:
             crashes.trials += 1
@@ -223,7 +230,7 @@
             self._cleared.popitem(last=False)
         return True
 
-    def take_back(self, runner_id: str) -> None:
+    def retract(self, runner_id: str) -> None:
         """Remove a runner's crash from all requests: the runner did not crash."""
         for name, crashes in [*self._single.items(), *self._repeated.items()]:
             left = [run for run in crashes.runs if run.runner_id != runner_id]
--- a/src/hillstack/core/placement/cached_parts.py
+++ b/src/hillstack/core/placement/cached_parts.py
@@ -19,9 +19,9 @@
 # by the platform's specification.
 CROSS_ZONE_MOVE_FACTOR = 2.0
 CROSS_REGION_MOVE_FACTOR = 10.0
-# Price of a token that is transferred between regions, as a delay: three times the price within a
-# region, and a thirty-fifth of the price of a repeated prefill
-# (``REPEATED_PREFILL_SECONDS_PER_TOKEN``).
+# Price of a token that is transferred between regions, as a delay. In the platform's price list it
+# is three times the price of a transfer within a region, which this module does not count, and
+# about a thirty-fifth of the price of a repeated prefill (``REPEATED_PREFILL_SECONDS_PER_TOKEN``).
 CROSS_REGION_MOVE_SECONDS_PER_TOKEN = 0.000008
 # Weight of a cross-region transfer's duration as a cost. It blocks the links of both runners for
 # other transfers, which run one after another, ten times as long as a transfer within a region. In
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class PlacementInputs:
     """Inputs of a placement decision that are equal for all candidates.
 
     Attributes:
@@ -46,12 +46,14 @@
         stores: KV cache stores from which parts may be fetched.
         now: Time on the node's clock.
         target_seconds: Objective for the first event.
-        gap_seconds: Shortest allowed pause of the service's streams.
-        resting: Until when an idle connection of this node may be used, by address.
+        gap_seconds: The strictest limit, over all routes of the service, on the pause between two
+            events of a stream.
+        idle_until: Until when an idle connection of this node may be used, by address.
         topology: Zones and regions; by default all zones are in one region.
         round_trip_seconds: Delay that the round trip to the candidates adds to each of them.
         round_trip_cost: Further cost of this round trip, as a delay.
-        failed_zones: Zones of runners that were already tried for this request.
+        failed_zones: Zones of the runners excluded for this request: those already tried and, in
+            the first of two passes, those that peers report as leaving.
     """
 
     zone: str
@@ -61,7 +63,7 @@
     now: float
     target_seconds: float
     gap_seconds: float
-    resting: Mapping[str, float] = field(default_factory=dict)
+    idle_until: Mapping[str, float] = field(default_factory=dict)
     topology: Topology = ONE_REGION
     round_trip_seconds: float = 0.0
     round_trip_cost: float = 0.0
@@ -77,14 +79,14 @@
         tokens: Transferred tokens.
         seconds: Expected duration.
         cost: Cost in addition to the duration, as a delay; 0 within a region.
-        is_across: Whether the holder is in another region.
+        is_cross_region: Whether the holder is in another region.
     """
 
     address: str | None = None
     tokens: int = 0
     seconds: float = 0.0
     cost: float = 0.0
-    is_across: bool = False
+    is_cross_region: bool = False
 
 
 NO_MOVE = Move()
@@ -125,7 +127,7 @@
     known_tokens: int
     matched: dict[str, int]
     _sources: list[_Source]
-    _inputs: Surroundings
+    _inputs: PlacementInputs
     _moves: dict[tuple[str, int], Moves] = field(default_factory=dict)
 
     def moves(self, runner: Runner, matched: int) -> Moves:
@@ -161,7 +163,7 @@
             )
             gain += REPEATED_PREFILL_SECONDS_PER_TOKEN * tokens - cost
             if gain > across_gain:
-                across = Move(source.address, tokens, seconds, cost, is_across=True)
+                across = Move(source.address, tokens, seconds, cost, is_cross_region=True)
                 across_gain = gain
         return Moves(near, across if across.tokens > near.tokens else None)
 
@@ -170,7 +172,7 @@
     index: PartIndex,
     shape: PromptShape,
     salt: str,
-    inputs: Surroundings,
+    inputs: PlacementInputs,
     holders: Collection[Runner],
 ) -> CachedParts:
     """Return the holders that have cached or are prefilling parts of a prompt.
@@ -204,8 +206,11 @@
     return CachedParts(known, matched, sources, inputs)
 
 
-def move_seconds(tokens: int, source_zone: str, zone: str, inputs: Surroundings) -> float:
-    """Return the expected seconds of a transfer of cached tokens."""
+def move_seconds(tokens: int, source_zone: str, zone: str, inputs: PlacementInputs) -> float:
+    """Return the expected seconds of a transfer of cached tokens.
+
+    The slowest link counts, of the runners and of all stores, whichever holder is the source.
+    """
     rate = inputs.engine.link_megabits
     for store in inputs.stores:
         if store.link_megabits > 0:
--- a/src/hillstack/core/relay_choice.py
+++ b/src/hillstack/core/relay_choice.py
@@ -55,7 +55,7 @@
         self._unreachable_until: dict[str, float] = {}
         self._chosen: dict[NodeGroup, tuple[str, float]] = {}
 
-    def heard(self, node_id: str, now: float) -> None:
+    def record_contact(self, node_id: str, now: float) -> None:
         """Record a datagram from a node, which proves that the node can reach this one."""
         self._received_at[node_id] = now
         self._unreachable_until.pop(node_id, None)
@@ -87,7 +87,7 @@
         regions = {self.topology.region_of(zone) for zone in self._directory.zones()}
         return sorted(regions - {self.topology.region})
 
-    def heard_zone(self, zone: str, now: float) -> None:
+    def record_zone_relay(self, zone: str, now: float) -> None:
         """Record a datagram from the relay of a zone in this node's region."""
         self._zones_received_at[zone] = now
 
@@ -109,7 +109,7 @@
                 return False
         return True
 
-    def speaker_of(self, region: str, now: float) -> NodeEntry | None:
+    def border_relay_of(self, region: str, now: float) -> NodeEntry | None:
         """Return the node that receives messages for another region; None if it has no nodes."""
         border_relay, received_at = self._border_relays.get(region, ("", float("-inf")))
         if now - received_at < SILENT_SECONDS and self._directory.get(border_relay) is not None:
@@ -125,7 +125,10 @@
         return self._directory.get(candidates[0]) if candidates else None
 
     def relay(self, zone: str | None, now: float) -> str | None:
-        """Return the relay of a group, which may be this node; None if the group has no nodes."""
+        """Return the relay of a group (a zone, or None for the group of all nodes).
+
+        It may be this node. None if the group has no nodes.
+        """
         order = self._directory.relay_order(zone)
         for node_id in order:
             if node_id == self._node_id or self._is_responsive(zone, node_id, now):
--- a/src/hillstack/core/rollout_evidence.py
+++ b/src/hillstack/core/rollout_evidence.py
@@ -30,7 +30,9 @@
 # ended. This is more than twice the longest interval between reports (0.8 s), and longer than
 # notices are delayed.
 PROCESS_SILENT_SECONDS = 2.0
-STAGE_ORDER = {
+# Progress of the stages in reports of one process. Unlike ``software_rollouts.STAGE_ORDER``, both
+# final stages are equal, so that a later report of either is applied.
+STAGE_PROGRESS = {
     RolloutStage.CANARY.value: 0,
     RolloutStage.SHIFTING.value: 1,
     RolloutStage.COMPLETE.value: 2,
@@ -60,7 +62,9 @@
     """Outcomes with one key, summed over all nodes.
 
     Attributes:
-        answered: Attempts that succeeded, or failed because of the runner.
+        answered: Attempts that succeeded, or failed because of the runner. An attempt that was
+            abandoned counts too, if its first bytes had arrived or it had waited for longer than
+            expected.
         failed: Attempts that failed because of the runner.
         delays: Number of answers per delay bucket. Bucket ``i`` counts the answers whose time to
             the first bytes was about ``2 ** (i / 2 - 2)`` times the expected time.
@@ -79,12 +83,12 @@
         stage: The rollout stage that is in effect on the node.
         old_running: Number of the node's attempts still running at runners of other versions than
             the target.
-        heard_at: When the report arrived, on this node's clock.
+        received_at: When the report arrived, on this node's clock.
     """
 
     stage: str
     old_running: int
-    heard_at: float
+    received_at: float
 
 
 @dataclass(slots=True)
@@ -111,7 +115,9 @@
         # Time of the order by the oldest age in any report, on this node's clock.
         self.ordered_at = math.inf
 
-    def take(self, node_id: str, incarnation: int, report: RolloutReport, now: float) -> None:
+    def merge_report(
+        self, node_id: str, incarnation: int, report: RolloutReport, now: float
+    ) -> None:
         """Merge the report of a process.
 
         Args:
@@ -141,11 +147,11 @@
         return {
             node_id: state
             for node_id, (_, state) in self._latest.items()
-            if now - state.heard_at < REPORTER_SECONDS
+            if now - state.received_at < REPORTER_SECONDS
         }
 
-    def peer_says_bad(self) -> bool:
-        """Return whether any node reported that the target version is bad."""
+    def is_reported_bad(self) -> bool:
+        """Return whether any node, which may be this one, reported the target version as bad."""
         return self._is_reported_bad
 
     def _merge_counts(
@@ -171,10 +177,12 @@
         known = self._latest.get(node_id)
         if known is not None:
             latest, state = known
-            is_silent = now - state.heard_at >= PROCESS_SILENT_SECONDS
+            is_silent = now - state.received_at >= PROCESS_SILENT_SECONDS
             if incarnation != latest and not is_new and not is_silent:
                 return
-            is_earlier_stage = STAGE_ORDER.get(report.stage, 0) < STAGE_ORDER.get(state.stage, 0)
+            is_earlier_stage = STAGE_PROGRESS.get(report.stage, 0) < STAGE_PROGRESS.get(
+                state.stage, 0
+            )
             if incarnation == latest and is_earlier_stage:
                 return
         state = ReporterState(report.stage, report.old_running, now)
--- a/src/hillstack/core/rollout_plan.py
+++ b/src/hillstack/core/rollout_plan.py
@@ -21,10 +21,13 @@
 from hillstack.core.store_revision import NO_REVISION
 
 # Time without any target runner that accepts work after which the rollout is reverted: longer than
-# a suspicion or a load of weights lasts, shorter than callers wait.
+# the first suspicion of a runner (0.6 s) or a load of weights, shorter than callers wait.
+# Suspicions after repeated failures (up to 4 s) or a refused connection (3 s) last longer than
+# this.
 UNUSABLE_SECONDS = 1.5
-# How long the target must have been the only usable version. Runners that a node does not know yet,
-# or that the store removes and lists again, are listed within this time.
+# How long this node must have seen the canary stage before the target may be accepted because no
+# other version can serve. Runners that a node does not know yet, or that the store removes and
+# lists again, are listed within this time.
 ONLY_VERSION_SECONDS = 1.5
 # The target's runners must have at least this share of the old runners' places: a service that has
 # lost one of two zones runs with half of its places.
@@ -65,14 +68,14 @@
         order: The current order.
         record: The latest record of the service, of any order; None if there is none.
         age_seconds: Age of the order.
-        stage_seconds: How long this node has known the record; 0 without a record.
+        stage_seconds: How long this node has seen the current stage; 0 without a record.
         verdict: The verdict on the target version.
         finding: The evidence for the verdict.
         reporters: The latest reported state of each node.
         live_nodes: Nodes that are alive, including this one.
         places: Request slots of the service's runners.
         apply_seconds: Time after which a change is in force even on nodes that send no report.
-        passed_over: Targets of earlier orders of the service that were never trusted.
+        untrusted_targets: Targets of earlier orders of the service that were never trusted.
         has_lost_record: Whether a restored store no longer has the record of the order.
     """
 
@@ -86,7 +89,7 @@
     live_nodes: Set[str]
     places: Places
     apply_seconds: float
-    passed_over: frozenset[str] = frozenset()
+    untrusted_targets: frozenset[str] = frozenset()
     has_lost_record: bool = False
 
 
@@ -97,11 +100,11 @@
     Attributes:
         record: The record, with the revision of the record that it replaces; ``NO_REVISION`` if
             there is none.
-        news: Whether the operator must be notified of the stage.
+        notifies_operator: Whether the operator must be notified of the stage.
     """
 
     record: RolloutRecord
-    news: bool
+    notifies_operator: bool
 
 
 def is_decided(order: RolloutOrder, record: RolloutRecord | None) -> bool:
@@ -115,7 +118,7 @@
     if record is None or not is_of_order(record, view.order):
         return _first_step(view)
     if view.has_lost_record:
-        return RolloutStep(_record(view, record.stage, record.reason), news=True)
+        return RolloutStep(_record(view, record.stage, record.reason), notifies_operator=True)
     match record.stage:
         case RolloutStage.CANARY:
             return _after_canary(view) or _age_update(view, record)
@@ -131,7 +134,7 @@
         record = _record(view, RolloutStage.SHIFTING, "trusted by an earlier order")
     else:
         record = _record(view, RolloutStage.CANARY, "ordered")
-    return RolloutStep(record, news=True)
+    return RolloutStep(record, notifies_operator=True)
 
 
 def _after_canary(view: RolloutView) -> RolloutStep | None:
@@ -227,11 +230,13 @@
     """
     if view.age_seconds - record.elapsed_seconds < AGE_UPDATE_SECONDS:
         return None
-    return RolloutStep(_record(view, record.stage, record.reason), news=False)
+    return RolloutStep(_record(view, record.stage, record.reason), notifies_operator=False)
 
 
 def _step(view: RolloutView, stage: RolloutStage, reason: str) -> RolloutStep:
-    return RolloutStep(_record(view, stage, reason), news=stage is not RolloutStage.SHIFTING)
+    return RolloutStep(
+        _record(view, stage, reason), notifies_operator=stage is not RolloutStage.SHIFTING
+    )
 
 
 def _record(view: RolloutView, stage: RolloutStage, reason: str) -> RolloutRecord:
@@ -249,9 +254,12 @@
 
 
 def _rejected(view: RolloutView, stage: RolloutStage) -> tuple[str, ...]:
-    """Return all versions that must not be used, without the target of the current order."""
+    """Return all versions that must not be used.
+
+    The target of the current order is one of them only if the given stage is ``REVERTED``.
+    """
     order, before = view.order, view.record
-    rejected = set(view.passed_over)
+    rejected = set(view.untrusted_targets)
     if before is not None:
         rejected.update(before.rejected)
         if not is_of_order(before, order) and before.stage not in TRUSTED:
--- a/src/hillstack/core/routing_table.py
+++ b/src/hillstack/core/routing_table.py
@@ -47,7 +47,7 @@
         path_prefix: Prefix of the request path; begins and ends with a slash.
         timeout_seconds: Longest time for which a request may be held.
         target_seconds: Latency objective for the answer, or for the first event of a stream.
-        max_attempts: Maximum number of runners that one request may be sent to.
+        max_attempts: Maximum number of attempts of one request that runners did not refuse.
         priority: Rank of the route's requests; 0 is the most urgent.
         public: Whether requests need no key.
         sticky: Whether requests name the parts of their prompt.
@@ -116,7 +116,7 @@
     name: str
     max_connections: int = 0
     engine: EngineProfile | None = None
-    kept_cache: KvCacheStore | None = None
+    kv_cache_store: KvCacheStore | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -198,12 +198,12 @@
         return bool(self._tenant_limits)
 
     def shortest_gap(self, service: str) -> float:
-        """Return the shortest event gap allowed by any route of a service; infinite without one."""
+        """Return the strictest limit of a service's routes on event gaps; infinite without one."""
         return self._gaps.get(service, math.inf)
 
-    def kept_cache_stores(self) -> list[KvCacheStore]:
+    def kv_cache_stores(self) -> list[KvCacheStore]:
         """Return all KV cache stores."""
-        return [s.kept_cache for s in self.services.values() if s.kept_cache is not None]
+        return [s.kv_cache_store for s in self.services.values() if s.kv_cache_store is not None]
 
 
 def _shortest_gaps(routes: Iterable[Route]) -> dict[str, float]:
--- a/src/hillstack/core/store_era.py
+++ b/src/hillstack/core/store_era.py
@@ -36,7 +36,7 @@
         """Register a handler that is called when new answers of the store contain a lower era."""
         self._on_decreased.append(handler)
 
-    def hear(self, era: int, source: str) -> None:
+    def observe(self, era: int, source: str) -> None:
         """Apply an era that a peer or the store reported.
 
         Args:
@@ -56,7 +56,10 @@
     def era_of_answer(
         self, reported: int | None, era_at_request: int, *, allow_stale: bool
     ) -> int | None:
-        """Return the era of an answer of the store; None if that era has ended.
+        """Record the era in an answer of the store and return the era to which its content belongs.
+
+        None if the answer must be discarded, since its era has ended. An answer to a new request
+        that wrongly contains a lower era is reported, and counts as of the current era.
 
         Args:
             reported: The era in the answer; None if the answer contains none.
@@ -66,7 +69,7 @@
         if reported is None:
             return self.current if era_at_request == self.current else None
         if reported >= self.current:
-            self.hear(reported, STORE)
+            self.observe(reported, STORE)
             return reported
         if allow_stale or era_at_request < self.current:
             return None
--- a/src/hillstack/core/weights_rollout.py
+++ b/src/hillstack/core/weights_rollout.py
@@ -1,9 +1,10 @@
 """Decides which runners load the newest weights next.
 
-A load takes a runner out of use for about a second and pauses its streams, which continue under the
-new weights. Loads are paced so that all runners finish before the deadline from which no request
-may begin on older weights, and so that enough live runners continue to serve. If another version is
-announced meanwhile, it replaces the earlier one for all runners that have not begun to load.
+A load takes a runner out of use for less than a second (0.57 to 0.76 s on the observed deployments)
+and pauses its streams, which continue under the new weights. Loads are paced so that all runners
+finish before the deadline from which no request may begin on older weights, and so that enough live
+runners continue to serve. If another version is announced meanwhile, it replaces the earlier one
+for all runners that have not begun to load.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from hillstack.core.weights_versions import WeightsVersions
 
 # A version announced right after another one replaces it for runners that have not begun to load.
-# 0.1 s and 0.3 s made no difference (docs/DECISIONS.md, round 5).
+# 0.1 s and 0.3 s made no difference (docs/DECISIONS.md).
 START_DELAY_SECONDS = 0.1
 # A load is urgent this long before the runner's deadline: two loads and their waits.
 URGENT_SECONDS = 2.0
@@ -30,25 +31,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutView:
+class WeightsLoadView:
     """State on which a decision is based.
 
     Attributes:
         runners: All runners of the services that serve the model.
         loading: Identifiers of runners that are loading.
-        resting: Identifiers of runners that were unreachable lately; they are retried later.
+        unreachable: Identifiers of runners that were unreachable lately; they are retried later.
         load_seconds: Recent duration for which a load takes a runner out of use.
         now: Time on the node's clock.
     """
 
     runners: Sequence[Runner]
     loading: Collection[str]
-    resting: Collection[str]
+    unreachable: Collection[str]
     load_seconds: float
     now: float
 
 
-class RolloutPlan:
+class WeightsLoadPlan:
     """Plans the loads of one model's weights.
 
     Args:
@@ -60,7 +61,7 @@
         self._model = model
         self._versions = versions
 
-    def next_loads(self, view: RolloutView) -> list[Runner]:
+    def next_loads(self, view: WeightsLoadView) -> list[Runner]:
         """Return the runners that should load now."""
         available = [runner for runner in view.runners if self._is_available(runner, view)]
         behind = [runner for runner in available if self._is_behind(runner)]
@@ -70,7 +71,7 @@
         return due[: max(0, self._load_allowance(available, waiting, view))]
 
     def _load_allowance(
-        self, available: Sequence[Runner], waiting: Sequence[Runner], view: RolloutView
+        self, available: Sequence[Runner], waiting: Sequence[Runner], view: WeightsLoadView
     ) -> int:
         """Return how many more runners may load now, so that enough live runners still serve."""
         alive = [runner for runner in available if view.now >= runner.suspected_until]
@@ -80,14 +81,16 @@
         most = max(1, int(len(alive) * share + 1e-9))
         return min(most, self._required_loads(waiting, loading, view)) - loading
 
-    def _required_loads(self, waiting: Sequence[Runner], loading: int, view: RolloutView) -> int:
+    def _required_loads(
+        self, waiting: Sequence[Runner], loading: int, view: WeightsLoadView
+    ) -> int:
         """Return how many runners must load at a time to finish before the first deadline."""
         first = min((self._deadline(runner) for runner in waiting), default=math.inf)
         left = max(MIN_PACE_SECONDS, first - view.now - PACE_SAFETY_SECONDS)
         return max(1, math.ceil((len(waiting) + loading) * view.load_seconds / left - 0.1))
 
-    def _is_available(self, runner: Runner, view: RolloutView) -> bool:
-        return not runner.leaves and runner.runner_id not in view.resting
+    def _is_available(self, runner: Runner, view: WeightsLoadView) -> bool:
+        return not runner.is_leaving and runner.runner_id not in view.unreachable
 
     def _is_behind(self, runner: Runner) -> bool:
         return runner.weights_version(self._model) < self._versions.newest(self._model)
@@ -104,6 +107,6 @@
 
     def _order(self, runner: Runner, now: float) -> tuple[bool, int, int, int, str]:
         version = runner.weights_version(self._model)
-        running = runner.committed_tokens(now)
+        committed = runner.committed_tokens(now)
         suspected = now < runner.suspected_until
-        return suspected, version, runner.long_running(now), running, runner.runner_id
+        return suspected, version, runner.long_running(now), committed, runner.runner_id
