--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -101,7 +101,8 @@
         settings: Settings of the node.
         listeners: Sockets that are already listening; closed when the node stops.
         times: When the startup phases so far ended.
-        settings_path: Settings file that SIGHUP reloads.
+        settings_path: Settings file that SIGHUP reloads. Only the grace period takes effect; all
+            other settings apply from the next start.
     """
 
     def __init__(
@@ -449,6 +450,7 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     def _reload(self) -> None:
+        """Read the settings again; only the grace period of a planned stop takes effect."""
         if self._settings_path is None:
             return
         try:
@@ -464,7 +466,10 @@
         self._tasks.append(task)
 
     async def _drain(self, callers: uvicorn.Server) -> None:
-        """Continue to serve until no new connections arrive and all requests are answered."""
+        """Serve for a fixed time and until all requests are answered, then release the leases.
+
+        The node stops serving shortly before the end of the grace period in any case.
+        """
         self._stopping = True
         started_at = self._clock()
         logger.info("stopping", extra={"active": self._pipeline.active})
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -220,7 +220,11 @@
         self.flush(urgent=True)
 
     def leaving(self, runner: Runner) -> None:
-        """Report that a runner announced that it leaves, unless a peer or the store reported it."""
+        """Report that a runner announced that it leaves.
+
+        Nothing is sent if the store lists it as draining, or if a peer or this node reported it
+        within the last ``HINT_AGAIN_SECONDS``.
+        """
         now = self._clock()
         if runner.entry.draining or now < runner.hinted_at + HINT_AGAIN_SECONDS:
             return
@@ -279,7 +283,8 @@
     async def run(self) -> None:
         """Repeat this node's loads periodically, until cancelled.
 
-        The first notice is sent as soon as the peers are known; they answer with the cached parts.
+        The first notice is sent when the first read of the store has succeeded or failed, or after
+        a bounded wait; the peers that receive it answer with the cached parts.
         """
         await self._state.start_gate.passed()
         while True:
--- a/src/hillstack/daemon/rollout_decider.py
+++ b/src/hillstack/daemon/rollout_decider.py
@@ -91,8 +91,8 @@
         age: Age of the order.
         stage: Stage of the order's latest record; None without a record.
         stage_seen_at: When the stage was first seen.
-        usable_at: When a runner of the target version last accepted work, or, if none has, when
-            the order was first seen.
+        usable_at: When a runner of the target version was last seen ready to accept work, or, if
+            none has been, when the order was first seen.
     """
 
     order: RolloutOrder
--- a/src/hillstack/daemon/store_sync.py
+++ b/src/hillstack/daemon/store_sync.py
@@ -35,7 +35,8 @@
 # while runners write heartbeats. Without changes, a call per second proves freshness well within
 # the bounds.
 WATCH_WAIT_SECONDS = 1.0
-# Pause after a failed poll; ten failed polls fit into the freshness bound of 4.5 s.
+# Mean pause after a failed poll. Ten polls that are refused at once fit into the freshness bound of
+# 4.5 s; of polls that time out, only two do.
 RETRY_SECONDS = 0.3
 # Spreads the polls of nodes that are notified of a restore at once, so that the first ones can
 # answer the others.
@@ -45,10 +46,13 @@
 # Shorter failures count as lost answers, not as an outage: a runner's entry expires only after
 # three heartbeats, which take longer.
 OUTAGE_SECONDS = 0.8
-# Least interval between direct calls to the store while peers answer with stale copies. In an
-# outage hundreds of nodes make these calls, and each one costs.
+# Mean pause after a failed poll of the store, in which only peers are asked; a node that knows no
+# other nodes waits ``RETRY_SECONDS`` instead. In an outage hundreds of nodes poll the store, and
+# each call has a cost.
 DIRECT_PAUSE_SECONDS = 1.0
-# Peers asked before the store. A third one would add its timeout to the delay of a change.
+# Peers asked before the store, and others that are asked after the store has failed, besides the
+# last one that gave a fresh answer. A third one before the store would add its timeout to the delay
+# of a change.
 MAX_PEERS_ASKED = 2
 # A peer's copy is fresh while it is younger than two poll intervals and the delay of a slow answer.
 FRESH_INTERVALS = 2.0
@@ -463,8 +467,9 @@
         return max(revision, relayed.revision)
 
     def _apply_outage(self, relayed: RelayedChanges) -> None:
-        """Apply a peer's report of an outage, if this node's own copy was stale during it too.
+        """End this node's failure period, and apply a peer's report of an outage.
 
+        The report is applied only if this node's own copy was stale at the end of the outage too.
         An outage that only one peer has seen must not extend the time bounds of other nodes.
         """
         if self._failing_since is not None:
