--- a/src/hillstack/daemon/cache_follower.py
+++ b/src/hillstack/daemon/cache_follower.py
@@ -32,7 +32,9 @@
 CALL_INTERVAL_SECONDS = 0.3
 # Pause after a failed poll; bounds the cost of a holder that is down.
 RETRY_SECONDS = 0.6
-# Minimum interval between complete lists of one holder, since a list holds up the holder's work.
+# Minimum interval between a complete list of a holder and one that is read because changes are
+# missing, since a list holds up the holder's work. When this node begins to watch a holder, or the
+# holder has restarted, a list is read at once.
 RELIST_SECONDS = 5.0
 # A part sent to a holder less than this long ago may be missing from a list without having been
 # evicted.
@@ -213,7 +215,12 @@
             await asyncio.sleep(max(0.0, started_at + CALL_INTERVAL_SECONDS - self._clock()))
 
     async def _advance(self, holder: CacheHolder, position: _Position | None) -> _Position:
-        """Apply the next changes, or the complete list if changes are missing."""
+        """Apply the next changes, or the complete list after a restart of the holder.
+
+        If changes are missing, the complete list is read, unless the last list is younger than
+        ``RELIST_SECONDS``. In that case the cursor moves on, and the missing changes are not read
+        later: only a later complete list corrects the estimate.
+        """
         if position is None:
             return await self._relist(holder)
         changes = await self._feed.changes(holder, position.cursor, LONG_POLL_SECONDS)
--- a/src/hillstack/daemon/early_listeners.py
+++ b/src/hillstack/daemon/early_listeners.py
@@ -21,10 +21,12 @@
 # How long to wait for an address that the previous process still uses: longer than its grace period
 # of 8 s.
 ADDRESS_WAIT_SECONDS = 10.0
-# A caller that acknowledges no data or keep-alive probe for this long is taken as disconnected: its
-# connection and its request end. Callers abandon a stream after a gap of 3 to 4 s, so no waiting
-# caller is cut off.
+# A caller that acknowledges no data for this long is taken as disconnected: its connection and its
+# request end. Callers abandon a stream after a gap of 3 to 4 s, so no waiting caller is cut off.
 CALLER_SILENCE_MS = 10_000
+# An idle connection is probed after 10 s and ends at the next probe time, after about 15 s, if the
+# probe was not acknowledged. On Linux ``CALLER_SILENCE_MS`` takes the place of the probe count
+# (TCP_USER_TIMEOUT in tcp(7)).
 CALLER_PROBE_IDLE_SECONDS = 10
 CALLER_PROBE_INTERVAL_SECONDS = 5
 CALLER_PROBE_COUNT = 2
--- a/src/hillstack/daemon/lease_renewer.py
+++ b/src/hillstack/daemon/lease_renewer.py
@@ -1,4 +1,4 @@
-"""Renews the lease on a duty, or acquires it in this node's time slot while nobody holds it."""
+"""Renews the lease on a duty, or acquires it when it is this node's turn and nobody holds it."""
 
 from __future__ import annotations
 
@@ -14,25 +14,30 @@
 
 logger = logging.getLogger(__name__)
 
-# Pause between renewals: a lease of 2 s survives three failed renewals.
+# Pause between renewals. The holder uses a lease of 2 s for only 1.5 s (``duty_lease``), which is
+# enough for three renewals that are refused, or for one whose answer is lost.
 RENEW_SECONDS = 0.4
 # Pause after a renewal whose answer was lost, which has already used 0.5 s of the lease.
 RENEW_RETRY_SECONDS = 0.1
 # Pause after a renewal that the store refused, since the next one will usually be refused too.
 RENEW_REFUSED_SECONDS = 0.3
-# Random delay that spreads the attempts of nodes with the same time slot.
+# Random delay that spreads the attempts of nodes whose turns begin at the same time.
 ACQUIRE_JITTER_SECONDS = 0.25
-# Time slot in which one node may try to acquire a free duty, so that not hundreds of nodes call the
-# store at once. The name of the new holder reaches the other nodes within two polls of the store
-# (1 s each in the largest deployment).
+# Delay between the moments from which one node after another may try to acquire a free duty, so
+# that not hundreds of nodes call the store at once. The name of the new holder reaches the other
+# nodes within two polls of the store (1 s each in the largest deployment), so about four nodes may
+# try before they know it.
 ACQUIRE_SLOT_SECONDS = 0.5
-# Timeout for releasing a lease: two calls of a store at its usual speed. A planned stop has 0.7 s
+# Timeout for releasing a lease, which is one call: the time of two at the store's usual speed. A
+# planned stop has 0.7 s
 # before the process is killed, and a lease that was not released expires within 2 s.
 RELEASE_TIMEOUT_SECONDS = 0.3
 
 
 class AcquireSlot:
-    """The time slot, after a duty became free, in which this node may try to acquire it.
+    """The time, after a duty became free, from which this node may try to acquire it.
+
+    The slot has no end: the nodes whose turn came earlier may still try.
 
     Args:
         state: The node's view of the fleet.
@@ -79,7 +84,8 @@
     Args:
         lease: The lease on the duty.
         slot: When this node may try to acquire the lease.
-        note_held: Called in each iteration with whether the lease is held.
+        note_held: Called with whether the lease is held, in each iteration except after a failed
+            call.
     """
 
     def __init__(
--- a/src/hillstack/daemon/limit_client.py
+++ b/src/hillstack/daemon/limit_client.py
@@ -52,10 +52,11 @@
 MAX_HOLDERS_ASKED = 2
 # Minimum time between renewals when leases run low.
 EARLY_RENEW_SECONDS = 0.1
-# Retry delay for a caller if no holder answered; by then another holder is found.
-NO_HOLDER_WAIT_SECONDS = 0.5
+# Retry delay for a caller whose request is missing from an answer. If no holder answers, the local
+# buckets state the delay.
+NO_GRANT_WAIT_SECONDS = 0.5
 # How often a node that has just started checks whether it knows the other nodes, which takes a read
-# of the store of about 10 ms. Requests do not wait for this: they are refused until then.
+# of the store of about 10 ms. Requests with a limit wait until then.
 START_CHECK_SECONDS = 0.015
 INCARNATION_BITS = 32
 
@@ -113,7 +114,13 @@
         link.handle(self._scope.answer, self._on_answer)
 
     async def take(self, tenant: str, limit: TenantLimit, cost: float, rank: int) -> float:
-        """Take the cost of a request from its tenant's limit.
+        """Take the cost of a request from the limit of its tenant or runner.
+
+        Args:
+            tenant: The tenant; for runners' limits (``runner_scope``) the runner's identifier.
+            limit: The limit.
+            cost: Cost of the request.
+            rank: Rank of the request; the holder grants tokens to lower ranks first.
 
         Returns:
             0 if the request may be sent; else the seconds after which to try again.
@@ -246,10 +253,10 @@
         for entry in waiting:
             place = places[entry.tenant]
             places[entry.tenant] += 1
-            granted = self._wait_seconds(grants.get(entry.tenant), place)
+            wait = self._wait_seconds(grants.get(entry.tenant), place)
             if not entry.result.done():
-                entry.result.set_result(granted)
-            elif granted == 0.0:
+                entry.result.set_result(wait)
+            elif wait == 0.0:
                 # The caller disconnected while the request waited.
                 self._leases.add(entry.tenant, entry.need.cost, now + LEASE_SECONDS, now)
         for grant in answer.grants:
@@ -258,7 +265,7 @@
 
     def _wait_seconds(self, grant: TenantGrant | None, place: int) -> float:
         if grant is None or place >= len(grant.waits_ms):
-            return NO_HOLDER_WAIT_SECONDS
+            return NO_GRANT_WAIT_SECONDS
         wait = grant.waits_ms[place]
         return 0.0 if wait == GRANTED else max(1, wait) / MILLISECONDS
 
--- a/src/hillstack/daemon/limited_calls.py
+++ b/src/hillstack/daemon/limited_calls.py
@@ -1,8 +1,8 @@
 """Keeps control calls to runners within the request limits that the runners announce.
 
 A runner counts every call against its limit, not only completion requests. Polls of cache contents
-may be delayed and get a small share of the limit. Weights orders must not be delayed and take
-precedence over requests.
+may be delayed and get a small share of the limit. Weights orders take precedence over requests.
+They wait for the limit only for a short time and are then sent regardless of it.
 """
 
 from __future__ import annotations
@@ -16,8 +16,10 @@
 from hillstack.daemon.weights_orders import OrderOutcome, OrderSender, RunnerReport, WeightsOrder
 from hillstack.serving.runner_limits import RunnerLimits
 
-# Share of a limit that polls of cache contents may use, and the maximum time between two polls.
+# Share of a limit that polls of cache contents may use.
 FEED_SHARE = 0.1
+# Longest pause before a poll; at limits below one call per second polls therefore use more than
+# their share. After the pause a poll still waits until the limit has room.
 LONGEST_FEED_PAUSE_SECONDS = 10.0
 # Interval of the check whether a limit has ended.
 LIMIT_CHECK_SECONDS = 0.25
--- a/src/hillstack/daemon/node_registry.py
+++ b/src/hillstack/daemon/node_registry.py
@@ -1,11 +1,12 @@
-"""Removes the store entries of nodes whose machines were permanently removed.
+"""Removes the store entries of nodes that have been silent for long.
 
 A node writes its entry at its first start and leaves it in the store when it stops, because it
-usually restarts. The relay of a zone receives a heartbeat of each node of the zone at least
-once a second, and removes the entry of a node that has been silent for long. The removal is
-conditional on the entry's revision, so an entry that the node has rewritten meanwhile stays. A
-running node whose entry was removed, because its messages were lost for that long, writes the entry
-again (``StoreSync``).
+usually restarts. The first live node of a group (a zone, or the whole of a small deployment)
+receives a heartbeat of each node of the group at least once a second. It removes the entry of a
+node that has been silent for ``REMOVAL_SECONDS``, because its machine was probably removed
+permanently. The removal is conditional on the entry's revision, so an entry that the node has
+rewritten meanwhile stays. A running node whose entry was removed, because its messages were lost
+for that long, writes the entry again (``StoreSync``).
 
 Until all nodes know of a removal, retry budgets still count the node (``NodeDirectory``).
 """
@@ -47,7 +48,7 @@
 
 
 class NodeRegistry:
-    """Removes the entries of stopped nodes while this node is the relay of its zone.
+    """Removes the entries of silent nodes while this node is the first live one of its group.
 
     Args:
         store: The store.
--- a/src/hillstack/daemon/notice_outbox.py
+++ b/src/hillstack/daemon/notice_outbox.py
@@ -19,9 +19,10 @@
 from hillstack.messages.rollout_reports import RolloutReport
 from hillstack.messages.runner_ends import RunnerEndNotice
 
-# Placements of about 150 bytes each fill one datagram; further ones are not sent.
+# Placements of about 150 bytes each, 6,000 bytes together: they fit into a jumbo frame of 9,000
+# bytes. Further ones are not sent.
 MAX_PLACEMENTS = 40
-# Parts of 15 bytes each; they fit into a datagram of 1,400 bytes.
+# Parts of 15 bytes each; they fit into an ordinary frame, a datagram of 1,400 bytes.
 MAX_CACHE_PARTS = 80
 # Leaving runners per notice, of 20 bytes each; further ones go with a later heartbeat.
 MAX_LEAVING = 16
@@ -32,7 +33,10 @@
 
 
 class NoticeOutbox:
-    """Changes that were not sent to the peers yet; each collection is bounded.
+    """Changes that were not sent to the peers yet.
+
+    Placements, prefill reports, leaving runners, limits and runner crashes are bounded. The other
+    collections are not; most of them hold one entry per runner or rollout.
 
     Args:
         node_id: Identifier of this node.
@@ -136,7 +140,11 @@
         self._store_era = era
 
     def take(self) -> list[NodeNotice]:
-        """Return and clear everything collected, as one notice or more if it does not fit."""
+        """Return and clear everything collected, as one notice and further ones for cache parts.
+
+        Only cache parts are split into several notices; the first notice contains everything else,
+        whatever its size.
+        """
         chunks = list(_chunks(self._cache))
         first = NodeNotice(
             PROTOCOL_VERSION,
--- a/src/hillstack/daemon/relay_outbox.py
+++ b/src/hillstack/daemon/relay_outbox.py
@@ -12,8 +12,9 @@
 # A heartbeat is due after this time without a datagram. A relay checks twice per heartbeat
 # interval, so a heartbeat that were due only after the whole interval could be late by half of it.
 DUE_SECONDS = 0.75 * HEARTBEAT_SECONDS
-# A jumbo frame of 9,000 bytes holds a whole batch. A larger datagram is fragmented, and lost if any
-# fragment is lost.
+# Notices are split into batches of this size, so that a jumbo frame of 9,000 bytes holds a whole
+# batch: a larger datagram is fragmented, and lost if any fragment is lost. All loads go into the
+# first batch, which is larger if there are about 200 of them; so is a batch with one large notice.
 MAX_BATCH_BYTES = 8_000
 # Encoded size of a batch without its entries, and of one load with the longest names seen.
 BATCH_OVERHEAD_BYTES = 200
@@ -59,7 +60,7 @@
         return bool(self.loads or self.notices)
 
     def batches(self, relay_id: str, zone: str) -> Iterator[RelayBatch]:
-        """Clear the outbox and yield its content in batches, at least one."""
+        """Yield the content in batches, at least one; the first step clears the outbox."""
         loads, notices = self.loads, self.notices
         self.loads, self.notices = {}, []
         by_zone = [ZoneLoads(zone_name, list(by_id.values())) for zone_name, by_id in loads.items()]
--- a/src/hillstack/daemon/rollout_decider.py
+++ b/src/hillstack/daemon/rollout_decider.py
@@ -58,7 +58,8 @@
         Args:
             record: The new record; its revision is that of the record to replace.
             fence: Expected revision of the duty's key.
-            update_operator_status: Whether the operator's status is written in the same transaction.
+            update_operator_status: Whether the operator's status is written in the same
+                transaction.
 
         Returns:
             The revision of the new record, or None if a condition failed.
