--- a/src/hillstack/daemon/cache_follower.py
+++ b/src/hillstack/daemon/cache_follower.py
@@ -25,8 +25,8 @@
 
 # Interval between checks of which holders this node watches. A check without a change is cheap.
 ASSIGN_INTERVAL_SECONDS = 0.25
-# How long a holder may delay its answer until there are changes (long poll). The platform prices
-# shorter waits as probes.
+# How long a holder may delay its answer until there are changes (long poll). The platform charges
+# polls with shorter waits as probes.
 LONG_POLL_SECONDS = 1.0
 # Minimum interval between polls of one holder. Changes are delayed by about as much anyway.
 CALL_INTERVAL_SECONDS = 0.3
@@ -239,8 +239,8 @@
         asked_at = self._clock()
         listing = await self._feed.listing(holder)
         listed = {(entry.salt, entry.part.part_id) for entry in listing.entries}
-        read_by = asked_at - SETTLING_SECONDS
-        evicted = self._state.index.retain(holder.holder_id, listed, read_by)
+        settled_at = asked_at - SETTLING_SECONDS
+        evicted = self._state.index.retain(holder.holder_id, listed, settled_at)
         for salt, part in evicted:
             dropped = CacheEntry(salt, PromptPart(part.part_id, 0))
             self._report(holder, dropped, estimated=part.tokens)
--- a/src/hillstack/daemon/change_log.py
+++ b/src/hillstack/daemon/change_log.py
@@ -86,8 +86,8 @@
     def __init__(self) -> None:
         self._items: OrderedDict[str, StoredItem] = OrderedDict()
         self._removed: OrderedDict[str, StoreRevision] = OrderedDict()
-        # Removals up to this revision are no longer remembered.
-        self._removals_from = NO_REVISION
+        # Removals up to and including this revision may have been forgotten.
+        self._removals_forgotten_up_to = NO_REVISION
         self.revision = NO_REVISION
 
     def load(self, items: Iterable[StoredItem], revision: StoreRevision) -> None:
@@ -97,7 +97,7 @@
         for item in sorted(items, key=lambda item: item.revision):
             self._items[item.key] = item
         self.revision = max(self.revision, revision)
-        self._removals_from = self.revision
+        self._removals_forgotten_up_to = self.revision
 
     def take(self, items: Iterable[StoredItem], revision: StoreRevision) -> None:
         """Add changes, which must be ordered by revision.
@@ -120,7 +120,7 @@
         while len(self._removed) > MAX_REMOVED_KEYS:
             key, removed_at = self._removed.popitem(last=False)
             del self._items[key]
-            self._removals_from = max(self._removals_from, removed_at)
+            self._removals_forgotten_up_to = max(self._removals_forgotten_up_to, removed_at)
 
     def retain(self, keys: Collection[str], revision: StoreRevision) -> None:
         """Remove all keys that are missing from a full key list read at a revision."""
@@ -128,7 +128,7 @@
         for key in [key for key in self._items if key not in listed]:
             del self._items[key]
         self._removed.clear()
-        self._removals_from = max(self._removals_from, revision)
+        self._removals_forgotten_up_to = max(self._removals_forgotten_up_to, revision)
 
     def since(self, revision: StoreRevision) -> ChangesSince:
         """Return the changes since a revision."""
@@ -139,7 +139,7 @@
             changed.append(item)
         changed.reverse()
         keys = None
-        if revision < self._removals_from:
+        if revision < self._removals_forgotten_up_to:
             keys = [key for key, item in self._items.items() if item.value is not None]
         return ChangesSince(changed, self.revision, keys)
 
@@ -161,7 +161,9 @@
     def missed_among(self, items: Iterable[StoredItem]) -> list[str]:
         """Return the keys for which a peer has a change or removal that this log has missed.
 
-        Keys that only this log has are not compared, since the peer may have missed them.
+        Keys that only this log has are not compared, since the peer may have missed them. Items
+        newer than this log are not missed yet, and neither is the removal of a key that this log
+        does not know.
         """
         missed = []
         for item in items:
--- a/src/hillstack/daemon/connection_limiter.py
+++ b/src/hillstack/daemon/connection_limiter.py
@@ -63,7 +63,10 @@
         return len(self._connections()) > self._max_connections
 
     def can_accept(self) -> bool:
-        """Return whether connections can be accepted; close idle ones if too many are open."""
+        """Return whether connections can be accepted; close idle ones if too many are open.
+
+        Connections that have had no request yet are not closed.
+        """
         if self.is_full():
             self._close_idle(
                 len(self._connections()) - int(self._max_connections * LOW_WATER_SHARE)
@@ -89,13 +92,16 @@
 
 
 def is_idle(connection: CallerConnection) -> bool:
-    """Return whether a connection's last request is answered and no other has begun."""
+    """Return whether a connection's last request is answered and no other has begun.
+
+    A connection that has had no request yet is not idle.
+    """
     cycle = getattr(connection, "cycle", None)
     return cycle is not None and bool(cycle.response_complete)
 
 
 def close_idle_connections(connections: Collection[CallerConnection], *, also_unused: bool) -> None:
-    """Close idle connections, so that their callers connect to another node.
+    """Close connections after their answer, so that their callers connect to another node.
 
     Args:
         connections: The connections; a connection with a request in progress closes after its
--- a/src/hillstack/daemon/duty_lease.py
+++ b/src/hillstack/daemon/duty_lease.py
@@ -21,7 +21,8 @@
 # Share of the lease time that the holder does not use: clocks run at different rates, and a renewal
 # takes time on the network.
 SAFETY_SHARE = 0.25
-# How often a key is rewritten in sequence to raise its fence: a fifth of the lease at 4 ms each.
+# How often a key is rewritten in sequence to raise its fence: a fifth of a lease of 2 s at 4 ms
+# each.
 # After that the node tries again later, when writes of other nodes have raised the revision as
 # well.
 MAX_FENCE_WRITES = 100
@@ -48,11 +49,11 @@
         clock: Callable[[], float],
         highest_fence: Callable[[], int] = lambda: 0,
     ) -> None:
-        self._known_fence = highest_fence
+        self._highest_known_fence = highest_fence
         self._highest_seen = 0
         self._lease_era = 0
         self._known_era = key_value.era
-        self._free_from = float("-inf")
+        self._may_acquire_from = float("-inf")
         self._key_value = key_value
         self._key = key
         self._node_id = node_id
@@ -61,9 +62,9 @@
         self._lease_id = 0
         self._key_revision = NO_REVISION
         self._valid_until = float("-inf")
-        # How often the lease was released or lost. A call that was in progress at that time
-        # compares the counter and then leaves the lease unchanged.
-        self._ended = 0
+        # How often this node gave up the lease by ``release`` or ``invalidate``. A call that was in
+        # progress at that time compares the counter and then leaves the lease unchanged.
+        self._end_count = 0
 
     def fence(self) -> int | None:
         """Return the fence while the lease is held by this node's clock; else None."""
@@ -82,11 +83,11 @@
         Raises:
             PlatformError: The key-value service failed; a held lease then expires by itself.
         """
-        ended = self._ended
-        if self.fence() is not None and await self._renew(ended):
+        end_count = self._end_count
+        if self.fence() is not None and await self._renew(end_count):
             return
-        if ended == self._ended:
-            await self._acquire(ended)
+        if end_count == self._end_count:
+            await self._acquire(end_count)
 
     def invalidate(self) -> None:
         """Stop using this fence, because another holder with a higher fence was observed.
@@ -107,21 +108,21 @@
             await self._revoke()
 
     def _end(self) -> None:
-        self._ended += 1
+        self._end_count += 1
         self._valid_until = float("-inf")
 
-    async def _renew(self, ended: int) -> bool:
+    async def _renew(self, end_count: int) -> bool:
         asked_at = self._clock()
         is_kept = await self._key_value.keep_alive(self._lease_id)
         if not is_kept or self._lease_era != self._key_value.era:
             self._valid_until = float("-inf")
             return False
-        if ended != self._ended:
+        if end_count != self._end_count:
             return False
         self._extend(asked_at)
         return True
 
-    async def _acquire(self, ended: int) -> None:
+    async def _acquire(self, end_count: int) -> None:
         held = await self._key_value.get(self._key)
         if held is not None:
             self._note_fence(held.mod_revision)
@@ -134,7 +135,7 @@
         revision = await self._key_value.transact([ValueIs(self._key, None)], [put])
         if revision is not None:
             revision = await self._raise_fence(put, revision)
-        if revision is None or ended != self._ended:
+        if revision is None or end_count != self._end_count:
             await self._revoke()
             return
         if revision.era != self._lease_era:
@@ -149,12 +150,12 @@
         now, era = self._clock(), self._key_value.era
         if era != self._known_era:
             self._known_era = era
-            self._free_from = now + self._ttl
-        return now >= self._free_from
+            self._may_acquire_from = now + self._ttl
+        return now >= self._may_acquire_from
 
     async def _raise_fence(self, put: Put, revision: StoreRevision) -> StoreRevision | None:
         """Rewrite the key until its revision is above all known fences; None if that failed."""
-        highest = max(self._known_fence(), self._highest_seen)
+        highest = max(self._highest_known_fence(), self._highest_seen)
         raised: StoreRevision | None = revision
         for _ in range(MAX_FENCE_WRITES):
             if raised is None or raised.number > highest:
--- a/src/hillstack/daemon/limit_client.py
+++ b/src/hillstack/daemon/limit_client.py
@@ -105,8 +105,8 @@
         self._rng = rng
         self._incarnation = rng.getrandbits(INCARNATION_BITS)
         self._answers: PendingAnswers[TokenAnswer] = PendingAnswers(ANSWER_SECONDS)
-        self._local_number = 0
-        self._is_first = True
+        self._local_question_number = 0
+        self._is_first_question = True
         self._waiting: list[_WaitingRequest] = []
         self._wake = asyncio.Event()
         self._renew_at = 0.0
@@ -192,8 +192,8 @@
                 return
             self._holders.record_unreachable(node.node_id, self._clock())
             logger.info("no answer about limits", extra={"peer": node.node_id})
-        self._local_number += 1
-        question = self._question(waiting, self._local_number)
+        self._local_question_number += 1
+        question = self._question(waiting, self._local_question_number)
         self._settle(waiting, await self._holder.answer(question))
 
     async def _ask_with_retry(
@@ -235,7 +235,7 @@
             for tenant in tenants
         ]
         seconds = self._leases.hand_over(now)
-        is_first, self._is_first = self._is_first, False
+        is_first, self._is_first_question = self._is_first_question, False
         return TokenQuestion(
             PROTOCOL_VERSION,
             self._state.node_id,
--- a/src/hillstack/daemon/node.py
+++ b/src/hillstack/daemon/node.py
@@ -45,7 +45,7 @@
 TICKS_PER_PROBE_INTERVAL = 4
 SYNC_TIMEOUT_SECONDS = 2.0
 SYNC_INTERVAL_SECONDS = 30.0
-FIRST_SYNC_RETRY_SECONDS = 0.5
+SYNC_RETRY_SECONDS = 0.5
 SYNC_FAN_OUT = 2
 REFRESH_TIMEOUT_SECONDS = 1.0
 MILLISECONDS = 1_000
@@ -97,7 +97,7 @@
             self.clock,
             self.rng,
         )
-        self._watch = BackendWatch(
+        self._backend_watch = BackendWatch(
             fleet,
             index,
             surroundings,
@@ -145,7 +145,7 @@
         self._spawn(self._bundles.first_bundle(self.settings.peers.seeds))
         self._spawn(self._bundles.poll())
         self._spawn(self._bundles.watch())
-        self._spawn(self._watch.run())
+        self._spawn(self._backend_watch.run())
         self._spawn(self._weights.run())
         self._spawn(self._run_membership())
         self._spawn(self._run_sync())
@@ -208,7 +208,7 @@
         targets = [self._sync_with(address) for address in self._sync_targets()]
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(REFRESH_TIMEOUT_SECONDS):
-                await asyncio.gather(self._watch.read_machines(), *targets)
+                await asyncio.gather(self._backend_watch.read_machines(), *targets)
         self.fleet.refreshed()
 
     async def _run_sync(self) -> None:
@@ -218,7 +218,7 @@
             reached = [await sync(address) for address in self._sync_targets()]
             if any(reached):
                 sync = self._compare_with
-            pause = SYNC_INTERVAL_SECONDS if any(reached) else FIRST_SYNC_RETRY_SECONDS
+            pause = SYNC_INTERVAL_SECONDS if any(reached) else SYNC_RETRY_SECONDS
             await asyncio.sleep(pause * (0.5 + self.rng.random()))
 
     def _any_peer(self) -> str | None:
@@ -272,7 +272,7 @@
 
     async def _on_peer_request(self, message: Message, address: str) -> Message:
         if isinstance(message, MachineListRequest):
-            return self._watch.machine_list() or Failure("no machine list yet")
+            return self._backend_watch.machine_list() or Failure("no machine list yet")
         return self.control.on_request(message, self.clock(), self.wall_clock())
 
     def _send(self, datagrams: list[Datagram]) -> None:
--- a/src/hillstack/daemon/notice_reader.py
+++ b/src/hillstack/daemon/notice_reader.py
@@ -125,7 +125,8 @@
                 continue
             load = notice.load()
             if is_local_zone and len(runner.attempts):
-                # The sum of the zone includes this node's load as of about ten milliseconds ago.
+                # The sum of the zone includes this node's load as of up to 0.15 s ago (the times
+                # for which this node and its relay collect), so the result is approximate.
                 load = load.without(runner.attempts.load())
             pool.note_peer_load(runner, reporter, load, now)
 
--- a/src/hillstack/daemon/notice_relay.py
+++ b/src/hillstack/daemon/notice_relay.py
@@ -26,16 +26,16 @@
 from hillstack.messages.relay_batches import NodeReport, RelayBatch
 from hillstack.serving.fleet_state import FleetState
 
-# A placement passes up to two relays. At each of them, a tenth of the shortest objective for a
-# first event seen in a deployment (0.5 s) is long enough to batch most notices and short enough for
-# other nodes to take them into account. Every node receives each batch of its relay: half of this
-# delay would double the number of batches, each at about half the cost.
+# How long each of the up to two relays of a placement collects notices: a tenth of the shortest
+# objective for a first event seen in a deployment (0.5 s). It is long enough to batch most notices,
+# and other nodes still receive them in time to use them. Every node receives each batch of its
+# relay: half of this delay would double the number of batches, each at about half the cost.
 BATCH_SECONDS = 0.05
 # Least interval between forwarded heartbeats of a node without updates, slightly less than that at
 # which an idle node sends them (0.8 s). Each costs all nodes of the zone as much as any notice.
 FORWARDED_HEARTBEAT_SECONDS = 0.7
 # A node that has received something to forward counts as a relay for this time, in which each node
-# sends all its loads twice.
+# sends all its loads twice. Also the interval at which sums of idle runners are discarded.
 RELAYING_SECONDS = 2.0
 
 
@@ -64,7 +64,7 @@
         self._zone = zone
         self._clock = clock
         self._zone_outbox = RelayOutbox()
-        self._remote_outbox = RelayOutbox()
+        self._other_zones_outbox = RelayOutbox()
         self._zone_loads: dict[str, ReportedLoads] = {}
         self._incarnations: dict[str, int] = {}
         self._forwarded_at: dict[str, float] = {}
@@ -82,11 +82,11 @@
         sums = [self._sum_loads(report.node_id, load, now) for load in report.loads]
         for load in sums:
             self._zone_outbox.add_load(self._zone, load)
-            self._remote_outbox.add_load(self._zone, load)
+            self._other_zones_outbox.add_load(self._zone, load)
         if report.notice:
             self._add_notice(report, now)
         # A mere heartbeat waits for the next updates, or for the relay's own heartbeat.
-        if self._remote_outbox.has_updates() or report.is_urgent:
+        if self._other_zones_outbox.has_updates() or report.is_urgent:
             self._schedule(urgent=report.is_urgent)
         return sums
 
@@ -124,7 +124,7 @@
             now = self._clock()
             relaying = self._is_relaying(now)
             if relaying and (
-                self._zone_outbox.is_silent(now) or self._remote_outbox.is_silent(now)
+                self._zone_outbox.is_silent(now) or self._other_zones_outbox.is_silent(now)
             ):
                 self.flush()
             await asyncio.sleep(HEARTBEAT_SECONDS / 2 if relaying else HEARTBEAT_SECONDS)
@@ -139,11 +139,11 @@
             self._send(self._zone_outbox, DatagramKind.FINAL_BATCH, self._zone_addresses(), now)
         # Any node forwards updates that it receives, but other zones expect heartbeats only from
         # the chosen relay of this zone.
-        if self._remote_outbox.has_updates() or (
-            self._remote_outbox.is_due(now) and self.is_chosen(now)
+        if self._other_zones_outbox.has_updates() or (
+            self._other_zones_outbox.is_due(now) and self.is_chosen(now)
         ):
             self._send(
-                self._remote_outbox, DatagramKind.ZONE_BATCH, self._relay_addresses(now), now
+                self._other_zones_outbox, DatagramKind.ZONE_BATCH, self._relay_addresses(now), now
             )
         self._discard_idle_runners(now)
 
@@ -170,17 +170,17 @@
 
     def _add_notice(self, report: NodeReport, now: float) -> None:
         """Collect updates for all zones, and heartbeats, at a limited rate, for this zone only."""
-        is_news = report.is_news or self._is_new(report)
+        is_news = report.is_news or self._note_incarnation(report)
         forwarded_at = self._forwarded_at.get(report.node_id, float("-inf"))
         if not is_news and now - forwarded_at < FORWARDED_HEARTBEAT_SECONDS:
             return
         self._forwarded_at[report.node_id] = now
         self._zone_outbox.notices.append(report.notice)
         if is_news:
-            self._remote_outbox.notices.append(report.notice)
+            self._other_zones_outbox.notices.append(report.notice)
 
-    def _is_new(self, report: NodeReport) -> bool:
-        """Return whether a report is the first one from its sender's current process."""
+    def _note_incarnation(self, report: NodeReport) -> bool:
+        """Record the process that sent a report; return whether this is its first report."""
         if self._incarnations.get(report.node_id) == report.incarnation:
             return False
         self._incarnations[report.node_id] = report.incarnation
--- a/src/hillstack/daemon/pending_answers.py
+++ b/src/hillstack/daemon/pending_answers.py
@@ -14,12 +14,12 @@
 
     Args:
         timeout_seconds: Time after which a question fails.
-        first_number: Questions are numbered from the number after this one.
+        start_after: The first question gets the number after this one.
     """
 
-    def __init__(self, timeout_seconds: float, first_number: int = 0) -> None:
+    def __init__(self, timeout_seconds: float, start_after: int = 0) -> None:
         self._timeout = timeout_seconds
-        self._number = first_number
+        self._number = start_after
         self._waiting: dict[int, asyncio.Future[Answer]] = {}
 
     async def ask(self, send: Callable[[int], None]) -> Answer | None:
--- a/src/hillstack/daemon/ports.py
+++ b/src/hillstack/daemon/ports.py
@@ -88,7 +88,7 @@
         ...
 
     async def order_load(self, address: str, fence: int, weights_version: int) -> bool:
-        """Order an engine to load weights; return False if it refused the fence."""
+        """Order an engine to load weights and wait until it has; False if it refused the fence."""
         ...
 
 
--- a/src/hillstack/daemon/region_crossing.py
+++ b/src/hillstack/daemon/region_crossing.py
@@ -84,7 +84,7 @@
         self._clock = clock
         # Unsent notices: control notices for all regions, and by region those sent with the loads.
         self._control: list[NodeNotice] = []
-        self._remote_notices: dict[str, list[NodeNotice]] = {}
+        self._other_region_notices: dict[str, list[NodeNotice]] = {}
         # Loads of this region by runner; and as last sent, by receiving region and runner.
         self._loads: dict[str, ReportedLoads] = {}
         self._sent_loads: dict[str, dict[str, LoadNotice]] = {}
@@ -124,7 +124,7 @@
         for region in self._choice.other_regions():
             rest = self._remote_notice(notice, region, cached_parts)
             if rest.is_news():
-                self._remote_notices.setdefault(region, []).append(rest)
+                self._other_region_notices.setdefault(region, []).append(rest)
 
     async def run(self) -> None:
         """Send due notices and loads periodically, until cancelled."""
@@ -135,7 +135,7 @@
                 self._flush()
             else:
                 # Unsent notices are stale by now; the current border relay sends its own.
-                self._remote_notices.clear()
+                self._other_region_notices.clear()
                 self._sent_loads.clear()
             self._discard_idle_runners(now)
             await asyncio.sleep(REMOTE_RUNNERS_SECONDS if is_border_relay else HEARTBEAT_SECONDS)
@@ -153,7 +153,7 @@
         now = self._clock()
         for region in self._choice.other_regions():
             outbox = RelayOutbox(self._choice.topology.region)
-            rest = self._remote_notices.pop(region, [])
+            rest = self._other_region_notices.pop(region, [])
             outbox.notices.extend(peer_notices.encode(notice) for notice in rest)
             self._add_loads(outbox, region, now)
             silent_seconds = now - self._sent_at.get(region, float("-inf"))
@@ -206,14 +206,14 @@
         """Return the part of a notice that all nodes need; None if there is none."""
         is_new = self._incarnations.get(notice.node_id) != notice.incarnation
         self._incarnations[notice.node_id] = notice.incarnation
-        named = [entry for entry in notice.announcements if self._is_announcement_due(entry, now)]
+        named = [entry for entry in notice.announcements if self._claim_announcement(entry, now)]
         control = msgspec.structs.replace(
             notice, placements=[], loads=[], reads=[], cache=[], announcements=named
         )
         return control if is_new or control.is_control() else None
 
-    def _is_announcement_due(self, entry: AnnouncementNotice, now: float) -> bool:
-        """Return whether the announcement of a version is due to be sent, or repeated."""
+    def _claim_announcement(self, entry: AnnouncementNotice, now: float) -> bool:
+        """Return whether a version is due to be announced, or again; if so, record it as sent."""
         key = entry.model, entry.version
         if now - self._announced_at.get(key, float("-inf")) < ANNOUNCEMENT_SECONDS:
             return False
@@ -254,11 +254,11 @@
             CacheNotice(placement.runner_id, placement.salt, placement.parts)
             for placement in notice.placements
             if self._region_of(placement.runner_id) == local_region
-            and self._has_unreported_part(placement)
+            and self._mark_reported(placement)
         ]
 
-    def _has_unreported_part(self, placement: PlacementNotice) -> bool:
-        """Return whether a shared part of a prompt was not yet reported as cached at its runner."""
+    def _mark_reported(self, placement: PlacementNotice) -> bool:
+        """Record a prompt's shared parts as reported; return whether one was not before."""
         is_new = False
         for part_id, _ in placement.parts:
             key = placement.runner_id, placement.salt, part_id
--- a/src/hillstack/daemon/store_check.py
+++ b/src/hillstack/daemon/store_check.py
@@ -34,7 +34,8 @@
 # Pause between checks whether this node has reached the revision of the list: half the default
 # interval between its polls for changes.
 POLL_SECONDS = 0.25
-# A node that has not reached the list by then receives no changes, which its freshness reports.
+# A node that has not reached the list by then gets no changes at all. This is noticed elsewhere, by
+# the age of its copy.
 CATCH_UP_SECONDS = 5.0
 # In a deployment with regions, only every eighth check reads the store and the others read a peer
 # of the node's region, because full lists of the store cross a narrow link between regions: .026
@@ -107,7 +108,11 @@
         self._reload_if_missed(missed)
 
     async def _compare_with_peer(self) -> bool:
-        """Compare with the full list of a nearer peer; return whether a peer sent one."""
+        """Compare with the full list of a nearer peer; return whether a peer sent one.
+
+        If this node does not reach the revision of the list in time, the result is True as well,
+        though nothing was compared.
+        """
         if self._peers is None:
             return False
         for node_id in self._nearer_peers():
--- a/src/hillstack/daemon/store_relay.py
+++ b/src/hillstack/daemon/store_relay.py
@@ -1,8 +1,9 @@
 """Reads changes of the store through other nodes, so that few nodes query the store itself.
 
-A node asks the nodes of its group that precede it in the relay order, and queries the store only if
-none of them has a fresh copy. So one node of a group, the first one that can reach the store,
-watches it for the whole group.
+A node asks the first two reachable nodes of its group that precede it in the relay order, and
+queries the store only if neither has a fresh copy. If the store fails, it asks a few other nodes of
+the group. So one node of a group, the first one that can reach the store, polls it for the whole
+group.
 
 Freshness is transmitted as an age, never as a time of day. The asking node subtracts the age in the
 answer from the moment at which it sent the question. So it never considers its copy fresher than it
--- a/src/hillstack/daemon/weights_duty.py
+++ b/src/hillstack/daemon/weights_duty.py
@@ -16,7 +16,7 @@
 
 logger = logging.getLogger(__name__)
 
-DUTY_KEY = "/hillstack/duties/weights"
+WEIGHTS_DUTY_KEY = "/hillstack/duties/weights"
 LEASE_SECONDS = 6
 INTERVAL_SECONDS = 1.0
 CANDIDATES = 3
@@ -31,7 +31,7 @@
         self._surroundings = surroundings
         own = control.membership.own
         self._lease = DutyLease(
-            surroundings.key_value, DUTY_KEY, own.node_id, LEASE_SECONDS, surroundings.clock
+            surroundings.key_value, WEIGHTS_DUTY_KEY, own.node_id, LEASE_SECONDS, surroundings.clock
         )
         self._in_progress: dict[str, asyncio.Task[None]] = {}
 
@@ -59,7 +59,7 @@
         """Return whether this node is one of the few that try to acquire the duty."""
         membership = self._control.membership
         nodes = [member.node_id for member in membership.serving()]
-        return membership.own.node_id in ranked(DUTY_KEY, nodes)[:CANDIDATES]
+        return membership.own.node_id in ranked(WEIGHTS_DUTY_KEY, nodes)[:CANDIDATES]
 
     def _give_orders(self) -> None:
         bundle, fence = self._control.bundle, self._lease.fence()
@@ -72,12 +72,12 @@
 
     async def _give(self, order: LoadOrder, fence: int) -> None:
         try:
-            taken = await self._surroundings.backends.order_load(
+            is_loaded = await self._surroundings.backends.order_load(
                 order.address, fence, order.weights_version
             )
             fields = {"peer": order.engine_id, "fence": fence, "version": order.weights_version}
             logger.info(
-                "weights loaded" if taken else "weights order refused by fence", extra=fields
+                "weights loaded" if is_loaded else "weights order refused by fence", extra=fields
             )
         except BackendError as error:
             logger.warning("weights order failed", extra=error_fields(error))
--- a/src/hillstack/daemon/weights_orders.py
+++ b/src/hillstack/daemon/weights_orders.py
@@ -8,7 +8,18 @@
 
 
 class OrderOutcome(enum.StrEnum):
-    """Outcome of an order, from the runner's answer."""
+    """Outcome of an order, from the status of the runner's answer.
+
+    Attributes:
+        DONE: The runner reports the order as done (200). Whether it has counted the order is known
+            from its next report.
+        TAKEN: The runner has accepted the order and loads the weights (202).
+        CONFLICT: The runner executes another order, or has accepted another number of orders than
+            expected (409).
+        FENCED: The runner has seen a higher fence (412).
+        OTHER_INSTANCE: Another instance than the ordered runner answered (421).
+        REJECTED: Any other status.
+    """
 
     DONE = "done"
     TAKEN = "taken"
--- a/src/hillstack/daemon/weights_rollout_duty.py
+++ b/src/hillstack/daemon/weights_rollout_duty.py
@@ -20,7 +20,8 @@
 
 logger = logging.getLogger(__name__)
 
-# Interval of the check for loads that can begin: a tenth of the duration of a load.
+# Interval of the check for loads that can begin: a tenth of the time that a load takes at the
+# runner (0.5 s).
 TICK_SECONDS = 0.05
 # Time for a datagram to reach all peers and for sends in progress; until then requests still
 # arrive.
@@ -29,17 +30,19 @@
 REANNOUNCE_SECONDS = 0.3
 # The longest prefills observed before a load took 1.2 s (docs/DECISIONS.md).
 PREFILL_WAIT_SECONDS = 1.2
-# The duration of two loads. If a runner's weights are due sooner, its prefills are not waited for.
+# The duration of two loads, each of about 1 s with its wait and report. If a runner's weights are
+# due sooner, its prefills are not waited for.
 DUE_MARGIN_SECONDS = 2.0
 # Interval between two report calls; the reports are 0.1 to 0.3 s old.
 POLL_SECONDS = 0.12
-# The duration of several loads. A runner that takes longer is tried again later.
+# The duration of several loads with their waits and reports. A runner that takes longer is tried
+# again later.
 LOAD_LIMIT_SECONDS = 6.0
 # By the platform's specification, a report shows an order only after this delay.
 REPORT_LAG_SECONDS = 0.3
 # Pause before an unreachable runner is tried again.
 UNREACHABLE_PAUSE_SECONDS = 0.5
-# Initial estimate of the duration of a load, including the wait and the report; rather too long.
+# Initial estimate of the duration of a load, including the wait and the report; longer than usual.
 INITIAL_LOAD_SECONDS = 1.3
 # Weight of the latest load in the moving average of durations: the last five loads dominate.
 LOAD_SMOOTHING = 0.2
@@ -53,7 +56,8 @@
         lease: The lease on the duty.
         sender: Sends orders and report calls to runners.
         peers: Sends notices to the peers.
-        holder_gap_seconds: Minimum time between orders of two different holders.
+        holder_gap_seconds: How long this node leaves a runner alone after another holder has
+            announced a load on it, and how long it gives no orders after its own start.
         clock: Monotonic seconds.
         rng: Source of randomness.
     """
@@ -72,7 +76,7 @@
         self._lease = lease
         self._sender = sender
         self._peers = peers
-        self._holder_gap = holder_gap_seconds
+        self._other_holder_wait = holder_gap_seconds
         self._clock = clock
         self._rng = rng
         self._started_at = clock()
@@ -99,7 +103,7 @@
             # A node that has just started does not know the latest orders of other holders.
             if (
                 self._lease.fence() is not None
-                and self._clock() >= self._started_at + self._holder_gap
+                and self._clock() >= self._started_at + self._other_holder_wait
             ):
                 self._start_loads()
 
@@ -134,7 +138,7 @@
         paused.update(
             runner.runner_id
             for runner in self._state.pool.all()
-            if now < runner.peer_ordered_at + self._holder_gap
+            if now < runner.peer_ordered_at + self._other_holder_wait
         )
         for model in self._state.versions.models():
             runners = [
--- a/tools/mutate_fleet.py
+++ b/tools/mutate_fleet.py
@@ -123,7 +123,7 @@
     Mutation(
         "a holder does not wait for runners ordered lately",
         "daemon/weights_rollout_duty.py",
-        "if now < runner.peer_ordered_at + self._holder_gap",
+        "if now < runner.peer_ordered_at + self._other_holder_wait",
         "if False",
     ),
     Mutation(
@@ -356,7 +356,7 @@
     Mutation(
         "words do not cross to other zones",
         "daemon/notice_relay.py",
-        "self._remote_outbox.notices.append(report.notice)",
+        "self._other_zones_outbox.notices.append(report.notice)",
         "pass",
     ),
     Mutation(
@@ -482,7 +482,7 @@
     Mutation(
         "every message of a node brings a start",
         "daemon/limit_client.py",
-        "is_first, self._is_first = self._is_first, False",
+        "is_first, self._is_first_question = self._is_first_question, False",
         "is_first = True",
     ),
     Mutation(
@@ -1032,8 +1032,8 @@
     Mutation(
         "a duty is taken before its holder has heard of the restore",
         "daemon/duty_lease.py",
-        "self._free_from = now + self._ttl",
-        "self._free_from = now",
+        "self._may_acquire_from = now + self._ttl",
+        "self._may_acquire_from = now",
     ),
     Mutation(
         "a fence falls with the store's revision",
