--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -424,6 +424,7 @@
 
     def _max_body_bytes(self) -> int:
         table = self._state.table
+        # Until the table is known, the default of its limit (``LimitsBody``).
         return table.limits.max_body_bytes if table is not None else 4_194_304
 
     def _descriptors(self) -> int:
--- a/src/hillstack/daemon/limit_client.py
+++ b/src/hillstack/daemon/limit_client.py
@@ -3,6 +3,9 @@
 Requests of a tenant that is far below its limit use tokens that were leased in advance and do not
 wait. Other requests wait for one exchange with the bucket holder, which takes some milliseconds. If
 no holder answers, the node uses local buckets, which hold only its own share of each limit.
+
+The limits are those of tenants or of runners (``limit_scopes``). For runners' limits, ``tenant``
+stands for the runner's identifier.
 """
 
 from __future__ import annotations
--- a/src/hillstack/daemon/limit_holder.py
+++ b/src/hillstack/daemon/limit_holder.py
@@ -1,4 +1,8 @@
-"""Holds token buckets for the nodes that transfer their refill time to this node."""
+"""Holds token buckets for the nodes that transfer their refill time to this node.
+
+The limits are those of tenants or of runners (``limit_scopes``). For runners' limits, ``tenant``
+stands for the runner's identifier.
+"""
 
 from __future__ import annotations
 
--- a/src/hillstack/daemon/notice_reader.py
+++ b/src/hillstack/daemon/notice_reader.py
@@ -52,20 +52,20 @@
         self._on_outdated_limit: LimitHandler = lambda _: None
 
     def handle_placements(self, on_placement: PlacementHandler, on_read: ReadHandler) -> None:
-        """Call handlers for each placement of a peer, and when its prompt has been processed."""
+        """Set the handlers for each placement of a peer, and for its prompt being processed."""
         self._on_placement = on_placement
         self._on_read = on_read
 
     def handle_rollouts(self, handler: RolloutHandler) -> None:
-        """Call a handler for each report of a peer on a software rollout."""
+        """Set the handler for each report of a peer on a software rollout."""
         self._on_rollout = handler
 
     def handle_runner_ends(self, handler: RunnerEndHandler) -> None:
-        """Call a handler for each runner crash that a peer reports."""
+        """Set the handler for each runner crash that a peer reports."""
         self._on_runner_end = handler
 
     def handle_outdated_limits(self, handler: LimitHandler) -> None:
-        """Call a handler with each runner for which a peer reports a limit that has ended."""
+        """Set the handler for each runner for which a peer reports a limit that has ended."""
         self._on_outdated_limit = handler
 
     def take(self, notice: NodeNotice, now: float) -> None:
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -125,19 +125,19 @@
         state.store_era.handle_new(self._report_store_era)
 
     def handle_placements(self, on_placement: PlacementHandler, on_read: ReadHandler) -> None:
-        """Call handlers for each placement of a peer, and when its prompt has been processed."""
+        """Set the handlers for each placement of a peer, and for its prompt being processed."""
         self._reader.handle_placements(on_placement, on_read)
 
     def handle_rollouts(self, handler: RolloutHandler) -> None:
-        """Call a handler for each report of a peer on a software rollout."""
+        """Set the handler for each report of a peer on a software rollout."""
         self._reader.handle_rollouts(handler)
 
     def handle_runner_ends(self, handler: RunnerEndHandler) -> None:
-        """Call a handler for each runner crash that a peer reports."""
+        """Set the handler for each runner crash that a peer reports."""
         self._reader.handle_runner_ends(handler)
 
     def handle_new_peers(self, handler: PeerHandler) -> None:
-        """Call a handler with a peer's name at the first notice from each process of the peer."""
+        """Add a handler that gets a peer's name at the first notice from each of its processes."""
         self._on_new_peer.append(handler)
 
     def live_zones(self) -> dict[str, str]:
--- a/src/hillstack/daemon/peer_link.py
+++ b/src/hillstack/daemon/peer_link.py
@@ -39,7 +39,7 @@
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
     def handle(self, kind: DatagramKind, handler: PayloadHandler) -> None:
-        """Call a handler with the payload and the sender's IP address of each datagram of a kind.
+        """Set the handler for the payload and the sender's IP address of each datagram of a kind.
 
         A datagram for which the handler raises ``CodecError`` is dropped.
         """
--- a/src/hillstack/daemon/region_crossing.py
+++ b/src/hillstack/daemon/region_crossing.py
@@ -161,12 +161,12 @@
                 self._send(region, outbox, now)
 
     def _send(self, region: str, outbox: RelayOutbox, now: float) -> None:
-        border_relay = self._choice.speaker_of(region, now)
-        if border_relay is None:
+        receiver = self._choice.speaker_of(region, now)
+        if receiver is None:
             return
         self._sent_at[region] = now
         for batch in outbox.batches(self._state.node_id, self._zone):
-            self._link.send(DatagramKind.REGION_BATCH, pack(batch), border_relay.address)
+            self._link.send(DatagramKind.REGION_BATCH, pack(batch), receiver.address)
 
     def _add_loads(self, outbox: RelayOutbox, region: str, now: float) -> None:
         """Add the changed loads on a region's runners; at longer intervals, all loads."""
