--- a/src/hillstack/daemon/cache_follower.py
+++ b/src/hillstack/daemon/cache_follower.py
@@ -25,14 +25,16 @@
 
 # Interval between checks of which holders this node watches. A check without a change is cheap.
 ASSIGN_INTERVAL_SECONDS = 0.25
-# How long a holder may delay its answer until there are changes (long poll). The platform prices
-# shorter waits as probes.
+# How long a holder may delay its answer until there are changes (long poll). The platform charges
+# polls with shorter waits as probes.
 LONG_POLL_SECONDS = 1.0
 # Minimum interval between polls of one holder. Changes are delayed by about as much anyway.
 CALL_INTERVAL_SECONDS = 0.3
 # Pause after a failed poll; bounds the cost of a holder that is down.
 RETRY_SECONDS = 0.6
-# Minimum interval between complete lists of one holder, since a list holds up the holder's work.
+# Minimum interval between a complete list of a holder and one that is read because changes are
+# missing, since a list holds up the holder's work. When this node begins to watch a holder, or the
+# holder has restarted, a list is read at once.
 RELIST_SECONDS = 5.0
 # A part sent to a holder less than this long ago may be missing from a list without having been
 # evicted.
@@ -213,7 +215,12 @@
             await asyncio.sleep(max(0.0, started_at + CALL_INTERVAL_SECONDS - self._clock()))
 
     async def _advance(self, holder: CacheHolder, position: _Position | None) -> _Position:
-        """Apply the next changes, or the complete list if changes are missing."""
+        """Apply the next changes, or the complete list after a restart of the holder.
+
+        If changes are missing, the complete list is read, unless the last list is younger than
+        ``RELIST_SECONDS``. In that case the cursor moves on, and the missing changes are not read
+        later: only a later complete list corrects the estimate.
+        """
         if position is None:
             return await self._relist(holder)
         changes = await self._feed.changes(holder, position.cursor, LONG_POLL_SECONDS)
@@ -232,8 +239,8 @@
         asked_at = self._clock()
         listing = await self._feed.listing(holder)
         listed = {(entry.salt, entry.part.part_id) for entry in listing.entries}
-        read_by = asked_at - SETTLING_SECONDS
-        evicted = self._state.index.remove_unlisted(holder.holder_id, listed, read_by)
+        settled_at = asked_at - SETTLING_SECONDS
+        evicted = self._state.index.remove_unlisted(holder.holder_id, listed, settled_at)
         for salt, part in evicted:
             dropped = CacheEntry(salt, PromptPart(part.part_id, 0))
             self._report(holder, dropped, estimated=part.tokens)
--- a/src/hillstack/daemon/fleet_node.py
+++ b/src/hillstack/daemon/fleet_node.py
@@ -103,7 +103,8 @@
         settings: Settings of the node.
         listeners: Sockets that are already listening; closed when the node stops.
         times: When the startup phases so far ended.
-        settings_path: Settings file that SIGHUP reloads.
+        settings_path: Settings file that SIGHUP reloads. Only the grace period takes effect; all
+            other settings apply from the next start.
     """
 
     def __init__(
@@ -426,6 +427,7 @@
     def _max_body_bytes(self) -> int:
         """Return the maximum size of a request's body; 4 MiB until the configuration is known."""
         table = self._state.table
+        # Until the table is known, the default of its limit (``LimitsBody``).
         return table.limits.max_body_bytes if table is not None else 4_194_304
 
     def _descriptors(self) -> int:
@@ -452,6 +454,7 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     def _reload(self) -> None:
+        """Read the settings again; only the grace period of a planned stop takes effect."""
         if self._settings_path is None:
             return
         try:
@@ -467,7 +470,10 @@
         self._tasks.append(task)
 
     async def _drain(self, callers: uvicorn.Server) -> None:
-        """Continue to serve until no new connections arrive and all requests are answered."""
+        """Serve for a fixed time and until all requests are answered, then release the leases.
+
+        The node stops serving shortly before the end of the grace period in any case.
+        """
         self._stopping = True
         started_at = self._clock()
         logger.info("stopping", extra={"active": self._pipeline.active})
--- a/src/hillstack/daemon/limit_client.py
+++ b/src/hillstack/daemon/limit_client.py
@@ -3,6 +3,9 @@
 Requests of a tenant that is far below its limit use tokens that were leased in advance and do not
 wait. Other requests wait for one exchange with the bucket holder, which takes some milliseconds. If
 no holder answers, the node uses local buckets, which hold only its own share of each limit.
+
+The limits are those of tenants or of runners (``limit_scopes``). For runners' limits, ``tenant``
+stands for the runner's identifier.
 """
 
 from __future__ import annotations
@@ -52,10 +55,11 @@
 MAX_HOLDERS_ASKED = 2
 # Minimum time between renewals when leases run low.
 EARLY_RENEW_SECONDS = 0.1
-# Retry delay for a caller if no holder answered; by then another holder is found.
-NO_HOLDER_WAIT_SECONDS = 0.5
+# Retry delay for a caller whose request is missing from an answer. If no holder answers, the local
+# buckets state the delay.
+NO_GRANT_WAIT_SECONDS = 0.5
 # How often a node that has just started checks whether it knows the other nodes, which takes a read
-# of the store of about 10 ms. Requests do not wait for this: they are refused until then.
+# of the store of about 10 ms. Requests with a limit wait until then.
 START_CHECK_SECONDS = 0.015
 INCARNATION_BITS = 32
 
@@ -104,8 +108,8 @@
         self._rng = rng
         self._incarnation = rng.getrandbits(INCARNATION_BITS)
         self._answers: PendingAnswers[TokenAnswer] = PendingAnswers(ANSWER_SECONDS)
-        self._local_number = 0
-        self._is_first = True
+        self._local_question_number = 0
+        self._is_first_question = True
         self._waiting: list[_WaitingRequest] = []
         self._wake = asyncio.Event()
         self._renew_at = 0.0
@@ -113,7 +117,13 @@
         link.handle(self._scope.answer, self._on_answer)
 
     async def take(self, tenant: str, limit: TenantLimit, cost: float, rank: int) -> float:
-        """Take the cost of a request from its tenant's limit.
+        """Take the cost of a request from the limit of its tenant or runner.
+
+        Args:
+            tenant: The tenant; for runners' limits (``runner_scope``) the runner's identifier.
+            limit: The limit.
+            cost: Cost of the request.
+            rank: Rank of the request; the holder grants tokens to lower ranks first.
 
         Returns:
             0 if the request may be sent; else the seconds after which to try again.
@@ -185,8 +195,8 @@
                 return
             self._holders.record_unreachable(node.node_id, self._clock())
             logger.info("no answer about limits", extra={"peer": node.node_id})
-        self._local_number += 1
-        question = self._question(waiting, self._local_number)
+        self._local_question_number += 1
+        question = self._question(waiting, self._local_question_number)
         self._settle(waiting, await self._holder.answer(question))
 
     async def _ask_with_retry(
@@ -228,7 +238,7 @@
             for tenant in tenants
         ]
         seconds = self._leases.take_contribution(now)
-        is_first, self._is_first = self._is_first, False
+        is_first, self._is_first_question = self._is_first_question, False
         return TokenQuestion(
             PROTOCOL_VERSION,
             self._state.node_id,
@@ -246,10 +256,10 @@
         for entry in waiting:
             place = places[entry.tenant]
             places[entry.tenant] += 1
-            granted = self._wait_seconds(grants.get(entry.tenant), place)
+            wait = self._wait_seconds(grants.get(entry.tenant), place)
             if not entry.result.done():
-                entry.result.set_result(granted)
-            elif granted == 0.0:
+                entry.result.set_result(wait)
+            elif wait == 0.0:
                 # The caller disconnected while the request waited.
                 self._leases.add(entry.tenant, entry.need.cost, now + LEASE_SECONDS, now)
         for grant in answer.grants:
@@ -258,7 +268,7 @@
 
     def _wait_seconds(self, grant: TenantGrant | None, place: int) -> float:
         if grant is None or place >= len(grant.waits_ms):
-            return NO_HOLDER_WAIT_SECONDS
+            return NO_GRANT_WAIT_SECONDS
         wait = grant.waits_ms[place]
         return 0.0 if wait == GRANTED else max(1, wait) / MILLISECONDS
 
--- a/src/hillstack/daemon/peer_exchange.py
+++ b/src/hillstack/daemon/peer_exchange.py
@@ -127,19 +127,19 @@
         state.store_era.handle_new(self._report_store_era)
 
     def handle_placements(self, on_placement: PlacementHandler, on_read: ReadHandler) -> None:
-        """Call handlers for each placement of a peer, and when its prompt has been prefilled."""
+        """Set the handlers for each placement of a peer, and for its prompt being prefilled."""
         self._reader.handle_placements(on_placement, on_read)
 
     def handle_rollouts(self, handler: RolloutHandler) -> None:
-        """Call a handler for each report of a peer on a software rollout."""
+        """Set the handler for each report of a peer on a software rollout."""
         self._reader.handle_rollouts(handler)
 
     def handle_runner_crashes(self, handler: RunnerEndHandler) -> None:
-        """Call a handler for each runner crash that a peer reports."""
+        """Set the handler for each runner crash that a peer reports."""
         self._reader.handle_runner_crashes(handler)
 
     def handle_new_peers(self, handler: PeerHandler) -> None:
-        """Call a handler with a peer's name at the first notice from each process of the peer."""
+        """Add a handler that gets a peer's name at the first notice from each of its processes."""
         self._on_new_peer.append(handler)
 
     def live_zones(self) -> dict[str, str]:
@@ -222,7 +222,11 @@
         self.flush(urgent=True)
 
     def leaving(self, runner: Runner) -> None:
-        """Report that a runner announced that it leaves, unless a peer or the store reported it."""
+        """Report that a runner announced that it leaves.
+
+        Nothing is sent if the store lists it as draining, or if a peer or this node reported it
+        within the last ``HINT_AGAIN_SECONDS``.
+        """
         now = self._clock()
         if runner.entry.draining or now < runner.leave_hinted_at + HINT_AGAIN_SECONDS:
             return
@@ -282,7 +286,8 @@
     async def run(self) -> None:
         """Repeat this node's loads periodically, until cancelled.
 
-        The first notice is sent as soon as the peers are known; they answer with the cached parts.
+        The first notice is sent when the first read of the store has succeeded or failed, or after
+        a bounded wait; the peers that receive it answer with the cached parts.
         """
         await self._state.start_gate.wait_for_first_read()
         while True:
