--- a/tests/fleet/test_cache_follower.py
+++ b/tests/fleet/test_cache_follower.py
@@ -135,7 +135,7 @@
     scheduler.close()
 
 
-def test_a_node_that_starts_learns_what_is_kept_already(bench: Bench) -> None:
+def test_a_node_that_starts_reads_the_existing_cache_contents(bench: Bench) -> None:
     # Guards against a restart of all nodes that loses the cache estimates (seen in Tampere
     # trouble-1: of 237,000 tokens whose prefill was repeated, 186,000 were prefilled after such a
     # restart).
@@ -377,7 +377,7 @@
     scheduler.close()
 
 
-def test_a_save_that_never_came_is_forgotten_by_all(bench: Bench) -> None:
+def test_a_save_that_was_never_made_is_removed_and_reported(bench: Bench) -> None:
     # A store skips a save that would have to wait for too long. Without the correction each fetch
     # of the part missed (seen in zamudio-reg scale-1).
     bench.run(1.0)
--- a/tests/fleet/test_crash_bound.py
+++ b/tests/fleet/test_crash_bound.py
@@ -57,7 +57,7 @@
     ],
 )
 @pytest.mark.parametrize("seed", [1, 2])
-def test_no_more_than_three_sends_come_later_than_the_third_crash(
+def test_at_most_three_sends_follow_the_third_crash(
     nodes: int, runners: int, fatal: int, vary: Variation, seed: int
 ) -> None:
     traffic = CrashTraffic(World(runners, nodes), seed, fatal, vary)
@@ -67,9 +67,7 @@
 
 @pytest.mark.parametrize("pause", [0.7, 4.0, 13.0])
 @pytest.mark.parametrize("vary", [identical_tries, other_query])
-def test_tries_at_all_nodes_at_the_same_moment_are_bounded_too(
-    vary: Variation, pause: float
-) -> None:
+def test_simultaneous_tries_at_all_nodes_are_bounded(vary: Variation, pause: float) -> None:
     world = World(40, 6)
     body = b"fatal 1"
     for number in range(20):
@@ -137,7 +135,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_callers_that_leave_before_the_crash_hide_nothing(seed: int) -> None:
+def test_crashes_after_the_caller_left_are_counted(seed: int) -> None:
     world = World(6, 4)
     world.runners.continues_abandoned_runs = True
     traffic = CrashTraffic(world, seed, 2, leaves_after_seconds=0.1)
@@ -252,7 +250,7 @@
     assert [crash.runner_id for crash in node.state.runner_crashes.crashes()] == ends[1:]
 
 
-def test_nodes_that_left_runs_at_one_end_answer_no_notice_with_a_notice() -> None:
+def test_nodes_with_abandoned_runs_do_not_answer_notices_endlessly() -> None:
     world = World(2, 2)
     world.runners.continues_abandoned_runs = True
     tries = [world.send(f"node-{number % 2}", b"long %d" % number) for number in range(160)]
--- a/tests/fleet/test_limit_network.py
+++ b/tests/fleet/test_limit_network.py
@@ -166,7 +166,7 @@
     assert_never_above(traffic)
 
 
-def test_nodes_that_know_no_others_yet_let_nothing_pass(network: NodeNetwork) -> None:
+def test_nodes_that_do_not_know_the_others_yet_admit_nothing(network: NodeNetwork) -> None:
     network.store.down_for = None
     zones = {node_id: node.zone for node_id, node in network.nodes.items()}
     for node_id, zone in zones.items():
@@ -178,7 +178,7 @@
     assert not any(tenant.record.ran for tenant in traffic)
 
 
-def test_a_node_that_was_the_first_to_start_counts_those_it_hears_of_in_an_outage() -> None:
+def test_the_first_node_counts_peers_that_start_during_an_outage() -> None:
     # Guards against a node that counts itself as the only one (seen in a soak, seed 102): three
     # nodes started together, the store became unavailable at once, and the first node had read a
     # directory that listed only itself. It admitted the whole rate, the others a third each: 126
@@ -294,7 +294,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_mix_of_faults_lets_more_pass_than_is_allowed(seed: int) -> None:
+def test_random_faults_never_admit_more_than_allowed(seed: int) -> None:
     """Nodes are partitioned, paused, killed and healed at random; all are killed at most once."""
     rng = Random(seed)
     network = make_network(own_loops=True, loss=rng.choice((0.0, 0.02, 0.05)))
@@ -334,7 +334,7 @@
             node.loop.frozen = False
 
 
-def test_nodes_that_start_together_right_before_an_outage_share_the_limits() -> None:
+def test_nodes_that_start_together_just_before_an_outage_share_the_limits() -> None:
     """All nodes read the store before any of them is listed there; then the store refuses calls.
 
     Guards against each node using the whole limit (seen in a soak with an outage of the store from
@@ -354,7 +354,7 @@
 
 @pytest.mark.parametrize("away_from", [0.002, 0.006, 0.01, 0.014, 0.02, 0.03, 0.05, 0.1])
 @pytest.mark.parametrize("start_spread", [0.0, 0.02, 0.1])
-def test_whenever_an_outage_begins_the_parts_of_all_nodes_are_no_more_than_the_whole(
+def test_the_shares_of_all_nodes_never_exceed_the_whole_in_an_outage(
     away_from: float, start_spread: float
 ) -> None:
     """A node without an entry in the store, or without a read after it, has no share until then."""
--- a/tests/fleet/test_pipeline.py
+++ b/tests/fleet/test_pipeline.py
@@ -170,7 +170,7 @@
     assert assert_rejected(error, Verdict.UNAVAILABLE).retry_after is not None
 
 
-def test_stale_knowledge_refuses_keys_but_not_public_routes() -> None:
+def test_stale_configuration_refuses_keys_but_not_public_routes() -> None:
     bench = make_bench(i_1=answers(b"x"))
     bench.state.table = make_table(
         make_route(), make_route(prefix="/open/", public=True), version=2
@@ -182,7 +182,7 @@
     assert error is None and sink.status == 200
 
 
-def test_a_stopping_node_refuses_at_once() -> None:
+def test_a_stopping_node_refuses_immediately() -> None:
     bench = make_bench(i_1=answers(b"x"))
     bench.pipeline.stop_accepting()
     _, error = bench.serve(make_request())
@@ -339,7 +339,7 @@
 
 
 @pytest.mark.parametrize("work_seconds", [0.45, 0.9])
-def test_ordinary_work_of_an_application_server_is_not_broken_off(work_seconds: float) -> None:
+def test_ordinary_work_of_an_application_server_is_not_aborted(work_seconds: float) -> None:
     # inc-8f26: attempts counted as overdue after 0.4 s, but ordinary work takes up to 0.45 s.
     bench = make_bench(
         i_1=answers_after(work_seconds, b"a"), i_22=answers_after(work_seconds, b"b")
@@ -361,7 +361,7 @@
         assert error is None and sink.body == b"b"
 
 
-def test_a_silent_stream_goes_on_where_no_further_attempt_is_allowed() -> None:
+def test_a_silent_stream_continues_if_no_further_attempt_is_allowed() -> None:
     bench = make_stream_bench(i_1=answers(EVENTS[0], 2.0, EVENTS[1], EVENTS[2]))
     bench.state.budget = SharedRetryBudget(0.0, 0.0, 10.0)
     sink, error = bench.serve(stream_request())
@@ -393,7 +393,7 @@
     return behave
 
 
-def test_a_stream_whose_own_connection_is_silent_goes_on_elsewhere() -> None:
+def test_a_stream_with_a_silent_connection_is_resumed_at_another_runner() -> None:
     # The runner sends bytes over other connections, so the runner itself isn't silent.
     behave = first_then(answers(EVENTS[0], 100.0), answers(*EVENTS[1:]))
     bench = make_stream_bench(i_1=behave, i_22=behave)
@@ -442,7 +442,7 @@
     assert (sink.body, sink.finished) == (whole, True)
 
 
-def test_a_broken_stream_goes_on_at_another_runner_under_one_head() -> None:
+def test_a_broken_stream_is_resumed_at_another_runner_under_one_head() -> None:
     bench = make_stream_bench(
         i_1=answers(EVENTS[0], EVENTS[1][:4], RESET), i_22=answers(EVENTS[0], EVENTS[1][:4], RESET)
     )
@@ -509,7 +509,7 @@
     assert dispatch.salt == f"shared|{MODEL}|1"
 
 
-def test_isolated_tenants_have_a_salt_of_their_own() -> None:
+def test_isolated_tenants_have_separate_salts() -> None:
     bench = make_stream_bench(i_1=answers(*EVENTS))
     route = make_route(RouteKind.STREAM, prefix="/gen/", service=ENGINES)
     keys = {KEY: TenantEntry("tenant-1", isolated=True)}
@@ -543,7 +543,7 @@
     assert not bench.client.dispatches
 
 
-def test_a_request_that_waits_until_newer_weights_are_due_is_taken_back() -> None:
+def test_an_attempt_is_cancelled_when_newer_weights_are_due() -> None:
     bench = make_stream_bench(resumable=False, i_1=hangs())
     bench.state.apply(WeightsNamed(MODEL, 2), -5.0)
     _, error = bench.serve(stream_request(), within=2.7)
@@ -590,7 +590,7 @@
     return index.matched_tokens(notice.runner_id, notice.salt, notice.prompt_parts(), at)
 
 
-def test_what_a_peer_has_sent_is_a_source_only_once_it_is_read() -> None:
+def test_a_peers_prompt_can_be_fetched_only_once_it_is_prefilled() -> None:
     # F17: the expected time was reported but not used, so fetches came too early and missed.
     bench = make_stream_bench(i_1=answers(*EVENTS))
     notice = PlacementNotice("i-1", "salt", [("shared", 2_000)], 2_500, delay_ms=400, number=7)
@@ -660,7 +660,7 @@
     assert stored_tokens(bench, second, 11.5, 12.5, 12.7) == [0, 0, 10_000]
 
 
-def test_shared_parts_are_saved_once_and_a_prompts_own_part_never() -> None:
+def test_shared_parts_are_saved_once_and_the_last_part_never() -> None:
     bench = make_store_bench()
     parts = (("shared", 2_000), ("own", 500))
     for number in (1, 2):
@@ -847,7 +847,7 @@
     assert error is None and sink.finished
 
 
-def test_a_long_prompt_is_not_refused_for_its_own_work() -> None:
+def test_a_long_prompt_is_not_refused_for_its_own_prefill() -> None:
     # Lagos scale-1: only 0.39 of the largest tenth of prompts were served, but 0.91 of all.
     bench = make_stream_bench(i_1=answers(*EVENTS))
     request = make_request("/gen/x", parts=(("shared", 50), ("own", 60_000)))
--- a/tests/fleet/test_rollout_observer.py
+++ b/tests/fleet/test_rollout_observer.py
@@ -373,7 +373,7 @@
         return evidence.totals()
 
 
-def test_a_node_that_starts_late_learns_the_orders_age_from_one_that_saw_it() -> None:
+def test_a_node_that_starts_late_learns_the_age_of_the_order_from_a_peer() -> None:
     """The record alone gives the age of the order only as of when the record was written.
 
     If each newly started lease holder writes that age again, the age does not advance: with holders
--- a/tests/fleet/test_software_rollout_duty.py
+++ b/tests/fleet/test_software_rollout_duty.py
@@ -378,7 +378,7 @@
     assert bench.store.statuses[-1][0] <= ordered_at + OVER_SECONDS + 3.0 + MARGIN_SECONDS
 
 
-def test_holders_that_are_replaced_again_and_again_keep_the_deadline(bench: RolloutBench) -> None:
+def test_repeatedly_replaced_holders_keep_the_deadline(bench: RolloutBench) -> None:
     """A node that received the order keeps running, and only reports the age of the order."""
     bench.has_requests = False
     order = bench.order()
--- a/tests/fleet/test_start.py
+++ b/tests/fleet/test_start.py
@@ -63,7 +63,7 @@
 }
 
 
-def test_a_node_is_held_to_bounds_from_the_start_of_its_process(tmp_path: Path) -> None:
+def test_time_bounds_count_from_the_start_of_the_process(tmp_path: Path) -> None:
     # Guards against counting from the end of loading the libraries: weights that were announced
     # before the start would be due up to a second later on a busy machine, but the bound leaves
     # only 0.4 s.
@@ -206,7 +206,7 @@
     scheduler.close()
 
 
-def test_prompts_wait_until_it_is_known_what_all_holders_keep() -> None:
+def test_prompts_wait_until_the_contents_of_all_holders_are_known() -> None:
     # Guards against placing prompts before the caches are known (seen in zamudio-reg scale-2, seed
     # 7: 60 prompts right after a start of all nodes).
     gate = StartGate()
@@ -246,7 +246,7 @@
     assert times.phases(10.4) == {"listening": 0.05, "loaded": 0.3, "started": 0.4}
 
 
-def test_a_request_that_comes_while_a_node_loads_its_libraries_is_served(tmp_path: Path) -> None:
+def test_a_request_that_arrives_while_a_node_loads_its_libraries_is_served(tmp_path: Path) -> None:
     async def main() -> None:
         async with deployment(tmp_path) as running:
             await running.add_runner("i-1")
--- a/tests/fleet/test_weights_rollout_duty.py
+++ b/tests/fleet/test_weights_rollout_duty.py
@@ -242,7 +242,7 @@
     return bench.runners.orders[0][0] - named_at
 
 
-def test_a_runner_loads_once_the_prefills_at_it_are_done() -> None:
+def test_a_runner_is_ordered_after_its_prefills_are_done() -> None:
     # Guards against an order during prefills: the load evicted prompts of 10,000 tokens and more,
     # whose prefill had to be repeated (seen in Lagos quiet-1).
     assert order_delay_during_prefills(1.0) >= 1.0
@@ -335,7 +335,7 @@
     bench.scheduler.close()
 
 
-def test_a_holder_waits_for_runners_that_another_ordered_lately() -> None:
+def test_a_holder_waits_for_runners_that_a_peer_ordered_recently() -> None:
     bench = Bench()
     node = bench.add_node("node-1")
     bench.run(4.0)
@@ -352,7 +352,7 @@
     bench.scheduler.close()
 
 
-def test_a_fence_that_was_refused_is_used_no_more() -> None:
+def test_a_refused_fence_is_not_used_again() -> None:
     bench = Bench()
     node = bench.add_node("node-1")
     bench.scheduler.run_until(HOLDER_GAP + 1.0)
@@ -385,7 +385,7 @@
     bench.scheduler.close()
 
 
-def test_a_stop_does_not_wait_for_a_store_that_is_silent() -> None:
+def test_a_planned_stop_does_not_wait_for_a_silent_store() -> None:
     # A process has 0.7 s to stop after its last request is answered, but a store call may take 1.5
     # s.
     bench = Bench()
