--- a/src/hillstack/core/local_outcomes.py
+++ b/src/hillstack/core/local_outcomes.py
@@ -77,11 +77,14 @@
             self._count(self._pending.popleft()[0])
 
     def settle(self, now: float, excused: Set[str] = frozenset()) -> list[AttemptOutcome]:
-        """Decide attempts broken before the last ``DISCONNECT_WINDOW_SECONDS``; return the counted.
+        """Decide the attempts that broke at least ``DISCONNECT_WINDOW_SECONDS`` ago.
 
         Args:
             now: Time on the clock of ``add``.
             excused: Runners whose crash is not attributed to their version.
+
+        Returns:
+            The outcomes that count, in the order in which the attempts broke.
         """
         counted = []
         while self._pending and now - self._pending[0][1] >= DISCONNECT_WINDOW_SECONDS:
@@ -109,7 +112,7 @@
         ]
 
     def _was_network_failure(self, at: float) -> bool:
-        """Return whether a time had broken connections to enough runners, of several versions."""
+        """Return whether attempts at enough runners, of several versions, broke at about a time."""
         around = [
             outcome
             for outcome, other_at in (*self._decided, *self._pending)
--- a/tests/fleet/test_pipeline.py
+++ b/tests/fleet/test_pipeline.py
@@ -591,7 +591,8 @@
 
 
 def test_a_peers_prompt_can_be_fetched_only_once_it_is_prefilled() -> None:
-    # F17: the expected time was reported but not used, so fetches came too early and missed.
+    # Guards against fetches that come too early and find parts missing: the expected time of the
+    # prefill was reported but not used.
     bench = make_stream_bench(i_1=answers(*EVENTS))
     notice = PlacementNotice("i-1", "salt", [("shared", 2_000)], 2_500, delay_ms=400, number=7)
     bench.placement.observe_placement("node-2", notice, 10.0)
