--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,4 +1,4 @@
-"""Starts a deployment on loopback, drives real load through it and prints what came of it."""
+"""Starts a deployment on loopback, sends load through it and prints the results."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def drive(fleet: LocalFleet, deployment: str, seconds: float) -> LoadResult:
-    """Drive the load and return the result."""
+    """Send the load of a deployment and return the result."""
     plan = LoadPlan(
         routers=[router.callers for router in fleet.routers],
         tokens={tenant: fleet.token(tenant) for tenant in fleet.plan["tenants"]},
@@ -62,17 +62,19 @@
 
 
 def check_and_collect(fleet: LocalFleet, result: LoadResult) -> float:
-    """Check bookings against executions and return the share of prefill done again."""
+    """Verify bookings against executions; return the share of blocks prefilled more than once."""
     keys = []
     for name in fleet.application_ids():
         executions = get_json(fleet.addresses[name], "/emulator/executions") or []
         keys += [entry["key"] for entry in executions if entry["method"] == "POST"]
     check_executions(result, keys)
     prefilled = recomputed = 0
-    pages = [get_json(fleet.addresses[name], "/emulator/prefills") for name in fleet.engine_ids()]
+    counts_by_engine = [
+        get_json(fleet.addresses[name], "/emulator/prefills") for name in fleet.engine_ids()
+    ]
     seen: set[int] = set()
-    for page in pages:
-        for block, count in page or []:
+    for counts in counts_by_engine:
+        for block, count in counts or []:
             prefilled += count
             recomputed += count - (block not in seen)
             seen.add(block)
--- a/tools/first_try.py
+++ b/tools/first_try.py
@@ -1,12 +1,13 @@
-"""In-time answers counted from callers' first try, by kind of request, before and after a change.
+"""Compares answers in time, counted from callers' first try, before and after a change.
 
-Reads what ``fleetbench run ... --report FILE`` writes. Its column ``in_aim`` counts a request once,
-whatever its tries, and none that was refused and was in time only from its second try on. Such a
-request earns a part of its credit: were it counted there, the credit of its kind would be less
-than what ``in_aim`` and ``late`` earn. In each of 48 rows of kinds without sizes (24 plays) it is
-that or more.
+It reads the reports that ``fleetbench run ... --report FILE`` writes and prints a row for each kind
+of request. The column ``in_aim`` of a report counts a request once, however often it was tried. It
+leaves out a request that was refused first and was in time only when measured from a later try.
+Such a request earns only a part of its credit. If ``in_aim`` counted it, the credit of its kind
+would be less than ``in_aim`` and ``late`` earn; in all 48 rows of kinds without sizes (24 plays),
+the credit is equal or higher.
 
-Reports of one side are added up, so that each side may hold several days and seeds.
+The reports of each side are summed, so that a side may cover several days and seeds.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 
 
 class KindOfRequest(msgspec.Struct):
-    """A row of a report.
+    """A row of a report: the counts of one kind of request.
 
     Attributes:
         n: Requests of callers.
-        in_aim: Those answered in time, counted from the first try.
-        not_owed: Those that count for nothing.
+        in_aim: Requests answered in time, counted from the first try.
+        not_owed: Requests that are not scored.
     """
 
     name: str
@@ -38,14 +39,14 @@
 
 
 class Report(msgspec.Struct):
-    """What is read of a report."""
+    """The part of a report that is read."""
 
     classes: list[KindOfRequest]
 
 
 @dataclass(slots=True)
 class Tally:
-    """Requests of one kind in several reports."""
+    """Sums of the counts of one kind of request over several reports."""
 
     owed: int = 0
     in_time: int = 0
@@ -54,7 +55,7 @@
     failed: int = 0
 
     def add(self, row: KindOfRequest) -> None:
-        """Add a row of a report."""
+        """Add the counts of a report's row."""
         self.owed += row.n - row.not_owed
         self.in_time += row.in_aim
         self.late += row.late
@@ -62,12 +63,12 @@
         self.failed += row.failed
 
     def share(self) -> float:
-        """Return the share of owed requests that were in time from the first try."""
+        """Return the share of the scored requests that were answered in time from the first try."""
         return self.in_time / self.owed if self.owed else 0.0
 
 
 def tally(reports: Iterable[Report]) -> dict[str, Tally]:
-    """Return the requests of each kind in all reports together."""
+    """Sum the counts of all reports by kind of request."""
     tallies: dict[str, Tally] = {}
     for report in reports:
         for row in report.classes:
@@ -76,7 +77,7 @@
 
 
 def table(before: dict[str, Tally], after: dict[str, Tally]) -> list[str]:
-    """Return the lines that compare two sides."""
+    """Return the lines of a table that compares both sides."""
     titles = ("owed", 12), ("in time", 15), ("late", 11), ("refused", 11), ("failed", 11)
     lines = [f"{'kind':20} " + " ".join(f"{title:>{width}}" for title, width in titles)]
     for name, old in before.items():
@@ -94,7 +95,7 @@
 
 
 def main() -> None:
-    """Print the table of the reports that are named."""
+    """Print the table for the reports named on the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--before", nargs="+", type=Path, required=True)
     parser.add_argument("--after", nargs="+", type=Path, required=True)
--- a/tools/local_fleet.py
+++ b/tools/local_fleet.py
@@ -1,4 +1,4 @@
-"""Starts a whole deployment as processes on loopback, for the demonstration and the tests."""
+"""Starts a complete deployment as local processes, for the demonstration and for tests."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 
 class FleetError(Exception):
-    """A process of the fleet did not do what it should."""
+    """A process of the deployment failed or did not reach the expected state in time."""
 
 
 @dataclass(slots=True)
 class ManagedProcess:
-    """A process and the file with its standard error."""
+    """A child process whose standard error goes to a log file."""
 
     name: str
     command: list[str]
@@ -43,26 +43,26 @@
     process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start it."""
+        """Start the process."""
         with self.log_path.open("ab") as log:
             self.process = subprocess.Popen(
                 self.command, stdout=subprocess.DEVNULL, stderr=log, stdin=subprocess.DEVNULL
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal, if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill it and wait for its end."""
+        """Kill the process, even if it is stopped, and wait until it has ended."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         if self.process is not None:
             self.process.wait()
 
     def stop(self) -> int:
-        """Stop it as planned and return its exit code."""
+        """Stop the process with SIGTERM and return its exit code."""
         self.signal(signal.SIGTERM)
         assert self.process is not None
         try:
@@ -72,17 +72,17 @@
             raise FleetError(f"{self.name} did not stop:\n{self.tail()}") from error
 
     def is_running(self) -> bool:
-        """Return whether it runs."""
+        """Return whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
     def tail(self) -> str:
-        """Return the end of its log."""
+        """Return the end of the log."""
         return self.log_path.read_text(errors="replace")[-2_000:]
 
 
 @dataclass(slots=True)
 class RouterHandle:
-    """A router of the fleet."""
+    """A router: its zone, addresses, settings file and process."""
 
     zone: str
     callers: str
@@ -93,13 +93,14 @@
 
 @dataclass(slots=True)
 class LocalFleet:
-    """A deployment on loopback.
+    """A deployment on loopback; a context manager that starts and stops the processes.
 
     Args:
         deployment: Folder below ``deploy/``.
-        engines: Number of engines; the deployment's own when None.
-        front: Returns the address that the machine list names for a back end, given its name and
-            its own address; a proxy can stand between.
+        engines: Number of engines; None for the number in the deployment's plan.
+        overrides: Settings that all routers get with ``--set``.
+        front: Returns the address that the machine list gives for a back end, from its name and its
+            real address. A test can return the address of a proxy.
     """
 
     deployment: str
@@ -133,7 +134,7 @@
         self.close()
 
     def close(self) -> None:
-        """Kill all that still runs and remove the files."""
+        """Kill all running processes and remove their files."""
         for process in self.processes.values():
             process.kill()
         self._temporary.cleanup()
@@ -143,7 +144,7 @@
         return demo_token(tenant)
 
     def cli(self, *arguments: str, check: bool = True) -> subprocess.CompletedProcess[str]:
-        """Run the operator's command line."""
+        """Run the ``hillstack`` command line."""
         command = [sys.executable, "-m", "hillstack", *arguments]
         done = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
         if check and done.returncode != 0:
@@ -159,7 +160,7 @@
         return [name for name in self.processes if name.startswith("application-")]
 
     def rollout(self, bundle_path: Path, *, wait: bool = True) -> subprocess.CompletedProcess[str]:
-        """Sign a bundle by all partners and roll it out."""
+        """Sign a bundle with the keys of all partners and roll it out."""
         signed = self.sign(bundle_path)
         arguments = ["bundle", "rollout", str(signed), "--keyset", str(self.keyset_path)]
         arguments += ["--platform", self.platform, "--output", "json"]
@@ -168,7 +169,7 @@
         return self.cli(*arguments, check=False)
 
     def sign(self, bundle_path: Path) -> Path:
-        """Sign a bundle by all partners and return the signed file."""
+        """Sign a bundle with the keys of all partners; return the path of the signed file."""
         signed = bundle_path.with_suffix(".signed.json")
         for partner, key in self.private_keys.items():
             arguments = ["bundle", "sign", str(bundle_path), "--signed", str(signed)]
@@ -176,11 +177,11 @@
         return signed
 
     def wait_ready(self, routers: list[RouterHandle] | None = None) -> None:
-        """Wait until routers are ready and see all back ends and each other."""
+        """Wait until routers are ready and know all running back ends and each other."""
         for router in routers or self.routers:
-            wait_until(lambda r=router: self._sees_all(r), f"{router.zone} ready", self.processes)
+            wait_until(lambda r=router: self._knows_all(r), f"{router.zone} ready", self.processes)
 
-    def _sees_all(self, router: RouterHandle) -> bool:
+    def _knows_all(self, router: RouterHandle) -> bool:
         status = get_json(router.callers, "/status")
         if status is None or not status["ready"]:
             return False
@@ -330,7 +331,7 @@
 
 
 def get_json(address: str, path: str) -> Any:
-    """Return a JSON page, or None when it can't be read."""
+    """Return the content of a JSON page, or None if it cannot be read."""
     try:
         with urllib.request.urlopen(f"http://{address}{path}", timeout=5) as response:
             return json.loads(response.read())
@@ -339,7 +340,7 @@
 
 
 def post_json(address: str, path: str, content: object) -> Any:
-    """Post JSON and return the JSON answer."""
+    """Send JSON with POST and return the content of the JSON answer."""
     request = urllib.request.Request(
         f"http://{address}{path}",
         data=json.dumps(content).encode(),
@@ -351,12 +352,12 @@
 
 
 def wait_until(
-    condition: Any, what: str, processes: dict[str, ManagedProcess] | None = None
+    condition: Any, condition_name: str, processes: dict[str, ManagedProcess] | None = None
 ) -> None:
     """Wait until a condition holds.
 
     Raises:
-        FleetError: It did not hold within a generous limit.
+        FleetError: The condition did not hold within ``START_LIMIT_SECONDS``.
     """
     deadline = time.monotonic() + START_LIMIT_SECONDS
     while time.monotonic() < deadline:
@@ -364,7 +365,7 @@
             return
         time.sleep(POLL_SECONDS)
     logs = "\n".join(f"{name}: {p.tail()[-400:]}" for name, p in (processes or {}).items())
-    raise FleetError(f"not reached: {what}\n{logs}")
+    raise FleetError(f"timed out waiting for: {condition_name}\n{logs}")
 
 
 def _toml_entry(entry: dict[str, str]) -> str:
--- a/tools/make_configuration_page.py
+++ b/tools/make_configuration_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/CONFIGURATION.md from the schemas, so that the page cannot go out of date."""
+"""Generates docs/CONFIGURATION.md from the schemas; a test checks that the page is up to date."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from hillstack.simulation.experiment_config import ExperimentConfig
 
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "CONFIGURATION.md"
-# Sections of a node of the fleet whose keys the operator names.
+# Sections in the settings of a fleet's node whose keys the operator chooses.
 NAMED_MAPS = {"zones": "Region of each zone; none where a deployment has one region only."}
-BUNDLE_PARTS: tuple[type[BaseModel], ...] = (
+BUNDLE_MODELS: tuple[type[BaseModel], ...] = (
     bundle.Bundle,
     bundle.Partner,
     bundle.Tenant,
@@ -64,7 +64,7 @@
 
 
 def render() -> str:
-    """Return the page."""
+    """Return the text of the page."""
     parts = [INTRODUCTION, "## Settings of a router\n"]
     for name, field in RouterSettings.model_fields.items():
         section = field.annotation
@@ -77,22 +77,24 @@
         else:
             parts.append(_struct_section(entry.name, entry.type))
     parts.append("## Bundle\n")
-    parts += [_part(kind) for kind in BUNDLE_PARTS]
+    parts += [_model_section(kind) for kind in BUNDLE_MODELS]
     parts.append("## Experiment\n")
-    parts.append(_part(ExperimentConfig))
+    parts.append(_model_section(ExperimentConfig))
     return "\n".join(parts)
 
 
 def _struct_section(name: str, kind: type[msgspec.Struct]) -> str:
-    """Return the table of a section whose keys are described in its doc comment."""
+    """Return a section whose keys are documented in the doc comment of its struct."""
     meanings = _attribute_texts(kind)
     lines = ["| key | type | default | meaning |", "|---|---|---|---|"]
     for entry in msgspec.structs.fields(kind):
         default = "required" if entry.required else f"`{entry.default}`"
-        plain = (get_args(entry.type) or (entry.type,))[0]
-        plain = (get_args(plain) or (plain,))[0]
-        shown = type(plain).__name__ if isinstance(plain, str) else plain.__name__
-        lines.append(f"| `{entry.name}` | `{shown}` | {default} | {meanings[entry.name]} |")
+        member_type = (get_args(entry.type) or (entry.type,))[0]
+        member_type = (get_args(member_type) or (member_type,))[0]
+        type_name = (
+            type(member_type).__name__ if isinstance(member_type, str) else member_type.__name__
+        )
+        lines.append(f"| `{entry.name}` | `{type_name}` | {default} | {meanings[entry.name]} |")
     return f"### `[{name}]` (fleet)\n\n{_summary(kind)}\n\n" + "\n".join(lines) + "\n"
 
 
@@ -105,7 +107,7 @@
     return texts
 
 
-def _part(kind: type[BaseModel]) -> str:
+def _model_section(kind: type[BaseModel]) -> str:
     text = inspect.cleandoc(kind.__doc__ or "")
     for heading in ("Args:", "Attributes:"):
         text = text.replace(f"{heading}\n", "\n")
@@ -131,8 +133,8 @@
     text = annotation.__name__ if isinstance(annotation, type) else str(annotation)
     if text.startswith("tuple") or "[" in str(annotation):
         text = str(annotation)
-    for noise in ("typing.", "hillstack.config.bundle.", "hillstack.config.settings."):
-        text = text.replace(noise, "")
+    for prefix in ("typing.", "hillstack.config.bundle.", "hillstack.config.settings."):
+        text = text.replace(prefix, "")
     if "Annotated[" in text:
         text = text.split("Annotated[", 1)[0] + "str" + ", ...]" * text.startswith("tuple")
     return f"`{text}`".replace("|", "or")
--- a/tools/make_deployments.py
+++ b/tools/make_deployments.py
@@ -1,4 +1,4 @@
-"""Writes the bundles and example settings below ``deploy/`` from the sizes of the deployments."""
+"""Generates bundles, example settings, fleet plans and experiments below ``deploy/``."""
 
 from __future__ import annotations
 
@@ -74,18 +74,18 @@
 
 
 def demo_token(tenant: str) -> str:
-    """Return the bearer token of a tenant in the demonstration; never use it elsewhere."""
+    """Return the bearer token of a tenant in the demonstration; unsafe anywhere else."""
     return f"demo-key-{tenant}"
 
 
-def bundle_of(sizes: dict[str, Any]) -> dict[str, Any]:
+def make_bundle(deployment: dict[str, Any]) -> dict[str, Any]:
     """Return the first bundle of a deployment."""
     return {
         "version": 1,
-        "deployment": sizes["name"],
-        "zones": sizes["zones"],
+        "deployment": deployment["name"],
+        "zones": deployment["zones"],
         "block_tokens": 1000,
-        "partners": [{"name": name, "share": share} for name, share in sizes["partners"]],
+        "partners": [{"name": name, "share": share} for name, share in deployment["partners"]],
         "tenants": [
             {
                 "name": name,
@@ -93,18 +93,20 @@
                 "weight": weight,
                 "key_hash": hashlib.sha256(demo_token(name).encode()).hexdigest(),
             }
-            for name, partner, weight in sizes["tenants"]
+            for name, partner, weight in deployment["tenants"]
+        ],
+        "models": [
+            {"name": deployment["model"], "pool": deployment["engine_pool"], "weights_version": 1}
         ],
-        "models": [{"name": sizes["model"], "pool": sizes["engine_pool"], "weights_version": 1}],
         "pools": [
             {
-                "name": sizes["engine_pool"],
+                "name": deployment["engine_pool"],
                 "kind": "engine",
-                "max_concurrent_loads": sizes["max_loads"],
+                "max_concurrent_loads": deployment["max_loads"],
                 "prefill_tokens_per_second": 40000.0,
                 "max_running": 32,
             },
-            {"name": sizes["application_pool"], "kind": "application"},
+            {"name": deployment["application_pool"], "kind": "application"},
         ],
         "priorities": [
             {"name": "urgent", "level": 0, "urgent": True},
@@ -116,26 +118,28 @@
                 "name": name,
                 "method": method,
                 "path": path,
-                "pool": sizes["application_pool"],
+                "pool": deployment["application_pool"],
                 "repeatable": repeatable,
                 "priority": priority,
             }
-            for name, method, path, repeatable, priority in sizes["routes"]
+            for name, method, path, repeatable, priority in deployment["routes"]
         ],
-        "routing": sizes["routing"],
+        "routing": deployment["routing"],
     }
 
 
-def settings_of(sizes: dict[str, Any], number: int) -> str:
-    """Return example settings of the router in one zone."""
-    zone = sizes["zones"][number]
-    seeds = [f'"10.0.{other}.10:7100"' for other in range(len(sizes["zones"])) if other != number]
-    keys = "\n".join(f'"{name}" = "{"0" * 64}"' for name, _ in sizes["partners"])
+def make_settings(deployment: dict[str, Any], number: int) -> str:
+    """Return example settings of the router in the zone with this number."""
+    zone = deployment["zones"][number]
+    seeds = [
+        f'"10.0.{other}.10:7100"' for other in range(len(deployment["zones"])) if other != number
+    ]
+    keys = "\n".join(f'"{name}" = "{"0" * 64}"' for name, _ in deployment["partners"])
     return f"""# Example settings of the router in zone {zone}. Replace all keys and addresses.
 
 [node]
 id = "router-{zone}-1"
-region = "{sizes["name"]}"
+region = "{deployment["name"]}"
 zone = "{zone}"
 
 [listen]
@@ -152,35 +156,37 @@
 
 [trust]
 version = 1
-threshold = {len(sizes["partners"])}
+threshold = {len(deployment["partners"])}
 
 [trust.keys]
 {keys}
 """
 
 
-def fleet_of(sizes: dict[str, Any]) -> dict[str, Any]:
-    """Return what the local demonstration starts."""
+def make_fleet_plan(deployment: dict[str, Any]) -> dict[str, Any]:
+    """Return the plan of the processes that the local demonstration starts."""
     return {
-        "zones": sizes["zones"],
-        "model": sizes["model"],
-        "engine_pool": sizes["engine_pool"],
-        "engines": sizes["engines"],
-        "application_pool": sizes["application_pool"],
-        "applications": sizes["applications"],
-        "tenants": [name for name, _, _ in sizes["tenants"]],
-        "booking_path": next(r[2] for r in sizes["routes"] if not r[3]),
-        "lookup_path": next(r[2] for r in sizes["routes"] if r[3]),
+        "zones": deployment["zones"],
+        "model": deployment["model"],
+        "engine_pool": deployment["engine_pool"],
+        "engines": deployment["engines"],
+        "application_pool": deployment["application_pool"],
+        "applications": deployment["applications"],
+        "tenants": [name for name, _, _ in deployment["tenants"]],
+        "booking_path": next(r[2] for r in deployment["routes"] if not r[3]),
+        "lookup_path": next(r[2] for r in deployment["routes"] if r[3]),
     }
 
 
-def experiment_of(sizes: dict[str, Any], delays: tuple[float, float]) -> str:
-    """Return the experiment of a deployment; the routing is the bundle's."""
-    routing = "\n".join(f"{key} = {json.dumps(value)}" for key, value in sizes["routing"].items())
-    return f"""# Routing of the {sizes["name"]} deployment, measured in virtual time.
+def make_experiment(deployment: dict[str, Any], delays: tuple[float, float]) -> str:
+    """Return the experiment of a deployment, with the routing settings of its bundle."""
+    routing = "\n".join(
+        f"{key} = {json.dumps(value)}" for key, value in deployment["routing"].items()
+    )
+    return f"""# Routing of the {deployment["name"]} deployment, measured in virtual time.
 
-deployment = "{sizes["name"]}"
-engines = {sizes["engines"]}
+deployment = "{deployment["name"]}"
+engines = {deployment["engines"]}
 zone_delay = {delays[0]}
 client_delay = {delays[1]}
 
@@ -190,15 +196,15 @@
 
 
 def main() -> None:
-    """Write all files."""
-    for sizes, delays in ((TAMPERE, (0.0015, 0.003)), (LAGOS, (0.001, 0.001))):
-        folder = ROOT / sizes["name"]
+    """Write the files of both deployments."""
+    for deployment, delays in ((TAMPERE, (0.0015, 0.003)), (LAGOS, (0.001, 0.001))):
+        folder = ROOT / deployment["name"]
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / "bundle.json").write_text(json.dumps(bundle_of(sizes), indent=2) + "\n")
-        (folder / "fleet.json").write_text(json.dumps(fleet_of(sizes), indent=2) + "\n")
-        (folder / "experiment.toml").write_text(experiment_of(sizes, delays))
-        for number, zone in enumerate(sizes["zones"]):
-            (folder / f"router-{zone}.toml").write_text(settings_of(sizes, number))
+        (folder / "bundle.json").write_text(json.dumps(make_bundle(deployment), indent=2) + "\n")
+        (folder / "fleet.json").write_text(json.dumps(make_fleet_plan(deployment), indent=2) + "\n")
+        (folder / "experiment.toml").write_text(make_experiment(deployment, delays))
+        for number, zone in enumerate(deployment["zones"]):
+            (folder / f"router-{zone}.toml").write_text(make_settings(deployment, number))
 
 
 if __name__ == "__main__":
--- a/tools/notice_cost.py
+++ b/tools/notice_cost.py
@@ -1,8 +1,8 @@
-"""What it costs a node to take what the relay of its zone hands on, and the relay to hand it on.
+"""Measures the CPU time of a node for the batches that it receives from its zone's relay.
 
-A batch holds what a profile of 79 nodes before 45 runners found in one: 13 notices, of which 9 say
-no more than that their senders are alive, four prompts sent, of which four are read by now, four
-changes of a cache, and a dozen loads.
+The batches have the content that a profile of 79 nodes in front of 45 runners showed: 13 notices,
+9 of which only show that their senders are alive; four placements of prompts, four prompts read
+and four cache changes; and 12 loads of runners.
 """
 
 from __future__ import annotations
@@ -49,17 +49,17 @@
 ENGINE = EngineProfile(16, 86_721, 163_840.0, 1_100_000.0, ("model",))
 SALT = "shared|model|3"
 PROMPTS = 4
-ALIVE_ONLY = 9
+LIVENESS_NOTICES = 9
 LOADS = 12
 SUBJECTS = 400
 BATCHES = 200
-BATCHES_A_SECOND = 45
-STRETCHES = 30
-CALLS = 120
+BATCHES_PER_SECOND = 45
+ROUNDS = 30
+CALLS_PER_ROUND = 120
 
 
 def measure_notices() -> tuple[float, float]:
-    """Return the processor seconds of a batch at its receiver, and of a second of them."""
+    """Return the receiver's CPU time for one batch, and for the batches of one second."""
     rng = Random(7)
     state = _state()
     link = PeerLink()
@@ -69,22 +69,22 @@
     peers.handle_placements(placement.observe_placement, placement.observe_read)
     numbers = itertools.count(1)
     datagrams = itertools.cycle([_batch(rng, numbers) for _ in range(BATCHES)])
-    batch = _least(lambda: link.datagram_received(next(datagrams), ("10.0.0.1", 1)))
-    return batch, batch * BATCHES_A_SECOND
+    batch = _fastest_round(lambda: link.datagram_received(next(datagrams), ("10.0.0.1", 1)))
+    return batch, batch * BATCHES_PER_SECOND
 
 
-def _least(work: Callable[[], object]) -> float:
-    """Return the processor time of a call in the best of several stretches.
+def _fastest_round(work: Callable[[], object]) -> float:
+    """Return the CPU time of a call in the fastest of several rounds.
 
-    Beside other programs a core does half as much in some of them.
+    On a machine that runs other programs, a core is only half as fast in some of the rounds.
     """
-    stretches = []
-    for _ in range(STRETCHES):
+    rounds = []
+    for _ in range(ROUNDS):
         started = time.process_time()
-        for _ in range(CALLS):
+        for _ in range(CALLS_PER_ROUND):
             work()
-        stretches.append((time.process_time() - started) / CALLS)
-    return min(stretches)
+        rounds.append((time.process_time() - started) / CALLS_PER_ROUND)
+    return min(rounds)
 
 
 def _state() -> FleetState:
@@ -113,7 +113,7 @@
 
 
 def _batch(rng: Random, numbers: itertools.count[int]) -> bytes:
-    notices = [_node_notice(rng) for _ in range(ALIVE_ONLY)]
+    notices = [_node_notice(rng) for _ in range(LIVENESS_NOTICES)]
     for _ in range(PROMPTS):
         subject, number = rng.randrange(SUBJECTS), next(numbers)
         parts = [(f"common-{subject % 4}", 2_520), (f"part-{subject}", 3_780)]
--- a/tools/record_messages.py
+++ b/tools/record_messages.py
@@ -1,7 +1,7 @@
-"""Writes one sample of each message between nodes, and of each record in the store, as bytes.
+"""Prints an encoded sample of member message between nodes and of member record in the store.
 
-It is run with the sources of the commit whose messages are recorded, so that its own code writes
-them; ``tests/fleet/test_earlier_messages.py`` reads them with the code of today:
+Run this tool with the sources of the commit whose messages are recorded, so that the code of that
+commit encodes them. ``tests/fleet/test_earlier_messages.py`` decodes them with the current code:
 
     git archive COMMIT src | tar -x -C FOLDER
     PYTHONPATH=FOLDER/src .venv/bin/python tools/record_messages.py > tests/recorded/COMMIT.json
@@ -47,7 +47,7 @@
 
 
 def messages() -> dict[str, type[msgspec.Struct]]:
-    """Return all kinds of messages between nodes, by module and name."""
+    """Return all message types between nodes, by module and name."""
     found: dict[str, type[msgspec.Struct]] = {}
     for module in pkgutil.iter_modules(hillstack.messages.__path__):
         found |= structs(importlib.import_module(f"hillstack.messages.{module.name}"))
@@ -55,19 +55,19 @@
 
 
 def records() -> dict[str, type[msgspec.Struct]]:
-    """Return all kinds of bodies that the adapter reads or writes."""
+    """Return all body types that the platform adapter reads or writes."""
     return structs(hillstack.platform.bodies)
 
 
 def structs(module: ModuleType) -> dict[str, type[msgspec.Struct]]:
-    """Return the structs that a module defines."""
+    """Return the structs that a module defines, by module and name."""
     name = module.__name__.rpartition(".")[2]
     return {
-        f"{name}.{each.__name__}": each
-        for each in vars(module).values()
-        if isinstance(each, type)
-        and issubclass(each, msgspec.Struct)
-        and each.__module__ == module.__name__
+        f"{name}.{member.__name__}": member
+        for member in vars(module).values()
+        if isinstance(member, type)
+        and issubclass(member, msgspec.Struct)
+        and member.__module__ == module.__name__
     }
 
 
@@ -82,7 +82,7 @@
 
 
 def sample(kind: inspect.Type) -> Any:
-    """Return a value of a type: each field set, each collection with one item."""
+    """Return a sample value of a type, with all fields set and one item per collection."""
     match kind:
         case inspect.StructType():
             return kind.cls(**{field.name: sample(field.type) for field in kind.fields})
--- a/tools/retry_storm.py
+++ b/tools/retry_storm.py
@@ -1,7 +1,7 @@
 """Measures attempts per request while engines fail, with and without retry budgets.
 
-Runs in virtual time. The failing engines accept requests and break every stream off before its
-first token, so that each failure is found out only after work was spent.
+It runs in virtual time. The failing engines accept requests and break every stream before its first
+token, so that a router notices each failure only after the engine has done work.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from hillstack.simulation.services import EngineFaults
 
 ENGINES = 6
-FAILING = (2, 6)
+FAILING_ENGINES = (2, 6)
 WARM_UP_SECONDS = 6.0
 STORM_SECONDS = 20.0
 SETTLE_SECONDS = 15.0
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StormFigures:
-    """Counts of one run during the storm."""
+    """Counts of requests and attempts while the engines fail."""
 
     requests: int
     attempts: float
@@ -41,11 +41,11 @@
 
 
 def main() -> int:
-    """Run both cases and print them."""
+    """Run all cases and print them as a table."""
     logging.disable(logging.CRITICAL)
     titles = ("failing", "case", "seed", "completions", "attempts", "attempts each", "served whole")
     print("| " + " | ".join(titles) + " |\n" + "|---" * len(titles) + "|")
-    for failing, (label, ratio), seed in itertools.product(FAILING, BUDGETS.items(), SEEDS):
+    for failing, (label, ratio), seed in itertools.product(FAILING_ENGINES, BUDGETS.items(), SEEDS):
         figures = run(seed, ratio, failing)
         per_request = figures.attempts / figures.requests
         served = figures.served / figures.requests
@@ -56,9 +56,9 @@
 
 
 def run(seed: int, ratio: float, failing: int) -> StormFigures:
-    """Run one storm with a retry ratio."""
+    """Run one case: a seed, a retry ratio and a number of failing engines."""
     cluster = SimCluster(seed, ClusterSize(engines=ENGINES))
-    _install(cluster, ratio)
+    _install_bundle(cluster, ratio)
     cluster.run_until(WARM_UP_SECONDS)
     for number in range(failing):
         cluster.services.engines[f"engine-{number}"].faults = EngineFaults(break_streams=1.0)
@@ -77,8 +77,8 @@
     return figures
 
 
-def _install(cluster: SimCluster, ratio: float) -> None:
-    """Replace the first bundle by one with other retry limits."""
+def _install_bundle(cluster: SimCluster, ratio: float) -> None:
+    """Replace the first bundle with one that has other retry limits."""
     retries = {"ratio": ratio, "minimum_per_second": 1000.0 * (ratio == 1.0)}
     content = first_bundle().model_dump()
     content["retries"] = retries | {"max_attempts": MAX_ATTEMPTS}
--- a/tools/simulate.py
+++ b/tools/simulate.py
@@ -1,4 +1,4 @@
-"""Runs many seeds of the simulation and prints the history of each that fails."""
+"""Runs many seeds of the simulation and prints the faults and violations of failed seeds."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     seeds = range(arguments.first, arguments.first + arguments.seeds)
     counts: dict[str, int] = {}
     failed: list[RunResult] = []
-    with ProcessPoolExecutor(initializer=_quiet) as pool:
+    with ProcessPoolExecutor(initializer=_disable_logging) as pool:
         sizes = [arguments.routers_per_zone] * len(seeds)
         for result in pool.map(run_seed, seeds, sizes, chunksize=1):
             for event in result.history.events:
@@ -49,7 +49,7 @@
         print(f"  {violation.rule}: {violation.text}")
 
 
-def _quiet() -> None:
+def _disable_logging() -> None:
     logging.disable(logging.CRITICAL)
 
 
