--- a/src/hillstack/emulator/engine.py
+++ b/src/hillstack/emulator/engine.py
@@ -1,6 +1,6 @@
 """An emulated engine: vLLM's OpenAI-compatible API over the engine model, in real time.
 
-It extends vLLM's published interface, for operations that no standard covers:
+The emulator extends vLLM's published interface by operations that no standard covers:
 
 - ``X-Resume-From: n`` on a completion: the first ``n`` tokens are skipped, and the answer carries
   ``X-Resumed-From: n``.
--- a/src/hillstack/emulator/fleet_runner.py
+++ b/src/hillstack/emulator/fleet_runner.py
@@ -36,20 +36,20 @@
 class SoftwareFaults:
     """Faults of a version of a runner's software.
 
-    The faults affect a request only if all three conditions hold: ``from_run``, ``busy_from`` and
-    ``path_prefix``.
+    The faults affect a request only if all three conditions hold: ``unaffected_runs``,
+    ``busy_from`` and ``path_prefix``.
 
     Attributes:
         fail_share: Share of the affected requests that fail.
         slow_seconds: Extra seconds until the answer to an affected request.
-        from_run: Number of requests that the runner runs without faults first.
+        unaffected_runs: Number of requests that the runner runs without faults first.
         busy_from: Least number of requests running at the same time, including this one.
         path_prefix: Prefix of the request's path.
     """
 
     fail_share: float = 0.0
     slow_seconds: float = 0.0
-    from_run: int = 0
+    unaffected_runs: int = 0
     busy_from: int = 0
     path_prefix: str = "/"
 
@@ -231,7 +231,7 @@
     async def _work(self, path: str) -> bool:
         """Wait as long as a request takes; return whether a software fault makes it fail."""
         faults = self.faults.software
-        is_affected = len(self.ran) > faults.from_run and self.running >= faults.busy_from
+        is_affected = len(self.ran) > faults.unaffected_runs and self.running >= faults.busy_from
         is_affected = is_affected and path.startswith(faults.path_prefix)
         await asyncio.sleep(self.work_seconds + (faults.slow_seconds if is_affected else 0.0))
         return is_affected and self._rng.random() < faults.fail_share
--- a/src/hillstack/simulation/clients.py
+++ b/src/hillstack/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Simulated callers and operators, which event what they send and receive."""
+"""Simulated callers and operators, which record in the history what they send and receive."""
 
 from __future__ import annotations
 
--- a/src/hillstack/simulation/history.py
+++ b/src/hillstack/simulation/history.py
@@ -116,7 +116,7 @@
     """A node put a bundle in force.
 
     Attributes:
-        incarnation: Start number of the node, which a restart changes.
+        incarnation: Incarnation of the node's process, which changes at each restart.
     """
 
     at: float
--- a/src/hillstack/simulation/services.py
+++ b/src/hillstack/simulation/services.py
@@ -112,7 +112,7 @@
     """Faults of an application.
 
     Attributes:
-        lose_answers: Share of executed requests that are never echoed_id.
+        lose_answers: Share of executed requests that are never answered.
         cross_answers: Share of answers that carry the identifier and content of another request.
         delay: Seconds between execution and answer.
     """
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -1,6 +1,6 @@
-"""Measures the CPU time of a fleet node's local_runners work at several sizes of the deployment.
+"""Measures the CPU time that a fleet node needs at several sizes of the deployment.
 
-It runs the node's production classes in one process on one core and measures:
+The benchmark runs the node's production classes in one process on one core and measures:
 
 - Choosing a runner for a prompt of 9,190 tokens, with all zones in one region, and with two regions
   where the local region, three of five zones, can serve the request in time. Every peer, or every
--- a/tools/first_try.py
+++ b/tools/first_try.py
@@ -1,11 +1,11 @@
 """Compares answers in time, counted from callers' first try, before and after a change.
 
-It reads the reports that ``fleetbench run ... --report FILE`` writes and prints a row for each kind
-of request. The column ``in_aim`` of a report counts a request once, however often it was tried. It
-leaves out a request that was refused first and was in time only when measured from a later try.
-Such a request earns only a part of its credit. If ``in_aim`` counted it, the credit of its kind
-would be less than ``in_aim`` and ``late`` earn; in all 48 rows of kinds without sizes (24 plays),
-the credit is equal or higher.
+The tool reads the reports that ``fleetbench run ... --report FILE`` writes and prints a row for
+each kind of request. The column ``in_aim`` of a report counts a request once, however often the
+caller tried it. The column leaves out a request that was refused first and was in time only when
+measured from a later try. Such a request earns only a part of its credit. If ``in_aim`` counted it,
+the credit of its kind would be less than ``in_aim`` and ``late`` earn; in all 48 rows of kinds
+without sizes (24 plays), the credit is equal or higher.
 
 The reports of each side are summed, so that a side may cover several days and seeds.
 """
--- a/tools/record_messages.py
+++ b/tools/record_messages.py
@@ -1,4 +1,4 @@
-"""Prints an encoded sample of member message between nodes and of member record in the store.
+"""Prints an encoded sample of each message between nodes and of each record in the store.
 
 Run this tool with the sources of the commit whose messages are recorded, so that the code of that
 commit encodes them. ``tests/fleet/test_earlier_messages.py`` decodes them with the current code:
--- a/tools/retry_storm.py
+++ b/tools/retry_storm.py
@@ -1,7 +1,7 @@
 """Measures attempts per request while engines fail, with and without retry budgets.
 
-It runs in virtual time. The failing engines accept requests and break every stream before its first
-token, so that a router notices each failure only after the engine has done work.
+The measurement runs in virtual time. The failing engines accept requests and break every stream
+before its first token, so that a router notices each failure only after the engine has done work.
 """
 
 from __future__ import annotations
